--- a/internal/fleet/release/release.go
+++ b/internal/fleet/release/release.go
@@ -1,9 +1,11 @@
-// Package release decides how a release goes through a fleet of routers: whom to have out, whom to replace, when to wait, when to
-// halt, and how to come back. It has neither I/O nor clock: it is told what the fleet looks like and gives what is to be done.
+// Package release decides how a release (a rolling update) proceeds through a fleet of routers: which routers to drain and
+// replace, when to wait, when to halt, and how to roll back. It has neither I/O nor a clock: the caller passes in the observed
+// state of the fleet and carries out the actions that it gets back.
 //
-// It goes in waves, the first of which is the canary. Each router is drained by the fleet's permit, replaced by the operator's
-// command, and done once it serves with what was to be changed. How many are out at one time is the permits' affair alone; a wave
-// says how many may be changed before the changed ones have been compared with the rest.
+// A release proceeds in waves, the first of which is the canary. Each router is drained under a permit of the fleet, replaced by
+// the operator's command, and done once it serves with the target revision. Only the permits limit how many routers are out of
+// service at one time. A wave limits how many routers may be changed before the changed routers have been compared with the
+// others.
 package release
 
 import (
@@ -12,548 +14,568 @@
 	"time"
 )
 
-// Params are a plan's figures.
+// Params holds the settings of one release.
 type Params struct {
-	To     string        // what a changed router shows
-	Canary int           // routers in the first wave
-	First  int           // in the second
-	Grow   float64       // each further wave is so many times the one before
-	Most   int           // in a wave; 0: any number
-	Soak   time.Duration // for which the changed ones are watched after each wave
-	Settle time.Duration // for a router to come back, once its replacement has begun
-	Permit time.Duration // for a router to be let out
-	Watch  Watch
-}
-
-// Router is one router as the driver sees it now.
+	TargetRevision string        // of a changed router; see Router.Revision
+	CanarySize     int           // number of routers in the first wave
+	SecondWaveSize int           // number of routers in the second wave
+	GrowthFactor   float64       // size of each later wave, as a multiple of the wave before it
+	MaxWaveSize    int           // upper bound of the size of a wave; 0: unlimited
+	SoakDuration   time.Duration // how long the changed routers are observed after each wave
+	ReplaceTimeout time.Duration // for a router to serve again, from the start of its replacement
+	PermitTimeout  time.Duration // for a router to get its permit
+	Comparison     Comparison
+}
+
+// Router is the state of one router as the driver currently observes it.
 type Router struct {
-	Reached bool   // it has answered
-	Alive   bool   // it, or most others, say that it lives
-	Serving bool   // to clients
-	Life    string // its incarnation's start; a restarted one has another
-	Shows   string // the figure that the release changes
-	Out     string // its permit: none, asking, out or ended
-	Why     string // it was refused
-	Counts  Counts // of its life
+	Reached     bool   // it answered the driver
+	Alive       bool   // it answered, or most other routers report it alive
+	Serving     bool   // it serves clients
+	Incarnation string // start of its process; a restart changes it
+	Revision    string // version of its program or checksum of its settings, whichever the release changes
+	PermitState string // none, asking, out or ended
+	Reason      string // why its permit was refused or it does not answer
+	Counts      Counts // requests since its process started
 }
 
-// Sight is the fleet as the driver sees it now.
-type Sight struct {
-	Routers map[int]Router
-	Agree   bool   // those that were reached say the same of the fleet
-	Held    bool   // this driver has the fleet's place for releases
-	Holder  string // who has, or why nobody has
+// FleetState is the state of the fleet as the driver currently observes it.
+type FleetState struct {
+	Routers     map[int]Router
+	ViewsAgree  bool   // the routers that answered report the same view of the fleet
+	LeaseHeld   bool   // this driver holds the fleet's release lease, which one driver can hold at a time
+	LeaseHolder string // description of the driver that holds the lease, or why no driver holds it
 }
 
-// Kind is what is to be done.
-type Kind uint8
+// ActionKind says what an action does.
+type ActionKind uint8
 
-// The kinds of act.
+// Kinds of actions.
 const (
-	Drain    Kind = iota // ask that a router may be out
-	Activate             // have it serve again
-	Replace              // run the command; the record is written before
-	Note                 // nothing but the record
+	Drain      ActionKind = iota // request a permit for the router to be out of service
+	Activate                     // return the router to service
+	Replace                      // run the operator's command, after the record is written
+	RecordOnly                   // only write the record
 )
 
-// Act is one thing to be done. Where Record is set it is kept, so that nothing makes it undone, before all else.
-type Act struct {
-	Kind   Kind
+// Action is one thing that the driver has to do. If Record is set, the driver stores it durably before it does anything else.
+type Action struct {
+	Kind   ActionKind
 	Router int
 	Record *Record
 }
 
-// Record is what a driver must not forget.
+// Record is one entry of the journal from which a restarted driver continues.
 type Record struct {
-	What   What   `json:"what"`
-	Router int    `json:"router"`
-	Life   string `json:"life,omitempty"` // begin: that is replaced
-	From   string `json:"from,omitempty"` // begin: what it showed
-	Back   bool   `json:"back,omitempty"` // on the way back
-	Why    string `json:"why,omitempty"`  // halt
+	Event       Event  `json:"what"`
+	Router      int    `json:"router"`
+	Incarnation string `json:"life,omitempty"` // begin: the incarnation that is replaced
+	OldRevision string `json:"from,omitempty"` // begin: the revision before the replacement
+	Rollback    bool   `json:"back,omitempty"` // the entry belongs to the rollback
+	Reason      string `json:"why,omitempty"`  // halt: why the release halted
 }
 
-// What a record says.
-type What string
+// RecordKind says what a record states.
+type Event string
 
-// The records.
+// Kinds of records.
 const (
-	Begin  What = "begin"  // a router's replacement
-	Done   What = "done"   // it serves, changed
-	Never  What = "never"  // a replacement that was to begin never ran
-	Halt   What = "halt"   // nothing further is begun
-	Resume What = "resume" // after a halt
-	Back   What = "back"   // all is to be as it was
-	End    What = "end"    // nothing is left to do
+	EventBegin    Event = "begin"  // the replacement of a router begins
+	EventDone     Event = "done"   // the router serves with the desired revision
+	EventNeverRan Event = "never"  // the command of a recorded replacement never ran
+	EventHalt     Event = "halt"   // no further replacement is started
+	EventResume   Event = "resume" // the release continues after a halt
+	EventRollback Event = "back"   // the routers are to get their old revisions back
+	EventEnd      Event = "end"    // the release has ended
 )
 
-// Stage is where one router stands.
+// Stage is how far one router has come in the release.
 type Stage uint8
 
-// The stages.
+// The stages of a router.
 const (
-	Waiting Stage = iota
-	Asking        // to be out
-	Begun         // its replacement
-	Changed
+	Waiting        Stage = iota // not changed, or rolled back
+	AwaitingPermit              // it is to be drained and waits for its permit
+	Replacing                   // its replacement has begun
+	Changed                     // it serves with the target revision
 )
 
 // String implements fmt.Stringer.
 func (s Stage) String() string { return [...]string{"waiting", "asking", "replacing", "changed"}[s] }
 
-type step struct {
-	stage Stage
-	since time.Duration
-	life  string // that is replaced
-	from  string // what it showed before the release
+// routerProgress is how far one router has come in the release.
+type routerProgress struct {
+	stage               Stage
+	stageStart          time.Duration // start of the timeout of the stage
+	replacedIncarnation string        // the incarnation that is replaced
+	oldRevision         string        // its revision before the release
 }
 
-// Run is one release.
+// Run is the state of one release. Times are on the clock of the driver.
 type Run struct {
-	p     Params
-	order []int
-	steps map[int]*step
-	now   time.Duration
-	back  bool
-	ended bool
-	why   string // it has halted for
-
-	waveBegin int // in order: so many are in the waves before this one
-	waveEnd   int // in order: so many are in this wave and those before
-	waveSize  int
-	soaking   bool
-	soaked    time.Duration // when that began
-	looks     int           // at the comparison, in this soak
-	base      map[int]sample
-	before    Counts // of unchanged ones, when they were last enough
-
-	apart   time.Duration // since when views disagree, or
-	alone   time.Duration // the fleet's place is not held; 0: they don't, it is
-	verdict string        // of the last comparison
-}
-
-type sample struct {
-	life   string
-	counts Counts
-}
-
-// patience is for how long views may disagree, and the fleet's place may be missing: a crash is known to all after 8 s.
-const patience = 15 * time.Second
-
-// New begins a release of routers in an order, or goes on with one from its records. The time is a driver's own clock.
-func New(now time.Duration, p Params, order []int, records []Record) *Run {
-	r := &Run{p: p, order: order, steps: map[int]*step{}, now: now, waveSize: max(1, p.Canary)}
+	params      Params
+	order       []int                   // routers in the order of their replacement
+	progressOf  map[int]*routerProgress // by router
+	now         time.Duration           // of the last call of Update
+	rollingBack bool
+	ended       bool
+	haltReason  string // empty: the release has not halted
+
+	waveStart     int // index in order of the first router of the current wave
+	waveEnd       int // index in order of the first router after the current wave
+	waveSize      int
+	soaking       bool
+	soakStart     time.Duration        // when the current soak began
+	comparisons   int                  // number of comparisons made in this soak
+	baseline      map[int]routerSample // counts of each router when the soak began
+	lastUnchanged Counts               // of the unchanged routers, when they last had enough requests
+
+	disagreeSince  time.Duration // when the views began to disagree; 0: they agree
+	leaseLostSince time.Duration // when the release lease was lost; 0: it is held
+	verdict        string        // description of the last comparison
+}
+
+// routerSample holds the request counts of one router at one time.
+type routerSample struct {
+	incarnation string
+	counts      Counts
+}
+
+// faultGracePeriod is how long views may disagree, or the release lease may be lost, before the release halts. A crash causes
+// disagreement until all routers know of it, which takes 8 s.
+const faultGracePeriod = 15 * time.Second
+
+// New starts a release of the routers in the given order, or continues one from its records. now is the time on the driver's
+// clock.
+func New(now time.Duration, params Params, order []int, records []Record) *Run {
+	r := &Run{params: params, order: order, progressOf: map[int]*routerProgress{}, now: now, waveSize: max(1, params.CanarySize)}
 	for _, n := range order {
-		r.steps[n] = &step{}
+		r.progressOf[n] = &routerProgress{}
 	}
 	r.waveEnd = min(len(order), r.waveSize)
 	for i := range records {
 		r.replay(&records[i])
 	}
-	for !r.back && r.waveEnd < len(order) && r.lastChanged() >= r.waveEnd { // a wave that had begun goes on
-		r.NextWave()
+	for !r.rollingBack && r.waveEnd < len(order) && r.lastStarted() >= r.waveEnd { // continue the wave that had begun
+		r.StartNextWave()
 	}
 	return r
 }
 
-// lastChanged is the number of the last in order that has begun.
-func (r *Run) lastChanged() int {
+// lastStarted returns the index in order of the last router whose replacement has begun, or -1.
+func (r *Run) lastStarted() int {
 	for i := len(r.order) - 1; i >= 0; i-- {
-		if r.steps[r.order[i]].stage >= Begun {
+		if r.progressOf[r.order[i]].stage >= Replacing {
 			return i
 		}
 	}
 	return -1
 }
 
-func (r *Run) replay(x *Record) {
-	s := r.steps[x.Router]
-	switch x.What {
-	case Begin:
-		if s != nil {
-			s.stage, s.since, s.life = Begun, r.now, x.Life
-			if !x.Back {
-				s.from = x.From
+// replay applies one record of the journal.
+func (r *Run) replay(record *Record) {
+	progress := r.progressOf[record.Router]
+	switch record.Event {
+	case EventBegin:
+		if progress != nil {
+			progress.stage, progress.stageStart, progress.replacedIncarnation = Replacing, r.now, record.Incarnation
+			if !record.Rollback {
+				progress.oldRevision = record.OldRevision
 			}
 		}
-	case Done:
-		if s != nil {
-			s.stage, s.since = Changed, r.now
-			if x.Back {
-				s.stage = Waiting
+	case EventDone:
+		if progress != nil {
+			progress.stage, progress.stageStart = Changed, r.now
+			if record.Rollback {
+				progress.stage = Waiting
 			}
 		}
-	case Never:
-		r.Again(x.Router)
-	case Halt:
-		r.why = x.Why
-	case Resume:
-		r.why = ""
-	case Back:
-		r.turn()
-	case End:
+	case EventNeverRan:
+		r.MarkNeverRan(record.Router)
+	case EventHalt:
+		r.haltReason = record.Reason
+	case EventResume:
+		r.haltReason = ""
+	case EventRollback:
+		r.startRollback()
+	case EventEnd:
 		r.ended = true
 	}
 }
 
-// turn has the release go back. What has begun and not come back is to be replaced once more.
-func (r *Run) turn() {
-	r.why, r.back, r.ended, r.soaking = "", true, false, false
-	for _, s := range r.steps {
-		if s.stage == Begun {
-			s.stage = Changed
+// startRollback makes the release roll back. A router whose replacement has begun and not finished counts as changed, so it is
+// replaced once more.
+func (r *Run) startRollback() {
+	r.haltReason, r.rollingBack, r.ended, r.soaking = "", true, false, false
+	for _, progress := range r.progressOf {
+		if progress.stage == Replacing {
+			progress.stage = Changed
 		}
 	}
 }
 
-// Again says that a router's replacement, though begun, never ran: the driver died before. The record is to be kept.
-func (r *Run) Again(router int) *Record {
-	if s := r.steps[router]; s != nil && s.stage == Begun {
-		s.stage, s.since = Asking, r.now
-		if r.back {
-			s.stage = Changed
+// MarkNeverRan takes back the start of a router's replacement whose command never ran because the driver died first. It returns
+// the record of that, which the caller stores.
+func (r *Run) MarkNeverRan(router int) *Record {
+	if progress := r.progressOf[router]; progress != nil && progress.stage == Replacing {
+		progress.stage, progress.stageStart = AwaitingPermit, r.now
+		if r.rollingBack {
+			progress.stage = Changed
 		}
 	}
-	return &Record{What: Never, Router: router}
+	return &Record{Event: EventNeverRan, Router: router}
 }
 
-// Failed says that a router's command has ended with an error.
-func (r *Run) Failed(router int, why string) []Act {
-	return r.halt(fmt.Sprintf("the command for router %d: %s", router, why))
+// CommandFailed halts the release because the command of a router has ended with an error.
+func (r *Run) CommandFailed(router int, reason string) []Action {
+	return r.halt(fmt.Sprintf("the command for router %d: %s", router, reason))
 }
 
-// Stop halts the release for an operator.
-func (r *Run) Stop(why string) []Act { return r.halt(why) }
+// Stop halts the release at the request of an operator.
+func (r *Run) Stop(reason string) []Action { return r.halt(reason) }
 
-// Resume goes on after a halt.
-func (r *Run) Resume() []Act {
-	r.why, r.soaking, r.apart, r.alone = "", false, 0, 0
-	for _, s := range r.steps {
-		s.since = r.now
+// Resume continues the release after a halt.
+func (r *Run) Resume() []Action {
+	r.haltReason, r.soaking, r.disagreeSince, r.leaseLostSince = "", false, 0, 0
+	for _, progress := range r.progressOf {
+		progress.stageStart = r.now
 	}
-	return []Act{{Kind: Note, Record: &Record{What: Resume}}}
+	return []Action{{Kind: RecordOnly, Record: &Record{Event: EventResume}}}
 }
 
-// GoBack begins the way back.
-func (r *Run) GoBack() []Act {
-	acts := append([]Act{{Kind: Note, Record: &Record{What: Back}}}, r.recall()...)
-	r.turn()
-	for _, s := range r.steps {
-		s.since = r.now
+// RollBack starts the rollback.
+func (r *Run) RollBack() []Action {
+	actions := append([]Action{{Kind: RecordOnly, Record: &Record{Event: EventRollback}}}, r.reactivateDrained()...)
+	r.startRollback()
+	for _, progress := range r.progressOf {
+		progress.stageStart = r.now
 	}
-	return acts
+	return actions
 }
 
-// Halted tells why a release has halted; it has not where that is empty.
-func (r *Run) Halted() string { return r.why }
+// HaltReason returns why the release has halted, or an empty text if it has not.
+func (r *Run) HaltReason() string { return r.haltReason }
 
-// Ended tells whether nothing is left to do.
+// Ended reports whether the release, or its rollback, is complete.
 func (r *Run) Ended() bool { return r.ended }
 
-// GoesBack tells whether the release is on its way back.
-func (r *Run) GoesBack() bool { return r.back }
+// RollingBack reports whether the release is being rolled back.
+func (r *Run) RollingBack() bool { return r.rollingBack }
 
-// Verdict is what the last comparison found.
+// Verdict returns a description of the last comparison.
 func (r *Run) Verdict() string { return r.verdict }
 
-// Stages gives the routers of each stage, in order.
-func (r *Run) Stages() map[Stage][]int {
-	all := map[Stage][]int{}
+// RoutersByStage returns the routers in each stage, in the order of replacement.
+func (r *Run) RoutersByStage() map[Stage][]int {
+	byStage := map[Stage][]int{}
 	for _, n := range r.order {
-		s := r.steps[n].stage
-		all[s] = append(all[s], n)
+		s := r.progressOf[n].stage
+		byStage[s] = append(byStage[s], n)
 	}
-	return all
+	return byStage
 }
 
-// halt begins nothing further. Who is out and not begun serves again.
-func (r *Run) halt(why string) (acts []Act) {
-	if r.why != "" || r.ended {
+// halt starts no further replacement. Routers that are drained and whose replacement has not begun return to service.
+func (r *Run) halt(haltReason string) (actions []Action) {
+	if r.haltReason != "" || r.ended {
 		return nil
 	}
-	r.why = why
-	acts = append(acts, Act{Kind: Note, Record: &Record{What: Halt, Why: why}})
-	return append(acts, r.recall()...)
+	r.haltReason = haltReason
+	actions = append(actions, Action{Kind: RecordOnly, Record: &Record{Event: EventHalt, Reason: haltReason}})
+	return append(actions, r.reactivateDrained()...)
 }
 
-// recall has those serve again that were asked out and not begun.
-func (r *Run) recall() (acts []Act) {
+// reactivateDrained returns routers to service that were to be drained and whose replacement has not begun.
+func (r *Run) reactivateDrained() (actions []Action) {
 	for _, n := range r.order {
-		if s := r.steps[n]; s.stage == Asking {
-			s.stage = Waiting
-			if r.back {
-				s.stage = Changed
+		if progress := r.progressOf[n]; progress.stage == AwaitingPermit {
+			progress.stage = Waiting
+			if r.rollingBack {
+				progress.stage = Changed
 			}
-			acts = append(acts, Act{Kind: Activate, Router: n})
+			actions = append(actions, Action{Kind: Activate, Router: n})
 		}
 	}
-	return acts
+	return actions
 }
 
-// Look decides by what is seen now. It wants to be called about once a second.
-func (r *Run) Look(now time.Duration, s *Sight) (acts []Act) {
+// Update decides what to do in the current state of the fleet. The driver calls it about once a second.
+func (r *Run) Update(now time.Duration, fleet *FleetState) (actions []Action) {
 	r.now = now
 	if r.ended {
 		return nil
 	}
-	acts = r.settle(s) // what has begun comes to its end in any case
-	if r.why != "" {
-		return acts
+	actions = r.finishReplacements(fleet) // a replacement that has begun may finish even after a halt
+	if r.haltReason != "" {
+		return actions
 	}
-	if why := r.trouble(s); why != "" {
-		return append(acts, r.halt(why)...)
+	if haltReason := r.fleetFault(fleet); haltReason != "" {
+		return append(actions, r.halt(haltReason)...)
 	}
-	todo := r.todo()
-	for _, n := range todo {
-		more, why := r.advance(n, s.Routers[n])
-		if acts = append(acts, more...); why != "" {
-			return append(acts, r.halt(why)...)
+	pending := r.pending()
+	for _, n := range pending {
+		more, haltReason := r.advance(n, fleet.Routers[n])
+		if actions = append(actions, more...); haltReason != "" {
+			return append(actions, r.halt(haltReason)...)
 		}
 	}
-	if len(todo) > 0 {
-		return acts
+	if len(pending) > 0 {
+		return actions
 	}
-	if r.back {
-		return append(acts, r.end())
+	if r.rollingBack {
+		return append(actions, r.finish())
 	}
-	return append(acts, r.soak(s)...)
+	return append(actions, r.soak(fleet)...)
 }
 
-func (r *Run) end() Act {
+// finish ends the release.
+func (r *Run) finish() Action {
 	r.ended = true
-	return Act{Kind: Note, Record: &Record{What: End}}
+	return Action{Kind: RecordOnly, Record: &Record{Event: EventEnd}}
 }
 
-// todo are the routers of this wave that are not as they shall be; on the way back all that were begun, the last first.
-func (r *Run) todo() (list []int) {
-	if r.back {
+// pending returns the routers of the waves so far that are not changed yet. In a rollback it returns all routers whose
+// replacement had begun and that are not rolled back yet, the last one first.
+func (r *Run) pending() (list []int) {
+	if r.rollingBack {
 		for _, n := range slices.Backward(r.order) {
-			if r.steps[n].stage != Waiting {
+			if r.progressOf[n].stage != Waiting {
 				list = append(list, n)
 			}
 		}
 		return list
 	}
 	for _, n := range r.order[:r.waveEnd] {
-		if r.steps[n].stage != Changed {
+		if r.progressOf[n].stage != Changed {
 			list = append(list, n)
 		}
 	}
 	return list
 }
 
-// shows tells whether a router is as it shall be.
-func (r *Run) shows(s *step, seen Router) bool {
+// hasDesiredRevision reports whether a router has the revision that the release, or its rollback, is to give it.
+func (r *Run) hasDesiredRevision(progress *routerProgress, router Router) bool {
 	switch {
-	case !r.back:
-		return seen.Shows == r.p.To
-	case s.from != "":
-		return seen.Shows == s.from
+	case !r.rollingBack:
+		return router.Revision == r.params.TargetRevision
+	case progress.oldRevision != "":
+		return router.Revision == progress.oldRevision
 	}
-	return seen.Shows != "" && seen.Shows != r.p.To // another machine's release, of which only the routers know
+	// Another machine drove the release, so no record has the old revision.
+	return router.Revision != "" && router.Revision != r.params.TargetRevision
 }
 
-// settle takes those for changed that serve in a new life.
-func (r *Run) settle(s *Sight) (acts []Act) {
+// finishReplacements records the replacements whose router serves in a new incarnation with the desired revision.
+func (r *Run) finishReplacements(fleet *FleetState) (actions []Action) {
 	for _, n := range r.order {
-		x, seen := r.steps[n], s.Routers[n]
-		if x.stage != Begun || !seen.Alive || !seen.Serving || seen.Life == "" || seen.Life == x.life || !r.shows(x, seen) {
+		progress, router := r.progressOf[n], fleet.Routers[n]
+		if progress.stage != Replacing || !router.Alive || !router.Serving || router.Incarnation == "" ||
+			router.Incarnation == progress.replacedIncarnation || !r.hasDesiredRevision(progress, router) {
 			continue
 		}
-		if x.stage = Changed; r.back {
-			x.stage = Waiting
+		if progress.stage = Changed; r.rollingBack {
+			progress.stage = Waiting
 		}
-		x.since = r.now
-		acts = append(acts, Act{Kind: Note, Router: n, Record: &Record{What: Done, Router: n, Back: r.back}})
+		progress.stageStart = r.now
+		actions = append(actions,
+			Action{Kind: RecordOnly, Router: n, Record: &Record{Event: EventDone, Router: n, Rollback: r.rollingBack}})
 	}
-	return acts
+	return actions
 }
 
-// trouble is why the release must halt, whatever single routers do.
-func (r *Run) trouble(s *Sight) string {
-	since := func(at *time.Duration, is bool) bool {
-		if !is {
-			*at = 0
-		} else if *at == 0 {
-			*at = max(1, r.now)
+// fleetFault returns a reason to halt that concerns the fleet and not single routers, or an empty text if there is none.
+func (r *Run) fleetFault(fleet *FleetState) string {
+	lastsTooLong := func(start *time.Duration, faulty bool) bool {
+		if !faulty {
+			*start = 0
+		} else if *start == 0 {
+			*start = max(1, r.now)
 		}
-		return is && r.now-*at >= patience
+		return faulty && r.now-*start >= faultGracePeriod
 	}
-	if since(&r.alone, !s.Held) {
-		return "this driver has not the fleet's place for releases: " + s.Holder
+	if lastsTooLong(&r.leaseLostSince, !fleet.LeaseHeld) {
+		return "this driver has not the fleet's place for releases: " + fleet.LeaseHolder
 	}
-	if since(&r.apart, !s.Agree) {
+	if lastsTooLong(&r.disagreeSince, !fleet.ViewsAgree) {
 		return "the routers' views of the fleet disagree"
 	}
 	return ""
 }
 
-// advance takes one router on, and tells why that is not possible.
-func (r *Run) advance(n int, seen Router) (acts []Act, why string) {
-	s := r.steps[n]
+// advance takes the next step for one router, or returns why the release must halt.
+func (r *Run) advance(n int, router Router) (actions []Action, haltReason string) {
+	progress := r.progressOf[n]
 	switch {
-	case s.stage == Begun:
-		if r.now-s.since >= r.p.Settle {
-			return nil, fmt.Sprintf("router %d has not come back changed within %v of its replacement: %s", n, r.p.Settle, seen.text())
+	case progress.stage == Replacing:
+		if r.now-progress.stageStart >= r.params.ReplaceTimeout {
+			return nil, fmt.Sprintf("router %d has not come back changed within %v of its replacement: %s", n,
+				r.params.ReplaceTimeout, router.describe())
 		}
 		return nil, ""
-	case r.shows(s, seen) && seen.Serving && (s.stage == Waiting || r.back): // it is as it shall be, by whomever
-		if s.stage = Changed; r.back {
-			s.stage = Waiting
+	case r.hasDesiredRevision(progress, router) && router.Serving && (progress.stage == Waiting || r.rollingBack):
+		// The router has the desired revision already, whoever changed it.
+		if progress.stage = Changed; r.rollingBack {
+			progress.stage = Waiting
 		}
-		return []Act{{Kind: Note, Router: n, Record: &Record{What: Done, Router: n, Back: r.back}}}, ""
-	case s.stage != Asking:
-		s.stage, s.since = Asking, r.now
-	case r.now-s.since >= r.p.Permit:
-		return nil, fmt.Sprintf("router %d was not let out within %v: %s", n, r.p.Permit, seen.text())
-	}
-	dead := r.back && !seen.Reached && !seen.Alive // is out already, and can't be asked
-	if !dead && seen.Out != "out" {
-		if seen.Reached && seen.Out != "asking" {
-			acts = append(acts, Act{Kind: Drain, Router: n})
+		return []Action{{Kind: RecordOnly, Router: n, Record: &Record{Event: EventDone, Router: n, Rollback: r.rollingBack}}}, ""
+	case progress.stage != AwaitingPermit:
+		progress.stage, progress.stageStart = AwaitingPermit, r.now
+	case r.now-progress.stageStart >= r.params.PermitTimeout:
+		return nil, fmt.Sprintf("router %d was not let out within %v: %s", n, r.params.PermitTimeout, router.describe())
+	}
+	dead := r.rollingBack && !router.Reached && !router.Alive // it is out of service already and cannot request a permit
+	if !dead && router.PermitState != "out" {
+		if router.Reached && router.PermitState != "asking" {
+			actions = append(actions, Action{Kind: Drain, Router: n})
 		}
-		return acts, ""
+		return actions, ""
 	}
-	if s.stage, s.since, s.life = Begun, r.now, seen.Life; !r.back {
-		s.from = seen.Shows
+	if progress.stage, progress.stageStart, progress.replacedIncarnation = Replacing, r.now, router.Incarnation; !r.rollingBack {
+		progress.oldRevision = router.Revision
 	}
-	return []Act{{Kind: Replace, Router: n, Record: &Record{What: Begin, Router: n, Life: seen.Life, From: seen.Shows, Back: r.back}}}, ""
+	return []Action{{Kind: Replace, Router: n, Record: &Record{Event: EventBegin, Router: n, Incarnation: router.Incarnation,
+		OldRevision: router.Revision, Rollback: r.rollingBack}}}, ""
 }
 
-// text is how a router looks, for a reason.
-func (x Router) text() string {
+// describe returns the state of a router as part of a halt reason.
+func (r Router) describe() string {
 	switch {
-	case x.Why != "":
-		return x.Why
-	case !x.Reached && !x.Alive:
+	case r.Reason != "":
+		return r.Reason
+	case !r.Reached && !r.Alive:
 		return "it is gone"
-	case !x.Reached:
+	case !r.Reached:
 		return "it does not answer this driver"
-	case !x.Serving:
+	case !r.Serving:
 		return "it does not serve"
 	}
-	return "it shows " + x.Shows
+	return "its revision is " + r.Revision
 }
 
-// soak watches the changed routers beside the others, and begins the next wave if they do no worse.
-func (r *Run) soak(s *Sight) []Act {
+// soak compares the changed routers with the others, and starts the next wave if they do no worse.
+func (r *Run) soak(fleet *FleetState) []Action {
 	if !r.soaking {
-		r.beginSoak(s)
+		r.startSoak(fleet)
 		return nil
 	}
-	all := r.count(s)
-	changed, control, enough := r.groups(all)
-	if r.enough(all.unchanged) {
-		r.before = all.unchanged
+	totals := r.countSinceSoakStart(fleet)
+	changed, control, enoughRequests := r.comparedGroups(totals)
+	if r.enoughRequests(totals.unchanged) {
+		r.lastUnchanged = totals.unchanged
 	}
-	spent := r.now - r.soaked
+	elapsed := r.now - r.soakStart
 	switch {
-	case r.waveEnd-r.waveBegin == len(r.order):
-		r.looks, r.verdict = looksEach, "the first wave is the whole fleet: there is no other router to compare with"
-	case enough && spent >= r.p.Soak*time.Duration(r.looks+1)/looksEach:
-		r.looks++
-		worse, text := r.p.Watch.Worse(changed, control, r.allLooks())
-		if r.verdict = text + r.unchangedBefore(all); worse {
+	case r.waveEnd-r.waveStart == len(r.order):
+		r.comparisons, r.verdict = comparisonsPerSoak, "the first wave is the whole fleet: there is no other router to compare with"
+	case enoughRequests && elapsed >= r.params.SoakDuration*time.Duration(r.comparisons+1)/comparisonsPerSoak:
+		r.comparisons++
+		worse, text := r.params.Comparison.Compare(changed, control, r.plannedComparisons())
+		if r.verdict = text + r.describeUnchanged(totals); worse {
 			return r.halt("the changed routers do worse: " + text)
 		}
-	case !enough && spent >= r.p.Soak && r.looks < looksEach:
+	case !enoughRequests && elapsed >= r.params.SoakDuration && r.comparisons < comparisonsPerSoak:
 		r.verdict = fmt.Sprintf("waits for requests: %d at changed routers and %d at the others, %d are wanted", changed.Requests,
-			control.Requests, r.p.Watch.Requests)
+			control.Requests, r.params.Comparison.MinRequests)
 	}
-	if r.looks < looksEach || spent < r.p.Soak {
+	if r.comparisons < comparisonsPerSoak || elapsed < r.params.SoakDuration {
 		return nil
 	}
 	r.soaking = false
 	if r.waveEnd == len(r.order) {
-		return []Act{r.end()}
+		return []Action{r.finish()}
 	}
-	r.NextWave()
+	r.StartNextWave()
 	return nil
 }
 
-func (r *Run) beginSoak(s *Sight) {
-	r.soaking, r.soaked, r.looks, r.base = true, r.now, 0, map[int]sample{}
-	for n, x := range s.Routers {
-		r.base[n] = sample{x.Life, x.Counts}
+// startSoak starts to observe the routers that the current wave has changed.
+func (r *Run) startSoak(fleet *FleetState) {
+	r.soaking, r.soakStart, r.comparisons, r.baseline = true, r.now, 0, map[int]routerSample{}
+	for n, router := range fleet.Routers {
+		r.baseline[n] = routerSample{router.Incarnation, router.Counts}
 	}
 }
 
-// tally is what has become of requests since the soak began, by how far the release has come at their routers.
-type tally struct {
-	wave      Counts // changed in this wave
-	earlier   Counts // changed in a wave before
-	unchanged Counts
+// soakCounts are the request counts since the soak began, for each group of routers.
+type soakCounts struct {
+	thisWave     Counts // routers changed in this wave
+	earlierWaves Counts // routers changed in earlier waves
+	unchanged    Counts
 }
 
-// count counts what has become of requests since the soak began.
-func (r *Run) count(s *Sight) (all tally) {
+// countSinceSoakStart returns the request counts since the soak began.
+func (r *Run) countSinceSoakStart(fleet *FleetState) (totals soakCounts) {
 	for i, n := range r.order {
-		x := s.Routers[n]
-		if !x.Reached {
+		router := fleet.Routers[n]
+		if !router.Reached {
 			continue
 		}
-		c := x.Counts
-		if was := r.base[n]; was.life == x.Life {
-			c = c.minus(was.counts)
+		c := router.Counts
+		if atStart := r.baseline[n]; atStart.incarnation == router.Incarnation {
+			c = c.minus(atStart.counts)
 		}
 		switch {
-		case r.steps[n].stage != Changed:
-			all.unchanged = all.unchanged.plus(c)
-		case i < r.waveBegin:
-			all.earlier = all.earlier.plus(c)
+		case r.progressOf[n].stage != Changed:
+			totals.unchanged = totals.unchanged.plus(c)
+		case i < r.waveStart:
+			totals.earlierWaves = totals.earlierWaves.plus(c)
 		default:
-			all.wave = all.wave.plus(c)
+			totals.thisWave = totals.thisWave.plus(c)
 		}
 	}
-	return all
+	return totals
 }
 
-// groups chooses whom to compare with whom. Both groups are of the same time, so that what troubles all routers alike is not held
-// against the version: the changed routers beside the unchanged ones, and where these have too few requests, as after the last wave,
-// this wave's beside those that were changed in earlier waves and did no worse then.
-func (r *Run) groups(all tally) (changed, control Counts, enough bool) {
-	changed, control = all.wave.plus(all.earlier), all.unchanged
-	if !r.enough(control) && r.waveBegin > 0 {
-		changed, control = all.wave, all.earlier
+// comparedGroups chooses which routers to compare. Both groups are measured over the same time, so that a fault of all routers
+// does not count against the new version. The changed routers are compared with the unchanged ones. If these have too few
+// requests, as after the last wave, the routers of this wave are compared with those that earlier waves changed and found no
+// worse.
+func (r *Run) comparedGroups(totals soakCounts) (changed, control Counts, enoughRequests bool) {
+	changed, control = totals.thisWave.plus(totals.earlierWaves), totals.unchanged
+	if !r.enoughRequests(control) && r.waveStart > 0 {
+		changed, control = totals.thisWave, totals.earlierWaves
 	}
-	return changed, control, r.enough(changed) && r.enough(control)
+	return changed, control, r.enoughRequests(changed) && r.enoughRequests(control)
 }
 
-// enough tells whether a group has answered as many requests as a comparison wants.
-func (r *Run) enough(c Counts) bool { return c.Requests >= int64(r.p.Watch.Requests) }
+// enoughRequests reports whether a group has answered as many requests as a comparison needs.
+func (r *Run) enoughRequests(c Counts) bool {
+	return c.Requests >= int64(r.params.Comparison.MinRequests)
+}
 
-// unchangedBefore tells how unchanged routers did before the last of them was changed. That is of another time and no reason to halt.
-func (r *Run) unchangedBefore(all tally) string {
-	if all.unchanged.Requests > 0 || r.before.Requests == 0 {
+// describeUnchanged describes how the unchanged routers did before the last of them was changed. These counts are from an earlier
+// time, so they are no reason to halt.
+func (r *Run) describeUnchanged(totals soakCounts) string {
+	if totals.unchanged.Requests > 0 || r.lastUnchanged.Requests == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; unchanged ones before: %.2f%% of %d", r.before.percent(), r.before.Requests)
+	return fmt.Sprintf("; unchanged routers, measured earlier: %.2f%% of %d", r.lastUnchanged.percent(), r.lastUnchanged.Requests)
 }
 
-// NextWave lets the next wave begin. Look does so where the one before has done well.
-func (r *Run) NextWave() {
-	r.waveBegin = r.waveEnd
-	if r.waveEnd == min(len(r.order), max(1, r.p.Canary)) {
-		r.waveSize = max(1, r.p.First)
+// StartNextWave starts the next wave. Update calls it when the wave before has done no worse than the other routers.
+func (r *Run) StartNextWave() {
+	r.waveStart = r.waveEnd
+	if r.waveEnd == min(len(r.order), max(1, r.params.CanarySize)) {
+		r.waveSize = max(1, r.params.SecondWaveSize)
 	} else {
-		r.waveSize = max(r.waveSize+1, int(float64(r.waveSize)*r.p.Grow))
+		r.waveSize = max(r.waveSize+1, int(float64(r.waveSize)*r.params.GrowthFactor))
 	}
-	if r.p.Most > 0 {
-		r.waveSize = min(r.waveSize, r.p.Most)
+	if r.params.MaxWaveSize > 0 {
+		r.waveSize = min(r.waveSize, r.params.MaxWaveSize)
 	}
 	r.waveEnd = min(len(r.order), r.waveEnd+r.waveSize)
 }
 
-// allLooks is at how many comparisons a whole release of this plan looks.
-func (r *Run) allLooks() int {
-	x := &Run{p: r.p, order: r.order, waveSize: max(1, r.p.Canary)}
-	x.waveEnd = min(len(x.order), x.waveSize)
+// plannedComparisons returns how many comparisons a complete release with these parameters makes.
+func (r *Run) plannedComparisons() int {
+	simulated := &Run{params: r.params, order: r.order, waveSize: max(1, r.params.CanarySize)}
+	simulated.waveEnd = min(len(simulated.order), simulated.waveSize)
 	waves := 1
-	for ; x.waveEnd < len(x.order); waves++ {
-		x.NextWave()
+	for ; simulated.waveEnd < len(simulated.order); waves++ {
+		simulated.StartNextWave()
 	}
-	return waves * looksEach
+	return waves * comparisonsPerSoak
 }
 
-// Size tells how many routers are in the waves up to this one, and how many in all.
-func (r *Run) Size() (wave, all int) { return r.waveEnd, len(r.order) }
+// WaveEnd returns how many routers are in the waves up to the current one, and how many are in the release.
+func (r *Run) WaveEnd() (upToWave, total int) { return r.waveEnd, len(r.order) }
--- a/internal/fleet/release/release_test.go
+++ b/internal/fleet/release/release_test.go
@@ -10,327 +10,348 @@
 	"time"
 )
 
-// world is a fleet whose permits let some routers be out, and whose replacements take some seconds.
-type world struct {
-	now     time.Duration
-	rng     *rand.Rand
-	routers map[int]*Router
-	most    int                   // out at once by permit
-	back    map[int]time.Duration // when those that are replaced serve again
-	shows   map[int]string        // and what they show then
-	bad     map[string]float64    // part of requests that go wrong where a figure is shown
-	worse   map[int]float64       // further part that goes wrong at a router, whatever it shows
-	trouble func() float64        // further part that goes wrong at every router now
-	ran     []string              // commands
-	started map[int]int           // how many of a router
-	records []Record
-	held    bool
-	agree   bool
-	never   map[int]bool // does not come back
-	rate    int          // requests a second and router
-	worst   int          // most that were out or gone at once
+// fakeFleet simulates a fleet with a bound of routers that may be out of service, whose replacements take 3 s.
+type fakeFleet struct {
+	now          time.Duration
+	rng          *rand.Rand
+	routers      map[int]*Router
+	maxOut       int                   // routers that the permits let be out of service at one time
+	servesAt     map[int]time.Duration // when each replaced router serves again
+	newRevision  map[int]string        // revision of each replaced router from then on
+	badRate      map[string]float64    // fraction of bad requests, by revision
+	extraBadRate map[int]float64       // additional fraction of bad requests at a router, whatever its revision
+	fleetBadRate func() float64        // additional fraction of bad requests at every router, at the current time
+	commands     []string              // commands that were run
+	commandCount map[int]int           // number of commands that were run for each router
+	records      []Record
+	leaseHeld    bool         // the driver holds the release lease
+	viewsAgree   bool         // the routers' views agree
+	neverServes  map[int]bool // routers that never serve again after their replacement
+	requestRate  int          // requests per second at each router
+	peakOut      int          // maximum number of routers that were out of service or dead at one time
 }
 
-func newWorld(n int, seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), routers: map[int]*Router{}, most: 2, back: map[int]time.Duration{}, shows: map[int]string{},
-		bad: map[string]float64{"old": 0.01, "new": 0.01}, worse: map[int]float64{}, trouble: func() float64 { return 0 }, held: true, agree: true, never: map[int]bool{}, started: map[int]int{}, rate: 30}
+func newFakeFleet(n int, seed uint64) *fakeFleet {
+	f := &fakeFleet{rng: rand.New(rand.NewPCG(seed, 7)), routers: map[int]*Router{}, maxOut: 2, servesAt: map[int]time.Duration{},
+		newRevision: map[int]string{}, badRate: map[string]float64{"old": 0.01, "new": 0.01}, extraBadRate: map[int]float64{},
+		fleetBadRate: func() float64 { return 0 }, leaseHeld: true, viewsAgree: true, neverServes: map[int]bool{},
+		commandCount: map[int]int{}, requestRate: 30}
 	for i := range n {
-		w.routers[i] = &Router{Reached: true, Alive: true, Serving: true, Life: "1", Shows: "old", Out: "none"}
+		f.routers[i] = &Router{Reached: true, Alive: true, Serving: true, Incarnation: "1", Revision: "old", PermitState: "none"}
 	}
-	return w
+	return f
 }
 
-func params() Params {
-	return Params{To: "new", Canary: 1, First: 2, Grow: 2, Soak: 20 * time.Second, Settle: 30 * time.Second, Permit: time.Minute,
-		Watch: Watch{Requests: 200, Error: 0.01, Margin: 0.02}}
+func testParams() Params {
+	return Params{TargetRevision: "new", CanarySize: 1, SecondWaveSize: 2, GrowthFactor: 2, SoakDuration: 20 * time.Second,
+		ReplaceTimeout: 30 * time.Second, PermitTimeout: time.Minute,
+		Comparison: Comparison{MinRequests: 200, FalseHaltProbability: 0.01, Margin: 0.02}}
 }
 
-func (w *world) order() (list []int) {
-	for i := range len(w.routers) {
+func (f *fakeFleet) order() (list []int) {
+	for i := range len(f.routers) {
 		list = append(list, i)
 	}
 	return list
 }
 
-// second goes on by one second.
-func (w *world) second() {
-	w.now += time.Second
+// advanceSecond simulates the next second.
+func (f *fakeFleet) advanceSecond() {
+	f.now += time.Second
 	out := 0
-	for i := range len(w.routers) {
-		x := w.routers[i]
-		if at, comes := w.back[i]; comes && w.now >= at && !w.never[i] {
-			delete(w.back, i)
-			life := x.Life + "1"
-			*x = Router{Reached: true, Alive: true, Serving: true, Life: life, Shows: w.shows[i], Out: "none"}
+	for i := range len(f.routers) {
+		router := f.routers[i]
+		if at, returns := f.servesAt[i]; returns && f.now >= at && !f.neverServes[i] {
+			delete(f.servesAt, i)
+			incarnation := router.Incarnation + "1"
+			*router = Router{Reached: true, Alive: true, Serving: true, Incarnation: incarnation, Revision: f.newRevision[i],
+				PermitState: "none"}
 		}
-		if x.Serving {
-			bad := w.bad[x.Shows] + w.worse[i] + w.trouble()
-			for range w.rate {
-				x.Counts.Requests++
-				if w.rng.Float64() < bad {
-					x.Counts.Bad++
+		if router.Serving {
+			badRate := f.badRate[router.Revision] + f.extraBadRate[i] + f.fleetBadRate()
+			for range f.requestRate {
+				router.Counts.Requests++
+				if f.rng.Float64() < badRate {
+					router.Counts.Bad++
 				}
 			}
 		}
-		if x.Out == "out" || !x.Alive {
+		if router.PermitState == "out" || !router.Alive {
 			out++
 		}
 	}
-	w.worst = max(w.worst, out)
-	for i := range len(w.routers) {
-		if x := w.routers[i]; x.Out == "asking" && out < w.most {
-			x.Out, x.Serving = "out", false
+	f.peakOut = max(f.peakOut, out)
+	for i := range len(f.routers) {
+		if router := f.routers[i]; router.PermitState == "asking" && out < f.maxOut {
+			router.PermitState, router.Serving = "out", false
 			out++
-		} else if x.Out == "asking" {
-			x.Why = "too many are out"
+		} else if router.PermitState == "asking" {
+			router.Reason = "too many are out"
 		}
 	}
 }
 
-func (w *world) sight() *Sight {
-	s := &Sight{Routers: map[int]Router{}, Agree: w.agree, Held: w.held, Holder: "release x is run by another"}
-	for i, x := range w.routers {
-		s.Routers[i] = *x
+// state returns the state of the fleet as a driver observes it.
+func (f *fakeFleet) state() *FleetState {
+	s := &FleetState{Routers: map[int]Router{}, ViewsAgree: f.viewsAgree, LeaseHeld: f.leaseHeld,
+		LeaseHolder: "release x is run by another"}
+	for i, router := range f.routers {
+		s.Routers[i] = *router
 	}
 	return s
 }
 
-// do carries out acts; it stops short after a number of writes and acts, as a driver that is killed.
-func (w *world) do(acts []Act, left *int) (alive bool) {
-	for _, a := range acts {
-		if a.Record != nil {
-			if *left--; *left < 0 {
+// execute carries out actions. It stops when no writes and actions remain, like a driver that is killed, and reports whether the
+// driver is still alive.
+func (f *fakeFleet) execute(actions []Action, remaining *int) (alive bool) {
+	for _, action := range actions {
+		if action.Record != nil {
+			if *remaining--; *remaining < 0 {
 				return false
 			}
-			w.records = append(w.records, *a.Record)
+			f.records = append(f.records, *action.Record)
 		}
-		if *left--; *left < 0 {
+		if *remaining--; *remaining < 0 {
 			return false
 		}
-		x := w.routers[a.Router]
-		switch a.Kind {
+		router := f.routers[action.Router]
+		switch action.Kind {
 		case Drain:
-			x.Out = "asking"
+			router.PermitState = "asking"
 		case Activate:
-			x.Out, x.Serving = "none", true
+			router.PermitState, router.Serving = "none", true
 		case Replace:
-			to := "new"
-			if a.Record.Back {
-				if to = "old"; a.Record.From == "old" {
-					to = "new"
+			revision := "new"
+			if action.Record.Rollback {
+				if revision = "old"; action.Record.OldRevision == "old" {
+					revision = "new"
 				}
 			}
-			w.started[a.Router]++
-			w.ran = append(w.ran, fmt.Sprint(a.Router, " to ", to))
-			w.shows[a.Router], w.back[a.Router] = to, w.now+3*time.Second
-			*x = Router{Life: x.Life, Shows: x.Shows}
+			f.commandCount[action.Router]++
+			f.commands = append(f.commands, fmt.Sprint(action.Router, " to ", revision))
+			f.newRevision[action.Router], f.servesAt[action.Router] = revision, f.now+3*time.Second
+			*router = Router{Incarnation: router.Incarnation, Revision: router.Revision}
 		}
 	}
 	return true
 }
 
-// play plays a release until it has ended or halted, or its driver is killed after a number of acts.
-func (w *world) play(r *Run, left int, over time.Duration) (alive bool) {
-	for end := w.now + over; w.now < end; {
-		w.second()
-		if !w.do(r.Look(w.now, w.sight()), &left) {
+// runRelease runs a release until it has ended or halted, or the time is over, or its driver is killed after a number of writes
+// and actions. It reports whether the driver is still alive.
+func (f *fakeFleet) runRelease(r *Run, remaining int, limit time.Duration) (alive bool) {
+	for end := f.now + limit; f.now < end; {
+		f.advanceSecond()
+		if !f.execute(r.Update(f.now, f.state()), &remaining) {
 			return false
 		}
-		if r.Ended() || r.Halted() != "" {
+		if r.Ended() || r.HaltReason() != "" {
 			return true
 		}
 	}
 	return true
 }
 
-const many = 1 << 30
+// unlimited is a number of writes and actions after which no test kills its driver.
+const unlimited = 1 << 30
 
-// A release reaches all, in waves that grow, and no more are out than the permits allow.
+// TestWaves checks that a release reaches all routers in waves that grow, and that no more routers are out of service than the
+// permits allow.
 func TestWaves(t *testing.T) {
-	w := newWorld(12, 1)
-	r := New(0, params(), w.order(), nil)
+	fleet := newFakeFleet(12, 1)
+	r := New(0, testParams(), fleet.order(), nil)
 	var sizes []int
-	for !r.Ended() && w.now < time.Hour {
-		if size, _ := r.Size(); len(sizes) == 0 || sizes[len(sizes)-1] != size {
+	for !r.Ended() && fleet.now < time.Hour {
+		if size, _ := r.WaveEnd(); len(sizes) == 0 || sizes[len(sizes)-1] != size {
 			sizes = append(sizes, size)
 		}
-		w.play(r, many, time.Second)
+		fleet.runRelease(r, unlimited, time.Second)
 	}
-	if !reflect.DeepEqual(sizes, []int{1, 3, 7, 12}) || len(w.ran) != 12 || w.worst > 2 || r.Halted() != "" {
-		t.Errorf("waves up to %v, ran %v, %d out, halted %q", sizes, w.ran, w.worst, r.Halted())
+	if !reflect.DeepEqual(sizes, []int{1, 3, 7, 12}) || len(fleet.commands) != 12 || fleet.peakOut > 2 || r.HaltReason() != "" {
+		t.Errorf("routers up to each wave: %v, commands %v, at most %d out of service, halted %q", sizes, fleet.commands,
+			fleet.peakOut, r.HaltReason())
 	}
-	least := 4*20 + 6*4 // soaks, and pairs of replacements
-	if took := int(w.now.Seconds()); took > 2*least {
-		t.Errorf("took %d s, %d are needed", took, least)
+	minSeconds := 4*20 + 6*4 // seconds for the soaks and for pairs of replacements
+	if took := int(fleet.now.Seconds()); took > 2*minSeconds {
+		t.Errorf("the release took %d s, but needs only %d s", took, minSeconds)
 	}
 }
 
-// A version that does worse is stopped at the canary, in each of 20 seeds, and one that is as good in none.
+// TestCanary checks that a version that does worse is halted at the canary with each of 20 seeds, and that a version that is as
+// good as the old one is halted with none of them.
 func TestCanary(t *testing.T) {
 	for seed := range uint64(20) {
-		for name, bad := range map[string]float64{"good": 0.01, "bad": 0.08} {
-			w := newWorld(12, seed)
-			w.bad["new"] = bad
-			r := New(0, params(), w.order(), nil)
-			w.play(r, many, time.Hour)
-			if (r.Halted() == "") != (name == "good") || name == "bad" && (len(w.ran) > 1 || !strings.Contains(r.Halted(), "do worse")) {
-				t.Errorf("seed %d, %s: ran %d, halted %q", seed, name, len(w.ran), r.Halted())
+		for name, badRate := range map[string]float64{"good": 0.01, "bad": 0.08} {
+			fleet := newFakeFleet(12, seed)
+			fleet.badRate["new"] = badRate
+			r := New(0, testParams(), fleet.order(), nil)
+			fleet.runRelease(r, unlimited, time.Hour)
+			if (r.HaltReason() == "") != (name == "good") ||
+				name == "bad" && (len(fleet.commands) > 1 || !strings.Contains(r.HaltReason(), "do worse")) {
+				t.Errorf("seed %d, %s version: %d commands, halted %q", seed, name, len(fleet.commands), r.HaltReason())
 			}
 		}
 	}
 }
 
-// Trouble that comes to all routers at some moment of the release, and passes or stays, is not the version's: a version as good as the
-// former is halted as seldom as the plan's error says, whenever the trouble comes. The fleets leave fewer and fewer unchanged routers,
-// and none after the last wave.
-func TestTroubleOfAllRouters(t *testing.T) {
+// TestFaultOfAllRouters has a fault of all routers begin at a random time of the release, and end or not. The fault must not
+// count against a version that is as good as the old one: such a version is halted as rarely as the error rate of the plan says,
+// whenever the fault begins. During each release fewer and fewer unchanged routers are left, and none after the last wave.
+func TestFaultOfAllRouters(t *testing.T) {
 	const seeds = 200
-	const most = 8 // of 200 at an error of 0.01, two are to be expected; nine come once in 5,000 times
-	halted, first := 0, ""
+	const maxHalted = 8 // with 200 seeds and an error rate of 0.01 two are expected; nine occur once in 5,000 runs
+	halted, lastHalt := 0, ""
 	for seed := range uint64(seeds) {
-		w := newWorld(5+int(seed%8), seed)
-		begin := time.Duration(w.rng.IntN(200)) * time.Second
-		length := time.Duration(5+w.rng.IntN(200)) * time.Second
-		part := 0.05 + 0.25*w.rng.Float64()
-		w.trouble = func() float64 {
-			if w.now < begin || w.now >= begin+length {
+		fleet := newFakeFleet(5+int(seed%8), seed)
+		start := time.Duration(fleet.rng.IntN(200)) * time.Second
+		length := time.Duration(5+fleet.rng.IntN(200)) * time.Second
+		faultRate := 0.05 + 0.25*fleet.rng.Float64()
+		fleet.fleetBadRate = func() float64 {
+			if fleet.now < start || fleet.now >= start+length {
 				return 0
 			}
-			return part
+			return faultRate
 		}
-		r := New(0, params(), w.order(), nil)
-		w.play(r, many, time.Hour)
+		r := New(0, testParams(), fleet.order(), nil)
+		fleet.runRelease(r, unlimited, time.Hour)
 		if !r.Ended() {
 			halted++
-			first = fmt.Sprintf("%s, seed %d, with %.0f%% wrong at all from %v to %v", r.Halted(), seed, 100*part, begin, begin+length)
+			lastHalt = fmt.Sprintf("%s, seed %d, with %.0f%% bad requests at all routers from %v to %v", r.HaltReason(), seed,
+				100*faultRate, start, start+length)
 		}
 	}
-	if halted > most {
-		t.Errorf("%d of %d halted, the last: %s", halted, seeds, first)
+	if halted > maxHalted {
+		t.Errorf("%d of %d releases halted, the last one: %s", halted, seeds, lastHalt)
 	}
 }
 
-// Routers of the last wave that do worse are found, though no unchanged one is left: those of the waves before are at hand.
+// TestLastWaveDoesWorse checks that a last wave whose routers do worse halts the release. No unchanged router is left then, so
+// they are compared with the routers of the earlier waves.
 func TestLastWaveDoesWorse(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newWorld(12, seed)
+		fleet := newFakeFleet(12, seed)
 		for i := 7; i < 12; i++ {
-			w.worse[i] = 0.07
+			fleet.extraBadRate[i] = 0.07
 		}
-		r := New(0, params(), w.order(), nil)
-		w.play(r, many, time.Hour)
-		if !strings.Contains(r.Halted(), "do worse") || len(w.ran) != 12 {
-			t.Errorf("seed %d: ran %d, halted %q", seed, len(w.ran), r.Halted())
+		r := New(0, testParams(), fleet.order(), nil)
+		fleet.runRelease(r, unlimited, time.Hour)
+		if !strings.Contains(r.HaltReason(), "do worse") || len(fleet.commands) != 12 {
+			t.Errorf("seed %d: %d commands, halted %q", seed, len(fleet.commands), r.HaltReason())
 		}
 	}
 }
 
-// Few requests show nothing: the release waits for more.
-func TestFew(t *testing.T) {
-	w := newWorld(6, 1)
-	w.rate = 1
-	r := New(0, params(), w.order(), nil)
-	w.play(r, many, 100*time.Second)
-	if len(w.ran) != 1 || !strings.Contains(r.Verdict(), "waits for requests") {
-		t.Errorf("ran %v after 100 requests of 200 that are wanted", w.ran)
+// TestTooFewRequests checks that a release waits until there are enough requests for a comparison.
+func TestTooFewRequests(t *testing.T) {
+	fleet := newFakeFleet(6, 1)
+	fleet.requestRate = 1
+	r := New(0, testParams(), fleet.order(), nil)
+	fleet.runRelease(r, unlimited, 100*time.Second)
+	if len(fleet.commands) != 1 || !strings.Contains(r.Verdict(), "waits for requests") {
+		t.Errorf("commands %v after 100 of the 200 requests that are needed", fleet.commands)
 	}
-	if w.play(r, many, time.Hour); !r.Ended() {
-		t.Errorf("not ended: %q", r.Halted())
+	if fleet.runRelease(r, unlimited, time.Hour); !r.Ended() {
+		t.Errorf("the release has not ended, halted %q", r.HaltReason())
 	}
 }
 
-// Whatever goes wrong halts the release with a reason, and nothing is begun after it; those asked out serve again.
+// TestHalts checks that each fault halts the release with a reason, that nothing is started after the halt, and that the routers
+// that were drained and not replaced return to service.
 func TestHalts(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(w *world)
-		why   string
+		inject func(fleet *fakeFleet)
+		reason string
 	}{
-		"a router that does not come back": {func(w *world) { w.never[3] = true }, "router 3 has not come back changed within 30s of its replacement: it is gone"},
-		"no permit":                        {func(w *world) { w.most = 0 }, "was not let out within 1m0s: too many are out"},
-		"views that disagree":              {func(w *world) { w.agree = false }, "views of the fleet disagree"},
-		"another driver":                   {func(w *world) { w.held = false }, "has not the fleet's place for releases: release x is run by another"},
-		"half of the fleet crashes": {func(w *world) {
+		"a router that does not come back": {func(fleet *fakeFleet) { fleet.neverServes[3] = true },
+			"router 3 has not come back changed within 30s of its replacement: it is gone"},
+		"no permit": {func(fleet *fakeFleet) { fleet.maxOut = 0 },
+			"was not let out within 1m0s: too many are out"},
+		"views that disagree": {func(fleet *fakeFleet) { fleet.viewsAgree = false }, "views of the fleet disagree"},
+		"another driver": {func(fleet *fakeFleet) { fleet.leaseHeld = false },
+			"has not the fleet's place for releases: release x is run by another"},
+		"half of the fleet crashes": {func(fleet *fakeFleet) {
 			for i := 6; i < 12; i++ {
-				*w.routers[i] = Router{Life: "1", Shows: "old"}
+				*fleet.routers[i] = Router{Incarnation: "1", Revision: "old"}
 			}
 		}, "was not let out within"},
 	} {
-		w := newWorld(12, 1)
-		r := New(0, params(), w.order(), nil)
-		w.play(r, many, 40*time.Second)
-		c.spoil(w)
-		w.play(r, many, time.Hour)
-		if !strings.Contains(r.Halted(), c.why) {
-			t.Errorf("%s: halted %q", name, r.Halted())
+		fleet := newFakeFleet(12, 1)
+		r := New(0, testParams(), fleet.order(), nil)
+		fleet.runRelease(r, unlimited, 40*time.Second)
+		c.inject(fleet)
+		fleet.runRelease(r, unlimited, time.Hour)
+		if !strings.Contains(r.HaltReason(), c.reason) {
+			t.Errorf("%s: halt reason %q", name, r.HaltReason())
 		}
-		ran := len(w.ran)
+		commands := len(fleet.commands)
 		for range 100 {
-			w.second()
-			w.do(r.Look(w.now, w.sight()), new(int))
+			fleet.advanceSecond()
+			fleet.execute(r.Update(fleet.now, fleet.state()), new(int))
 		}
-		for i, x := range w.routers {
-			if x.Out == "asking" || x.Out == "out" && x.Alive {
-				t.Errorf("%s: router %d is still out", name, i)
+		for i, router := range fleet.routers {
+			if router.PermitState == "asking" || router.PermitState == "out" && router.Alive {
+				t.Errorf("%s: router %d is still out of service", name, i)
 			}
 		}
-		if len(w.ran) != ran {
-			t.Errorf("%s: went on after the halt", name)
+		if len(fleet.commands) != commands {
+			t.Errorf("%s: the release continued after the halt", name)
 		}
 	}
 }
 
-// What has halted goes on, or back in reverse order until all is as it was.
-func TestBack(t *testing.T) {
-	w := newWorld(8, 1)
-	w.never[5] = true
-	r := New(0, params(), w.order(), nil)
-	w.play(r, many, time.Hour)
-	forth := len(w.ran)
-	left := many
-	w.never = map[int]bool{}
-	w.do(r.GoBack(), &left)
-	w.play(r, many, time.Hour)
-	for i, x := range w.routers {
-		if x.Shows != "old" || !x.Serving {
-			t.Errorf("router %d: %+v", i, *x)
+// TestRollbackAndResume checks that a halted release can be rolled back until all routers have their old revision, and that it
+// can be resumed.
+func TestRollbackAndResume(t *testing.T) {
+	fleet := newFakeFleet(8, 1)
+	fleet.neverServes[5] = true
+	r := New(0, testParams(), fleet.order(), nil)
+	fleet.runRelease(r, unlimited, time.Hour)
+	commandsBefore := len(fleet.commands)
+	remaining := unlimited
+	fleet.neverServes = map[int]bool{}
+	fleet.execute(r.RollBack(), &remaining)
+	fleet.runRelease(r, unlimited, time.Hour)
+	for i, router := range fleet.routers {
+		if router.Revision != "old" || !router.Serving {
+			t.Errorf("router %d: %+v", i, *router)
 		}
 	}
-	if !r.Ended() || w.worst > 2 || len(w.ran) > 2*forth {
-		t.Errorf("ended %v, halted %q, %d out, ran %v", r.Ended(), r.Halted(), w.worst, w.ran)
+	if !r.Ended() || fleet.peakOut > 2 || len(fleet.commands) > 2*commandsBefore {
+		t.Errorf("ended %v, halted %q, at most %d out of service, commands %v", r.Ended(), r.HaltReason(), fleet.peakOut,
+			fleet.commands)
 	}
 
-	w = newWorld(8, 1)
-	r = New(0, params(), w.order(), nil)
-	w.play(r, many, 30*time.Second)
-	w.do(r.Stop("an operator said so"), &left)
-	if w.play(r, many, time.Minute); r.Halted() != "an operator said so" {
-		t.Errorf("halted %q", r.Halted())
+	fleet = newFakeFleet(8, 1)
+	r = New(0, testParams(), fleet.order(), nil)
+	fleet.runRelease(r, unlimited, 30*time.Second)
+	fleet.execute(r.Stop("an operator said so"), &remaining)
+	if fleet.runRelease(r, unlimited, time.Minute); r.HaltReason() != "an operator said so" {
+		t.Errorf("halt reason %q", r.HaltReason())
 	}
-	w.do(r.Resume(), &left)
-	if w.play(r, many, time.Hour); !r.Ended() || len(w.ran) != 8 {
-		t.Errorf("resumed: ended %v, halted %q, ran %v", r.Ended(), r.Halted(), w.ran)
+	fleet.execute(r.Resume(), &remaining)
+	if fleet.runRelease(r, unlimited, time.Hour); !r.Ended() || len(fleet.commands) != 8 {
+		t.Errorf("resumed: ended %v, halted %q, commands %v", r.Ended(), r.HaltReason(), fleet.commands)
 	}
 }
 
-// A driver is killed between any two things that it does, going forth and back. The next one goes on from what was kept, and
-// neither repeats nor forgets a router.
-func TestKilled(t *testing.T) {
-	for _, back := range []bool{false, true} {
-		for at := 0; ; at++ {
-			w := newWorld(6, uint64(at))
-			r := New(0, params(), w.order(), nil)
-			if back {
-				w.play(r, many, 50*time.Second)
-				left := many
-				w.do(r.GoBack(), &left)
+// TestDriverKilled kills the driver after each possible number of writes and actions, during a release and during a rollback.
+// The next driver continues from the journal, and neither replaces a router twice nor leaves one out.
+func TestDriverKilled(t *testing.T) {
+	for _, rollback := range []bool{false, true} {
+		for killedAfter := 0; ; killedAfter++ {
+			fleet := newFakeFleet(6, uint64(killedAfter))
+			r := New(0, testParams(), fleet.order(), nil)
+			if rollback {
+				fleet.runRelease(r, unlimited, 50*time.Second)
+				remaining := unlimited
+				fleet.execute(r.RollBack(), &remaining)
 			}
-			if w.play(r, at, time.Hour) {
-				if at < 10 {
-					t.Fatalf("%d acts in all", at)
+			if fleet.runRelease(r, killedAfter, time.Hour) {
+				if killedAfter < 10 {
+					t.Fatalf("the driver made only %d writes and actions", killedAfter)
 				}
 				break
 			}
-			text, err := json.Marshal(w.records) // as a journal has them
+			text, err := json.Marshal(fleet.records) // the form that the journal has on disk
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -338,51 +359,54 @@
 			if err := json.Unmarshal(text, &records); err != nil {
 				t.Fatal(err)
 			}
-			r = New(w.now, params(), w.order(), records)
-			for _, n := range r.Stages()[Begun] { // what the driver looks after: it was recorded and never ran
-				begun := 0
-				for _, x := range w.records {
-					if x.What == Begin && x.Router == n {
-						begun++
+			r = New(fleet.now, testParams(), fleet.order(), records)
+			for _, n := range r.RoutersByStage()[Replacing] { // as the driver does, take back commands that were recorded and never ran
+				begins := 0
+				for _, x := range fleet.records {
+					if x.Event == EventBegin && x.Router == n {
+						begins++
 					}
 				}
-				if begun > w.started[n] {
-					r.Again(n)
+				if begins > fleet.commandCount[n] {
+					r.MarkNeverRan(n)
 				}
 			}
-			w.play(r, many, time.Hour)
+			fleet.runRelease(r, unlimited, time.Hour)
 			want := "new"
-			if back {
+			if rollback {
 				want = "old"
 			}
-			times := map[string]int{}
-			for _, c := range w.ran {
-				times[c]++
+			timesRun := map[string]int{}
+			for _, command := range fleet.commands {
+				timesRun[command]++
 			}
-			for i, x := range w.routers {
-				if x.Shows != want || !x.Serving || times[fmt.Sprint(i, " to new")] > 1 || times[fmt.Sprint(i, " to old")] > 1 {
-					t.Errorf("back %v, killed after %d: router %d %+v, ran %v, halted %q", back, at, i, *x, w.ran, r.Halted())
+			for i, x := range fleet.routers {
+				if x.Revision != want || !x.Serving || timesRun[fmt.Sprint(i, " to new")] > 1 || timesRun[fmt.Sprint(i, " to old")] > 1 {
+					t.Errorf("rollback %v, killed after %d: router %d %+v, commands %v, halted %q", rollback, killedAfter, i, *x,
+						fleet.commands, r.HaltReason())
 				}
 			}
 		}
 	}
 }
 
-// A driver that goes on where all are changed already has nothing to compare them with, and comes to an end all the same.
-func TestNobodyLeft(t *testing.T) {
-	w := newWorld(4, 1)
-	r := New(0, params(), w.order(), nil)
-	for w.play(r, many, time.Second); len(r.Stages()[Changed]) < 4; {
-		w.play(r, many, time.Second)
+// TestResumeWhenAllChanged checks that a driver that continues when all routers are already changed ends the release, although
+// it has no counts to compare them with.
+func TestResumeWhenAllChanged(t *testing.T) {
+	fleet := newFakeFleet(4, 1)
+	r := New(0, testParams(), fleet.order(), nil)
+	for fleet.runRelease(r, unlimited, time.Second); len(r.RoutersByStage()[Changed]) < 4; {
+		fleet.runRelease(r, unlimited, time.Second)
 	}
-	r = New(w.now, params(), w.order(), w.records)
-	if w.play(r, many, 5*time.Minute); !r.Ended() || len(w.ran) != 4 {
-		t.Errorf("ended %v, halted %q, ran %v", r.Ended(), r.Halted(), w.ran)
+	r = New(fleet.now, testParams(), fleet.order(), fleet.records)
+	if fleet.runRelease(r, unlimited, 5*time.Minute); !r.Ended() || len(fleet.commands) != 4 {
+		t.Errorf("ended %v, halted %q, commands %v", r.Ended(), r.HaltReason(), fleet.commands)
 	}
 }
 
-// The test's error is what it is said to be: of 2,000 comparisons of equals few find a difference, and a plain one is found.
-func TestWorse(t *testing.T) {
+// TestCompareErrorRate checks that the comparison has the configured error rate: of 2,000 comparisons of equal groups few find a
+// difference, and most comparisons find a difference of 0.05.
+func TestCompareErrorRate(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	draw := func(n int, p float64) (c Counts) {
 		for range n {
@@ -393,17 +417,18 @@
 		}
 		return c
 	}
-	w := Watch{Requests: 200, Error: 0.05}
-	false_, found := 0, 0
+	comparison := Comparison{MinRequests: 200, FalseHaltProbability: 0.05}
+	falsePositives, detected := 0, 0
 	for range 2000 {
-		if worse, _ := w.Worse(draw(600, 0.03), draw(2000, 0.03), 1); worse {
-			false_++
+		if worse, _ := comparison.Compare(draw(600, 0.03), draw(2000, 0.03), 1); worse {
+			falsePositives++
 		}
-		if worse, _ := w.Worse(draw(600, 0.08), draw(2000, 0.03), 1); worse {
-			found++
+		if worse, _ := comparison.Compare(draw(600, 0.08), draw(2000, 0.03), 1); worse {
+			detected++
 		}
 	}
-	if false_ > 140 || false_ < 40 || found < 1900 {
-		t.Errorf("of 2000: %d equals taken for worse (100 are meant), %d worse found", false_, found)
+	if falsePositives > 140 || falsePositives < 40 || detected < 1900 {
+		t.Errorf("of 2000 comparisons: %d found equal groups worse (100 are expected), %d found the worse group", falsePositives,
+			detected)
 	}
 }
--- a/internal/fleet/rollout/command.go
+++ b/internal/fleet/rollout/command.go
@@ -9,82 +9,85 @@
 	"syscall"
 )
 
-// A command runs in a session of its own and goes on when the driver is killed. It has two files open all the while: one that tells
-// that it has begun, written by the process itself before it becomes the command, and a lock that is free once it and all that it
-// has left behind with these files have ended. So the next driver knows whether it ran, and whether it runs.
+// A command runs in its own session, so it continues when the driver is killed. It has two files open as long as it runs. To the
+// first the process itself writes a byte before it executes the command, which shows that the command has begun. The second
+// carries a lock, which is free once the command and all processes that inherited the file from it have ended. From these files
+// the next driver knows whether the command has begun and whether it still runs.
 
-// errRuns says that a former command for the router still runs.
-var errRuns = errors.New("a former command for it still runs")
+// errStillRunning is returned if the previous command for a router still runs.
+var errStillRunning = errors.New("the previous command for this router still runs")
 
-func (d *Driver) file(router int, what string) string {
-	return filepath.Join(d.folder, fmt.Sprintf("router%d.%s", router, what))
+// routerFile returns the path of one of a router's files: begun, runs or log.
+func (d *Driver) routerFile(router int, kind string) string {
+	return filepath.Join(d.folder, fmt.Sprintf("router%d.%s", router, kind))
 }
 
-// begun is how many commands have begun for a router.
-func (d *Driver) begun(router int) int {
-	s, err := os.Stat(d.file(router, "begun"))
+// commandsBegun returns how many commands have begun for a router. Each has written one byte.
+func (d *Driver) commandsBegun(router int) int {
+	info, err := os.Stat(d.routerFile(router, "begun"))
 	if err != nil {
 		return 0
 	}
-	return int(s.Size())
+	return int(info.Size())
 }
 
-// runs tells whether a command for a router runs.
-func (d *Driver) runs(router int) bool {
+// commandRuns reports whether a command for a router runs.
+func (d *Driver) commandRuns(router int) bool {
 	lock, err := d.lock(router)
 	if err == nil {
 		lock.Close()
 	}
-	return errors.Is(err, errRuns)
+	return errors.Is(err, errStillRunning)
 }
 
+// lock locks the file that shows that a router's command runs. The error is errStillRunning if a command holds the lock.
 func (d *Driver) lock(router int) (*os.File, error) {
-	f, err := os.OpenFile(d.file(router, "runs"), os.O_CREATE|os.O_RDWR, 0o644)
+	file, err := os.OpenFile(d.routerFile(router, "runs"), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
-		return nil, errRuns
+	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		file.Close()
+		return nil, errStillRunning
 	}
-	return f, nil
+	return file, nil
 }
 
-// command starts a router's command. How it ends comes on d.ended.
-func (d *Driver) command(router int, words []string) error {
+// startCommand starts a router's command. Its result is sent to d.commandResults when the command ends.
+func (d *Driver) startCommand(router int, words []string) error {
 	lock, err := d.lock(router)
 	if err != nil {
 		return err
 	}
 	defer lock.Close()
-	begun, err := os.OpenFile(d.file(router, "begun"), os.O_CREATE|os.O_WRONLY|os.O_APPEND|os.O_SYNC, 0o644)
+	begunFile, err := os.OpenFile(d.routerFile(router, "begun"), os.O_CREATE|os.O_WRONLY|os.O_APPEND|os.O_SYNC, 0o644)
 	if err != nil {
 		return err
 	}
-	defer begun.Close()
-	log, err := os.OpenFile(d.file(router, "log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	defer begunFile.Close()
+	logFile, err := os.OpenFile(d.routerFile(router, "log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer logFile.Close()
 	cmd := exec.Command("/bin/sh", append([]string{"-c", `printf . >&3 && exec "$@"`, "sh"}, words...)...)
-	cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = log, log, []*os.File{begun, lock}
+	cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = logFile, logFile, []*os.File{begunFile, lock}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	go func() { d.ended <- ended{router, cmd.Wait()} }()
+	go func() { d.commandResults <- commandResult{router, cmd.Wait()} }()
 	return nil
 }
 
-// ended is how a command has.
-type ended struct {
+// commandResult says how the command of a router ended.
+type commandResult struct {
 	router int
 	err    error
 }
 
-// Check tells whether a command can be run at all.
-func Check(words []string) error {
+// CheckCommand returns an error if the program of a command is not found.
+func CheckCommand(words []string) error {
 	_, err := exec.LookPath(words[0])
 	return err
 }
--- a/internal/fleet/rollout/driver.go
+++ b/internal/fleet/rollout/driver.go
@@ -17,62 +17,66 @@
 
 // Driver carries out one release.
 type Driver struct {
-	plan   *plan.Release
-	fleet  *fleet
-	out    io.Writer // told what is done
-	folder string
-	by     string
-	begin  time.Time
+	plan      *plan.Release
+	fleet     *fleet
+	out       io.Writer // progress messages for the operator
+	folder    string    // of the journal, and of the files of commands
+	driverID  string    // host name and process number, by which the fleet knows this driver
+	startTime time.Time // zero of the driver's clock
 
-	journal *journal
-	run     *release.Run
-	ended   chan ended // how commands have ended; none waits for more than the next turn
-	unbegun []ended    // commands that could not be started since the last turn
-	keeper  int        // router that keeps the fleet's place, as far as is known
-	held    bool       // it has been held
+	journal        *journal
+	run            *release.Run
+	commandResults chan commandResult // results of commands, which the next poll reads
+	startFailures  []commandResult    // commands that could not be started since the last poll
+	leaseRouter    int                // router that managed the release lease when it was last called
+	leaseHeld      bool               // this driver has acquired the release lease and not lost it
 
-	waiting  map[int]release.Act // replacements whose former command still runs
-	activate map[int]bool        // routers that are to serve again and have not been told
-	said     string
+	pendingReplacements map[int]release.Action // replacements that wait for the previous command of their router
+	pendingActivations  map[int]bool           // routers that are to return to service and have not confirmed that
+	lastMessage         string                 // last message of printOnce
 }
 
-// How a driver goes on with what it finds.
+// Mode is how a driver continues from the records that it finds.
 type Mode string
 
-// The modes.
+// Modes of a driver.
 const (
-	Start  Mode = "start"
-	Resume Mode = "resume"
-	Back   Mode = "back"
+	Start  Mode = "start"  // begin a release of which there are no records
+	Resume Mode = "resume" // continue a release
+	Back   Mode = "back"   // roll a release back
 )
 
-// ErrHalted says that a release has halted; the driver has told why.
+// ErrHalted is returned if a release has halted. The driver has printed the reason before.
 var ErrHalted = errors.New("halted")
 
-// look is how often the routers are asked.
-const look = time.Second
+// pollInterval is the time between two polls of the routers.
+const pollInterval = time.Second
 
-// New makes a driver.
+// New returns a driver that carries out a plan and writes its progress to out.
 func New(p *plan.Release, out io.Writer) *Driver {
 	host, _ := os.Hostname()
 	host = host[:min(len(host), 16)]
-	return &Driver{plan: p, fleet: newFleet(p), out: out, folder: p.State, by: fmt.Sprintf("%s:%d", host, os.Getpid()), begin: time.Now(),
-		ended: make(chan ended, len(p.Routers)), waiting: map[int]release.Act{}, activate: map[int]bool{}}
+	return &Driver{plan: p, fleet: newFleet(p), out: out, folder: p.State, driverID: fmt.Sprintf("%s:%d", host, os.Getpid()),
+		startTime: time.Now(), commandResults: make(chan commandResult, len(p.Routers)),
+		pendingReplacements: map[int]release.Action{}, pendingActivations: map[int]bool{}}
 }
 
-func (d *Driver) now() time.Duration { return time.Since(d.begin) }
+// now returns the time since the driver was created.
+func (d *Driver) now() time.Duration { return time.Since(d.startTime) }
 
-func (d *Driver) say(format string, args ...any) {
+// printf writes a line of progress, with the time of day.
+func (d *Driver) printf(format string, args ...any) {
 	fmt.Fprintf(d.out, "%s %s\n", time.Now().UTC().Format("15:04:05"), fmt.Sprintf(format, args...))
 }
 
-// params are the figures of a plan.
+// params returns the release parameters of a plan.
 func params(p *plan.Release) release.Params {
-	return release.Params{To: p.Program + p.Settings, Canary: p.Canary, First: p.First, Grow: float64(p.Grow), Most: p.Most, Soak: p.Soak,
-		Settle: p.Settle, Permit: p.Permit, Watch: release.Watch{Requests: p.Requests, Error: p.Error, Margin: p.Margin}}
+	return release.Params{TargetRevision: p.Program + p.Settings, CanarySize: p.Canary, SecondWaveSize: p.First,
+		GrowthFactor: float64(p.Grow), MaxWaveSize: p.Most, SoakDuration: p.Soak, ReplaceTimeout: p.Settle, PermitTimeout: p.Permit,
+		Comparison: release.Comparison{MinRequests: p.Requests, FalseHaltProbability: p.Error, Margin: p.Margin}}
 }
 
-// Drive carries the release out until it has ended or halted, or ctx ends.
+// Drive carries out the release until it has ended or halted, or ctx is cancelled.
 func (d *Driver) Drive(ctx context.Context, mode Mode) error {
 	j, records, err := openJournal(d.folder)
 	if err != nil {
@@ -80,40 +84,40 @@
 	}
 	defer j.close()
 	d.journal = j
-	if err := d.allowed(mode, records); err != nil {
+	if err := d.checkMode(mode, records); err != nil {
 		return err
 	}
-	all := d.fleet.ask(ctx)
+	answers := d.fleet.queryAll(ctx)
 	if mode != Start && len(records) == 0 {
-		if records, err = d.adopt(all); err != nil {
+		if records, err = d.adoptFromRouters(answers); err != nil {
 			return err
 		}
 	}
-	d.run = release.New(d.now(), params(d.plan), d.fleet.order(all), records)
-	if err := d.wait(ctx, mode); err != nil {
+	d.run = release.New(d.now(), params(d.plan), d.fleet.order(answers), records)
+	if err := d.waitForLease(ctx, mode); err != nil {
 		return err
 	}
-	if err := d.recover(records); err != nil {
+	if err := d.undoUnstarted(records); err != nil {
 		return err
 	}
 	switch mode {
 	case Resume:
-		err = d.do(ctx, d.run.Resume())
+		err = d.carryOut(ctx, d.run.Resume())
 	case Back:
-		err = d.do(ctx, d.run.GoBack())
+		err = d.carryOut(ctx, d.run.RollBack())
 	}
 	if err != nil {
 		return err
 	}
-	tick := time.NewTicker(look)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		if err := d.turn(ctx); err != nil || d.run.Ended() {
-			return errors.Join(err, d.over(ctx))
+		if err := d.poll(ctx); err != nil || d.run.Ended() {
+			return errors.Join(err, d.finish(ctx))
 		}
-		if d.run.Halted() != "" && !d.busy() {
-			d.say("halted: %s", d.run.Halted())
-			d.hold(ctx, "halted: "+d.run.Halted())
+		if d.run.HaltReason() != "" && !d.busy() {
+			d.printf("halted: %s", d.run.HaltReason())
+			d.holdLease(ctx, "halted: "+d.run.HaltReason())
 			return ErrHalted
 		}
 		select {
@@ -124,68 +128,73 @@
 	}
 }
 
-// busy tells whether something that was begun before a halt is still to end: a command, or the word to a router to serve again. A
-// router that never comes back is not waited for: the way back begins with it.
+// busy reports whether work that began before a halt is unfinished: a command that runs, or a router that has not confirmed its
+// return to service. It does not wait for a replaced router that never serves again: a rollback begins with that router.
 func (d *Driver) busy() bool {
-	for _, n := range d.run.Stages()[release.Begun] {
-		if d.runs(n) {
+	for _, n := range d.run.RoutersByStage()[release.Replacing] {
+		if d.commandRuns(n) {
 			return true
 		}
 	}
-	return len(d.activate) > 0 || len(d.waiting) > 0
+	return len(d.pendingActivations) > 0 || len(d.pendingReplacements) > 0
 }
 
-// allowed holds a mode against what is known.
-func (d *Driver) allowed(mode Mode, records []release.Record) error {
-	r := release.New(0, params(d.plan), d.fleet.numbers, records)
+// checkMode returns an error if the records rule out the mode.
+func (d *Driver) checkMode(mode Mode, records []release.Record) error {
+	run := release.New(0, params(d.plan), d.fleet.numbers, records)
 	switch {
 	case mode == Start && len(records) > 0:
-		return fmt.Errorf("release %s has begun already: resume or back", d.plan.Name)
-	case mode == Resume && r.Ended():
+		return fmt.Errorf("release %s has already begun: use resume or back", d.plan.Name)
+	case mode == Resume && run.Ended():
 		return fmt.Errorf("release %s has ended", d.plan.Name)
 	}
 	return nil
 }
 
-// over frees the fleet of a release that has ended.
-func (d *Driver) over(ctx context.Context) error {
+// finish ends the release in the fleet as well, if it has ended here.
+func (d *Driver) finish(ctx context.Context) error {
 	if !d.run.Ended() {
 		return nil
 	}
-	d.say("release %s has ended%s", d.plan.Name, map[bool]string{true: ", all is as it was"}[d.run.GoesBack()])
+	d.printf("release %s has ended%s", d.plan.Name,
+		map[bool]string{true: ", all routers have their old revision"}[d.run.RollingBack()])
 	return End(ctx, d.plan)
 }
 
-// adopt makes records of what the routers show, where this machine has none: the driver ran on another one.
-func (d *Driver) adopt(all map[int]answer) (records []release.Record, err error) {
-	s := d.fleet.sight(all)
+// adoptFromRouters creates records from what the routers report. It serves where the driver has run on another machine and this
+// one has no records.
+func (d *Driver) adoptFromRouters(answers map[int]answer) (records []release.Record, err error) {
+	fleetState := d.fleet.state(answers)
 	stage := ""
-	for _, a := range all {
+	for _, a := range answers {
 		if a.view != nil && a.view.Release != nil && a.view.Release.ID == d.plan.Name {
 			stage = a.view.Release.Stage
 		}
 	}
 	for _, n := range d.fleet.numbers {
-		x := s.Routers[n]
-		inTurn := strings.Contains(stage+" ", fmt.Sprintf(" %d ", n)) || strings.Contains(stage, "replacing many")
+		x := fleetState.Routers[n]
+		beingReplaced := strings.Contains(stage+" ", fmt.Sprintf(" %d ", n)) || strings.Contains(stage, "replacing many")
 		switch {
-		case x.Shows == d.fleet.to():
-			records = append(records, release.Record{What: release.Begin, Router: n}, release.Record{What: release.Done, Router: n})
-		case x.Out == "out" && inTurn, !x.Reached && inTurn: // its command may have begun over there: it is not run again
-			records = append(records, release.Record{What: release.Begin, Router: n, Life: x.Life, From: x.Shows})
+		case x.Revision == d.fleet.targetRevision():
+			records = append(records, release.Record{Event: release.EventBegin, Router: n},
+				release.Record{Event: release.EventDone, Router: n})
+		case x.PermitState == "out" && beingReplaced, !x.Reached && beingReplaced:
+			// The command may have begun on the other machine, and must not run twice.
+			records = append(records,
+				release.Record{Event: release.EventBegin, Router: n, Incarnation: x.Incarnation, OldRevision: x.Revision})
 		}
 	}
 	if len(records) == 0 && stage == "" {
-		return nil, fmt.Errorf("nothing is known of release %s, neither in %s nor by the routers: start it", d.plan.Name, d.folder)
+		return nil, fmt.Errorf("release %s is not known, neither in folder %s nor to the routers: start it", d.plan.Name, d.folder)
 	}
-	d.say("taken over from what %d routers show", len(all))
+	d.printf("taken over from what %d routers show", len(answers))
 	for i := range records {
 		x := &records[i]
 		if err := d.journal.append(x); err != nil {
 			return nil, err
 		}
-		if x.What == release.Begin {
-			if err := os.WriteFile(d.file(x.Router, "begun"), []byte{'.'}, 0o644); err != nil {
+		if x.Event == release.EventBegin {
+			if err := os.WriteFile(d.routerFile(x.Router, "begun"), []byte{'.'}, 0o644); err != nil {
 				return nil, err
 			}
 		}
@@ -193,21 +202,21 @@
 	return records, nil
 }
 
-// recover finds out which replacements were recorded and never ran.
-func (d *Driver) recover(records []release.Record) error {
-	begins := map[int]int{}
-	for _, x := range records {
-		switch x.What {
-		case release.Begin:
-			begins[x.Router]++
-		case release.Never:
-			begins[x.Router]--
+// undoUnstarted takes back the replacements that were recorded and whose command never ran.
+func (d *Driver) undoUnstarted(records []release.Record) error {
+	recordedBegins := map[int]int{}
+	for _, record := range records {
+		switch record.Event {
+		case release.EventBegin:
+			recordedBegins[record.Router]++
+		case release.EventNeverRan:
+			recordedBegins[record.Router]--
 		}
 	}
-	for _, n := range d.run.Stages()[release.Begun] {
-		if begins[n] > d.begun(n) && !d.runs(n) {
-			d.say("router %d: its replacement was to begin and never did", n)
-			if err := d.journal.append(d.run.Again(n)); err != nil {
+	for _, n := range d.run.RoutersByStage()[release.Replacing] {
+		if recordedBegins[n] > d.commandsBegun(n) && !d.commandRuns(n) {
+			d.printf("router %d: its replacement was recorded, but its command never ran", n)
+			if err := d.journal.append(d.run.MarkNeverRan(n)); err != nil {
 				return err
 			}
 		}
@@ -215,80 +224,83 @@
 	return nil
 }
 
-// wait waits for the fleet's place for releases, for as long as a driver that is gone may have it.
-func (d *Driver) wait(ctx context.Context, mode Mode) error {
-	const most = 45 * time.Second // a driver is gone after 15 s, a lease runs out in 10, electors that have started are silent for 10
-	for begun := time.Now(); ; {
-		held, holder, _ := d.hold(ctx, "begins")
-		if held {
+// waitForLease waits until this driver holds the fleet's release lease, for as long as a dead driver may still hold it.
+func (d *Driver) waitForLease(ctx context.Context, mode Mode) error {
+	// A driver counts as dead after 15 s, a lease expires in 10 s, and voters do not answer for 10 s after their start.
+	const maxWait = 45 * time.Second
+	for start := time.Now(); ; {
+		leaseHeld, holder, _ := d.holdLease(ctx, "begins")
+		if leaseHeld {
 			return nil
 		}
-		taken := strings.Contains(holder, " is run by ") // and by the same release, where this driver is to take it over once the other is gone
-		if (!taken || mode != Start && strings.Contains(holder, "release "+d.plan.Name+" ")) && time.Since(begun) < most {
-			why, _, _ := strings.Cut(holder, ": ") // without the place's number, which comes and goes
-			d.once("waits for the fleet's place for releases: " + why)
+		// Another driver of the same release may be dead, and this driver takes over then, unless it is to start a release.
+		heldByOther := strings.Contains(holder, " is run by ")
+		if (!heldByOther || mode != Start && strings.Contains(holder, "release "+d.plan.Name+" ")) && time.Since(start) < maxWait {
+			reason, _, _ := strings.Cut(holder, ": ") // without the number of the permit slot, which changes
+			d.printOnce("waiting for the fleet's place for releases: " + reason)
 		} else {
 			return fmt.Errorf("the fleet's place for releases is not to be had: %s", holder)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(look):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// once says a thing that is not what was said last.
-func (d *Driver) once(text string) {
-	if text != d.said {
-		d.said = text
-		d.say("%s", text)
+// printOnce prints a message unless it is the one that was printed last.
+func (d *Driver) printOnce(message string) {
+	if message != d.lastMessage {
+		d.lastMessage = message
+		d.printf("%s", message)
 	}
 }
 
-// turn looks at the fleet once, and does what is due.
-func (d *Driver) turn(ctx context.Context) error {
-	held, holder, over := d.hold(ctx, d.stage())
-	s := d.fleet.sight(d.fleet.ask(ctx))
+// poll queries the fleet once, and carries out what is due.
+func (d *Driver) poll(ctx context.Context) error {
+	leaseHeld, holder, endedByOperator := d.holdLease(ctx, d.stage())
+	fleetState := d.fleet.state(d.fleet.queryAll(ctx))
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	s.Held, s.Holder = held, holder
-	if over {
-		if err := d.do(ctx, d.run.Stop("an operator has ended it")); err != nil {
+	fleetState.LeaseHeld, fleetState.LeaseHolder = leaseHeld, holder
+	if endedByOperator {
+		if err := d.carryOut(ctx, d.run.Stop("an operator has ended it")); err != nil {
 			return err
 		}
 	}
-	for _, e := range d.endedCommands() {
-		if err := d.do(ctx, d.run.Failed(e.router, e.err.Error())); err != nil {
+	for _, result := range d.failedCommands() {
+		if err := d.carryOut(ctx, d.run.CommandFailed(result.router, result.err.Error())); err != nil {
 			return err
 		}
 	}
-	for n, a := range d.waiting {
-		if err := d.replace(n, a); err != nil {
+	for n, action := range d.pendingReplacements {
+		if err := d.replace(n, action); err != nil {
 			return err
 		}
 	}
-	if err := d.do(ctx, d.run.Look(d.now(), s)); err != nil {
+	if err := d.carryOut(ctx, d.run.Update(d.now(), fleetState)); err != nil {
 		return err
 	}
-	for n := range d.activate {
-		if status, _, err := d.fleet.post(ctx, n, "/v1/fleet/activate", nil); err == nil && status == 200 || !s.Routers[n].Alive {
-			delete(d.activate, n)
+	for n := range d.pendingActivations {
+		if status, _, err := d.fleet.post(ctx, n, "/v1/fleet/activate", nil); err == nil && status == 200 ||
+			!fleetState.Routers[n].Alive {
+			delete(d.pendingActivations, n)
 		}
 	}
-	d.once(d.line())
+	d.printOnce(d.progressLine())
 	return nil
 }
 
-// endedCommands are those that have failed since it was asked last.
-func (d *Driver) endedCommands() (failed []ended) {
-	failed, d.unbegun = d.unbegun, nil
+// failedCommands returns the commands that have failed since its last call.
+func (d *Driver) failedCommands() (failed []commandResult) {
+	failed, d.startFailures = d.startFailures, nil
 	for {
 		select {
-		case e := <-d.ended:
-			if e.err != nil {
-				failed = append(failed, e)
+		case result := <-d.commandResults:
+			if result.err != nil {
+				failed = append(failed, result)
 			}
 		default:
 			return failed
@@ -296,101 +308,103 @@
 	}
 }
 
-// stage is what the fleet is told: other machines go on from it.
+// stage describes the progress of the release to the fleet. A driver on another machine can continue from it.
 func (d *Driver) stage() string {
-	if why := d.run.Halted(); why != "" {
-		return "halted: " + why
+	if reason := d.run.HaltReason(); reason != "" {
+		return "halted: " + reason
 	}
-	wave, all := d.run.Size()
-	text := fmt.Sprintf("%s %d/%d", map[bool]string{false: "forth", true: "back"}[d.run.GoesBack()], wave, all)
-	begun := d.run.Stages()[release.Begun]
-	if len(begun) == 0 {
+	wave, all := d.run.WaveEnd()
+	text := fmt.Sprintf("%s %d/%d", map[bool]string{false: "forth", true: "back"}[d.run.RollingBack()], wave, all)
+	replacing := d.run.RoutersByStage()[release.Replacing]
+	if len(replacing) == 0 {
 		return text
 	}
-	list := text + " replacing " + strings.Trim(fmt.Sprint(begun), "[]")
+	list := text + " replacing " + strings.Trim(fmt.Sprint(replacing), "[]")
 	if len(list) > 60 {
 		return text + " replacing many"
 	}
 	return list
 }
 
-func (d *Driver) line() string {
-	st := d.run.Stages()
-	text := fmt.Sprintf("%d waiting, %d asking, %d replacing, %d changed", len(st[release.Waiting]), len(st[release.Asking]), len(st[release.Begun]),
-		len(st[release.Changed]))
+// progressLine describes the progress of the release to the operator.
+func (d *Driver) progressLine() string {
+	byStage := d.run.RoutersByStage()
+	text := fmt.Sprintf("%d waiting, %d asking, %d replacing, %d changed", len(byStage[release.Waiting]),
+		len(byStage[release.AwaitingPermit]), len(byStage[release.Replacing]), len(byStage[release.Changed]))
 	if v := d.run.Verdict(); v != "" {
 		text += "; " + v
 	}
 	return text
 }
 
-// do keeps the records of acts before it carries these out.
-func (d *Driver) do(ctx context.Context, acts []release.Act) error {
-	for _, a := range acts {
-		if a.Record != nil {
-			if err := d.journal.append(a.Record); err != nil {
-				return fmt.Errorf("the journal can't be written, nothing further is done: %w", err)
+// carryOut carries out actions. It writes the record of each action first.
+func (d *Driver) carryOut(ctx context.Context, actions []release.Action) error {
+	for _, action := range actions {
+		if action.Record != nil {
+			if err := d.journal.append(action.Record); err != nil {
+				return fmt.Errorf("cannot write the journal, so the driver stops: %w", err)
 			}
 		}
-		switch a.Kind {
+		switch action.Kind {
 		case release.Drain:
-			d.say("router %d: asked to go out", a.Router)
-			delete(d.activate, a.Router)
-			d.fleet.post(ctx, a.Router, "/v1/fleet/drain", nil) // what did not come is asked for again at the next look
+			d.printf("router %d: asked to go out", action.Router)
+			delete(d.pendingActivations, action.Router)
+			d.fleet.post(ctx, action.Router, "/v1/fleet/drain", nil) // if the call fails, the next poll repeats it
 		case release.Activate:
-			d.say("router %d: asked to serve again", a.Router)
-			d.activate[a.Router] = true
+			d.printf("router %d: asked to serve again", action.Router)
+			d.pendingActivations[action.Router] = true
 		case release.Replace:
-			if err := d.replace(a.Router, a); err != nil {
+			if err := d.replace(action.Router, action); err != nil {
 				return err
 			}
-		case release.Note:
-			switch x := a.Record; x.What {
-			case release.Done:
-				d.say("router %d: done", x.Router)
-			case release.Halt:
-				d.say("halts: %s", x.Why)
+		case release.RecordOnly:
+			switch record := action.Record; record.Event {
+			case release.EventDone:
+				d.printf("router %d: done", record.Router)
+			case release.EventHalt:
+				d.printf("halts: %s", record.Reason)
 			}
 		}
 	}
 	return nil
 }
 
-// replace runs a router's command, or waits for its former one to end. A command that can't be started is the command's failure.
-func (d *Driver) replace(n int, a release.Act) error {
+// replace starts a router's command, or puts it off while the previous one runs. A command that cannot be started counts as
+// failed.
+func (d *Driver) replace(router int, action release.Action) error {
 	words := d.plan.Replace
-	if a.Record.Back {
+	if action.Record.Rollback {
 		words = d.plan.Back
 	}
-	words = plan.Command(words, n, d.plan.Routers[n])
-	switch err := d.command(n, words); {
-	case errors.Is(err, errRuns):
-		d.waiting[n] = a
-		d.once(fmt.Sprintf("router %d: its former command still runs", n))
+	words = plan.Command(words, router, d.plan.Routers[router])
+	switch err := d.startCommand(router, words); {
+	case errors.Is(err, errStillRunning):
+		d.pendingReplacements[router] = action
+		d.printOnce(fmt.Sprintf("router %d: its previous command still runs", router))
 	case err != nil:
-		delete(d.waiting, n)
-		d.unbegun = append(d.unbegun, ended{n, err})
+		delete(d.pendingReplacements, router)
+		d.startFailures = append(d.startFailures, commandResult{router, err})
 	default:
-		delete(d.waiting, n)
-		d.say("router %d: %s", n, strings.Join(words, " "))
+		delete(d.pendingReplacements, router)
+		d.printf("router %d: %s", router, strings.Join(words, " "))
 	}
 	return nil
 }
 
-// End frees the fleet of a release, whoever drives it: its driver halts.
+// End ends a release in the fleet, whichever driver carries it out. That driver then halts.
 func End(ctx context.Context, p *plan.Release) error {
 	f := newFleet(p)
-	known := errors.New("no router answers")
+	failure := errors.New("no router answers")
 	for _, n := range f.numbers {
 		switch status, text, err := f.post(ctx, n, "/v1/fleet/release/end", url.Values{"id": {p.Name}}); {
 		case err != nil:
 		case status == http.StatusOK:
 			return nil
-		case status == http.StatusNotFound: // this router may have just started
-			known = nil
+		case status == http.StatusNotFound: // this router may have just started and not know the release yet
+			failure = nil
 		default:
 			return errors.New(text)
 		}
 	}
-	return known
+	return failure
 }
--- a/internal/fleet/rollout/fleet.go
+++ b/internal/fleet/rollout/fleet.go
@@ -23,45 +23,46 @@
 )
 
 const (
-	callTime = 2 * time.Second
+	callTimeout = 2 * time.Second
 
-	// atOnce routers are asked at one time, each on a connection of its own. It is no bound on the fleet: of 1,024 routers those
-	// that don't answer cost four times callTime and not thirty times, in which the fleet would take the driver for gone.
-	atOnce = 256
+	// maxParallelCalls is how many routers are queried at one time, each on its own connection. It does not limit the size of the
+	// fleet. If none of 1,024 routers answers, a query takes four times callTimeout and not thirty times, after which the fleet
+	// would consider the driver dead.
+	maxParallelCalls = 256
 
-	mostText = 1 << 20 // bytes of an answer, with all notes that a fleet keeps: some 200 each
+	maxAnswerBytes = 1 << 20 // bytes of an answer; all leases that a fleet can have fit in, at about 200 bytes each
 )
 
-// fleet asks and tells the routers of a plan.
+// fleet calls the routers of a release plan.
 type fleet struct {
 	plan    *plan.Release
-	numbers []int
+	numbers []int // of the routers, ascending
 	client  http.Client
 }
 
 func newFleet(p *plan.Release) *fleet {
 	return &fleet{plan: p, numbers: slices.Sorted(maps.Keys(p.Routers)),
-		client: http.Client{Timeout: callTime, Transport: &http.Transport{DisableKeepAlives: true}}}
+		client: http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// answer is what one router says.
+// answer is the result of querying one router.
 type answer struct {
 	view    *peers.Report
 	metrics *metrics.Snapshot
 	err     string
 }
 
-// ask asks all routers.
-func (f *fleet) ask(ctx context.Context) map[int]answer {
+// queryAll queries all routers for their views and metrics.
+func (f *fleet) queryAll(ctx context.Context) map[int]answer {
 	var mu sync.Mutex
-	all := map[int]answer{}
+	answers := map[int]answer{}
 	var g errgroup.Group
-	g.SetLimit(atOnce)
+	g.SetLimit(maxParallelCalls)
 	for _, n := range f.numbers {
 		g.Go(func() error {
 			a := answer{}
-			seen := peers.Ask(ctx, f.plan.Routers[n])
-			if a.view, a.err = seen.View, seen.Err; a.view != nil {
+			reply := peers.Ask(ctx, f.plan.Routers[n])
+			if a.view, a.err = reply.View, reply.Err; a.view != nil {
 				a.metrics, _ = f.metrics(ctx, f.plan.Routers[n])
 			}
 			if a.view != nil && a.view.Self != n {
@@ -69,124 +70,126 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all[n] = a
+			answers[n] = a
 			return nil
 		})
 	}
 	g.Wait()
-	return all
+	return answers
 }
 
+// metrics fetches a router's metrics.
 func (f *fleet) metrics(ctx context.Context, addr string) (*metrics.Snapshot, error) {
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/metrics", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/metrics", nil)
 	if err != nil {
 		return nil, err
 	}
-	r, err := f.client.Do(q)
+	response, err := f.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Body.Close()
-	s := &metrics.Snapshot{}
-	return s, json.NewDecoder(io.LimitReader(r.Body, mostText)).Decode(s) // it has no list of routers or slot caches
+	defer response.Body.Close()
+	snapshot := &metrics.Snapshot{}
+	// The size of the metrics does not depend on the size of the fleet: they list neither routers nor slot caches.
+	return snapshot, json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(snapshot)
 }
 
-// post makes an operators' call of a router, and gives the status and what was said.
-func (f *fleet) post(ctx context.Context, router int, path string, q url.Values) (status int, text string, err error) {
-	at := "http://" + f.plan.Routers[router] + path
-	if len(q) > 0 {
-		at += "?" + q.Encode()
+// post makes a call to the operators' interface of a router, and returns the HTTP status and the body.
+func (f *fleet) post(ctx context.Context, router int, path string, query url.Values) (status int, text string, err error) {
+	target := "http://" + f.plan.Routers[router] + path
+	if len(query) > 0 {
+		target += "?" + query.Encode()
 	}
-	c, err := http.NewRequestWithContext(ctx, http.MethodPost, at, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, nil)
 	if err != nil {
 		return 0, "", err
 	}
-	r, err := f.client.Do(c)
+	response, err := f.client.Do(request)
 	if err != nil {
 		return 0, "", err
 	}
-	defer r.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(r.Body, mostText))
-	return r.StatusCode, strings.TrimSpace(string(body)), err
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	return response.StatusCode, strings.TrimSpace(string(body)), err
 }
 
-// shows is the figure of a router that the release changes.
-func (f *fleet) shows(m *peers.Member) string {
+// revision returns what the release changes of a router: the version of its program, or the checksum of its settings.
+func (f *fleet) revision(member *peers.Member) string {
 	if f.plan.Program != "" {
-		return m.Version
+		return member.Version
 	}
-	return m.Settings
+	return member.Settings
 }
 
-// to is what a changed router shows.
-func (f *fleet) to() string { return f.plan.Program + f.plan.Settings }
+// targetRevision returns the revision of a changed router. The plan states a program or settings, not both.
+func (f *fleet) targetRevision() string { return f.plan.Program + f.plan.Settings }
 
-// sight puts together what the routers have answered. What a router says of itself holds where most others that answered have the
-// same of it; of one that does not answer, what most others say.
-func (f *fleet) sight(all map[int]answer) *release.Sight {
-	s := &release.Sight{Routers: map[int]release.Router{}, Agree: true}
-	sums := map[string]bool{}
+// state combines the answers of the routers into the state of the fleet. A router serves if it reports so and most of the others
+// that answered report the same of it. The state of a router that does not answer is what most others report.
+func (f *fleet) state(answers map[int]answer) *release.FleetState {
+	fleetState := &release.FleetState{Routers: map[int]release.Router{}, ViewsAgree: true}
+	checksums := map[string]bool{}
 	for _, n := range f.numbers {
-		a := all[n]
-		x := release.Router{Out: "none"}
-		alike, alive, voices := 0, 0, 0
-		for o, b := range all {
-			if o == n || b.view == nil || n >= len(b.view.Members) {
+		a := answers[n]
+		router := release.Router{PermitState: "none"}
+		agreeing, alive, others := 0, 0, 0
+		for other, otherAnswer := range answers {
+			if other == n || otherAnswer.view == nil || n >= len(otherAnswer.view.Members) {
 				continue
 			}
-			voices++
-			m := &b.view.Members[n]
-			if m.State == "alive" || m.State == "suspect" {
+			others++
+			member := &otherAnswer.view.Members[n]
+			if member.State == "alive" || member.State == "suspect" {
 				alive++
-				if x.Life == "" {
-					x.Life, x.Shows = m.Start, f.shows(m)
+				if router.Incarnation == "" {
+					router.Incarnation, router.Revision = member.Start, f.revision(member)
 				}
-				if a.view != nil && n < len(a.view.Members) && m.Start == a.view.Members[n].Start && m.Phase == "serving" {
-					alike++
+				if a.view != nil && n < len(a.view.Members) && member.Start == a.view.Members[n].Start && member.Phase == "serving" {
+					agreeing++
 				}
 			}
 		}
-		x.Alive = alive*2 > voices
-		if v := a.view; v != nil && n < len(v.Members) {
-			own := &v.Members[n]
-			x.Reached, x.Alive = true, true
-			x.Life, x.Shows = own.Start, f.shows(own)
-			x.Serving = own.Phase == "serving" && alike*2 >= voices
-			if v.Out != nil {
-				x.Out, x.Why = v.Out.State, v.Out.Why
+		router.Alive = alive*2 > others
+		if ownReport := a.view; ownReport != nil && n < len(ownReport.Members) {
+			own := &ownReport.Members[n]
+			router.Reached, router.Alive = true, true
+			router.Incarnation, router.Revision = own.Start, f.revision(own)
+			router.Serving = own.Phase == "serving" && agreeing*2 >= others
+			if ownReport.Out != nil {
+				router.PermitState, router.Reason = ownReport.Out.State, ownReport.Out.Why
 			}
-			if x.Out == "none" && own.Phase == "draining" {
-				x.Why = "it is drained by another call than this release's"
+			if router.PermitState == "none" && own.Phase == "draining" {
+				router.Reason = "it was drained by a call that does not belong to this release"
 			}
 			if a.metrics != nil {
 				for _, d := range a.metrics.Downstream {
-					x.Counts.Requests += d.Completed + d.Rejected + d.Failed
-					x.Counts.Bad += d.Rejected + d.Failed
+					router.Counts.Requests += d.Completed + d.Rejected + d.Failed
+					router.Counts.Bad += d.Rejected + d.Failed
 				}
 				for _, late := range a.metrics.Late {
-					x.Counts.Bad += late
+					router.Counts.Bad += late
 				}
 			}
 			if own.Phase == "serving" {
-				sums[v.Sum] = true
+				checksums[ownReport.Sum] = true
 			}
 		} else {
-			x.Why = a.err
+			router.Reason = a.err
 		}
-		s.Routers[n] = x
+		fleetState.Routers[n] = router
 	}
-	s.Agree = len(sums) <= 1
-	return s
+	fleetState.ViewsAgree = len(checksums) <= 1
+	return fleetState
 }
 
-// order is in which routers are changed: by number, or one zone after the other.
-func (f *fleet) order(all map[int]answer) []int {
+// order returns the routers in the order of their replacement: by number, or one zone after the other.
+func (f *fleet) order(answers map[int]answer) []int {
 	order := slices.Clone(f.numbers)
 	if !f.plan.ByZone {
 		return order
 	}
 	zone := func(n int) int {
-		for _, a := range all {
+		for _, a := range answers {
 			if a.view != nil && n < len(a.view.Members) && a.view.Members[n].Zone != nil {
 				return *a.view.Members[n].Zone
 			}
@@ -201,51 +204,52 @@
 	return order
 }
 
-// hold tells the fleet that this driver runs the release and where it stands. It asks the router that keeps the place, as far as is
-// known, and else the others one after the other.
-func (d *Driver) hold(ctx context.Context, stage string) (held bool, holder string, ended bool) {
-	q := url.Values{"id": {d.plan.Name}, "by": {d.by}, "stage": {stage}}
-	if d.held {
-		q.Set("only", "1")
+// holdLease acquires or renews the fleet's release lease, and announces the stage of the release with it. Logs and errors call
+// the lease the fleet's place for releases. holdLease calls the router that is known to manage the lease first, and then the
+// others one after the other.
+func (d *Driver) holdLease(ctx context.Context, stage string) (leaseHeld bool, holder string, ended bool) {
+	query := url.Values{"id": {d.plan.Name}, "by": {d.driverID}, "stage": {stage}}
+	if d.leaseHeld {
+		query.Set("only", "1")
 	}
 	holder = "no router answers"
-	unknown := false
+	leaseUnknown := false
 	defer func() {
-		if unknown && !held { // it is asked for anew: if another driver has it now, that is told
-			d.held = false
+		if leaseUnknown && !leaseHeld { // acquire it anew next time, which reports any other driver that has it
+			d.leaseHeld = false
 		}
 	}()
 	tried := map[int]bool{}
-	ask := append([]int{d.keeper}, d.fleet.numbers...)
-	for i := 0; i < len(ask) && len(tried) < mostAsked; i++ {
-		next := ask[i]
-		if tried[next] || d.plan.Routers[next] == "" {
+	candidates := append([]int{d.leaseRouter}, d.fleet.numbers...)
+	for i := 0; i < len(candidates) && len(tried) < maxLeaseCalls; i++ {
+		router := candidates[i]
+		if tried[router] || d.plan.Routers[router] == "" {
 			continue
 		}
-		tried[next] = true
-		status, text, err := d.fleet.post(ctx, next, "/v1/fleet/release", q)
+		tried[router] = true
+		status, text, err := d.fleet.post(ctx, router, "/v1/fleet/release", query)
 		switch {
 		case err != nil:
 			continue
 		case status == http.StatusOK:
-			d.keeper = next
-			var c peers.Charges
-			if json.Unmarshal([]byte(text), &c) == nil && c.Release != nil && c.Release.State == "held" {
-				d.held = true
+			d.leaseRouter = router
+			var fleetLeases peers.Charges
+			if json.Unmarshal([]byte(text), &fleetLeases) == nil && fleetLeases.Release != nil && fleetLeases.Release.State == "held" {
+				d.leaseHeld = true
 				return true, "", false
-			} else if c.Release != nil {
-				return false, "asked for, and " + c.Release.Why, false
+			} else if fleetLeases.Release != nil {
+				return false, "requested, but " + fleetLeases.Release.Why, false
 			}
 			return false, text, false
 		case status == http.StatusGone:
-			return false, "it was ended", true
-		case status == http.StatusNotFound && d.held: // no majority could renew it, and it has run out; or this router is new
-			holder = "it is not known to router " + strconv.Itoa(next)
-			unknown = true
+			return false, "an operator has ended it", true
+		case status == http.StatusNotFound && d.leaseHeld: // it expired without a majority to renew it, or this router is new
+			holder = "it is unknown to router " + strconv.Itoa(router)
+			leaseUnknown = true
 		case status == http.StatusConflict:
 			holder = text
-			if n := keeperOf(text); n >= 0 && !tried[n] { // that one knows whether its driver is gone
-				ask = slices.Insert(ask, i+1, n)
+			if n := leaseRouterIn(text); n >= 0 && !tried[n] { // that router knows whether the driver that holds the lease is dead
+				candidates = slices.Insert(candidates, i+1, n)
 				continue
 			}
 			return false, holder, false
@@ -256,17 +260,18 @@
 	return false, holder, false
 }
 
-// keeperOf is the router that a refusal names as the one that keeps the place; negative: it names none.
-func keeperOf(refusal string) int {
-	_, at, ok := strings.Cut(refusal, "kept by router ")
-	end := strings.IndexFunc(at+" ", func(r rune) bool { return r < '0' || r > '9' })
-	n, err := strconv.Atoi(at[:end])
+// leaseRouterIn returns the router that a refusal names as the one that manages the lease, or a negative number if it names none.
+func leaseRouterIn(refusal string) int {
+	_, rest, ok := strings.Cut(refusal, "kept by router ")
+	digitsEnd := strings.IndexFunc(rest+" ", func(r rune) bool { return r < '0' || r > '9' })
+	n, err := strconv.Atoi(rest[:digitsEnd])
 	if !ok || err != nil {
 		return -1
 	}
 	return n
 }
 
-// mostAsked is how many routers are asked for the fleet's place in one turn, one after the other. It bounds the turn's time, not
-// the fleet: the one that keeps the place is asked first, and any other knows which one that is.
-const mostAsked = 9
+// maxLeaseCalls is how many routers holdLease calls for the release lease, one after the other. It bounds the time that this
+// takes, not the size of the fleet: the router that manages the lease is called first, and any other router knows which one that
+// is.
+const maxLeaseCalls = 9
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,85 +1,86 @@
-// Package lifecycle says where a router stands as it is drained, called back to work and stopped. It does no I/O
-// and reads no clock: those who serve ask it what holds, and hear when that changes.
+// Package lifecycle tracks whether a router serves, drains or stops. It does no I/O and reads no clock. The parts of
+// the router that serve clients query the current phase and are notified when it changes.
 package lifecycle
 
 import "sync"
 
-// Phase is where a router stands.
+// Phase is the state of a router between its start and its end.
 type Phase uint8
 
-// The phases. What stops does not come back.
+// The phases of a router. A router that is stopping or leaving never serves or drains again.
 const (
 	Serving  Phase = iota
-	Draining       // clients are sent away, and served until they go
-	Stopping       // the program finishes what it has taken, and ends
-	Leaving        // the same, after a drain
+	Draining       // clients are sent away, and served until they disconnect
+	Stopping       // the program finishes the requests that it has accepted, and ends
+	Leaving        // as Stopping, and clients are sent away because of a drain
 )
 
-// String names a phase.
+// String returns the name of a phase.
 func (p Phase) String() string { return [...]string{"serving", "draining", "stopping", "leaving"}[p] }
 
-// Wanted tells whether clients are told to come. One that stops without a drain does not send them away: whoever
-// sends them learns of it otherwise, or another process has the same address already.
+// Wanted reports whether clients should come to this router. A router that stops without a drain does not send its
+// clients away: those who direct clients to it learn of the stop by other means, or another process already serves
+// at the same address.
 func (p Phase) Wanted() bool { return p == Serving || p == Stopping }
 
-// Stops tells whether the program is ending.
+// Stops reports whether the program is ending.
 func (p Phase) Stops() bool { return p >= Stopping }
 
-// Event is what is asked of a router.
+// Event is a request to change the phase of a router.
 type Event uint8
 
-// The events.
+// The events of a router.
 const (
-	Drain    Event = iota // from an operator
-	Activate              // from an operator
-	Stop                  // SIGTERM
+	Drain    Event = iota // an operator takes the router out of service
+	Activate              // an operator returns the router to service
+	Stop                  // the process receives SIGTERM
 )
 
-// next has the phase that follows each by each event.
-var next = [...][3]Phase{
+// transitions holds the phase that follows each phase after each event.
+var transitions = [...][3]Phase{
 	Serving:  {Drain: Draining, Activate: Serving, Stop: Stopping},
 	Draining: {Drain: Draining, Activate: Serving, Stop: Leaving},
 	Stopping: {Drain: Leaving, Activate: Stopping, Stop: Stopping},
 	Leaving:  {Drain: Leaving, Activate: Leaving, Stop: Leaving},
 }
 
-// Next is the phase that follows one, and whether what was asked for holds then.
-func Next(p Phase, e Event) (to Phase, yes bool) {
-	to = next[p][e]
+// Next returns the phase that follows phase p after event e, and whether that fulfils the request.
+func Next(p Phase, e Event) (to Phase, fulfilled bool) {
+	to = transitions[p][e]
 	return to, e != Activate || to == Serving
 }
 
-// State is the phase of one router. It may be used by many goroutines.
+// State holds the phase of one router. It is safe for concurrent use.
 type State struct {
 	mu      sync.Mutex
 	phase   Phase
-	changed chan struct{}
+	changed chan struct{} // closed at the next change of the phase
 }
 
-// New returns the State of a router that serves.
+// New returns the State of a router in phase Serving.
 func New() *State { return &State{changed: make(chan struct{})} }
 
-// Tell takes an event, and tells whether what it asks for holds now.
-func (s *State) Tell(e Event) (yes bool) {
+// Tell applies an event, and reports whether the phase now fulfils the request.
+func (s *State) Tell(e Event) (fulfilled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	to, yes := Next(s.phase, e)
+	to, fulfilled := Next(s.phase, e)
 	if to != s.phase {
 		s.phase = to
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
-	return yes
+	return fulfilled
 }
 
-// Phase tells the phase.
+// Phase returns the current phase.
 func (s *State) Phase() Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.phase
 }
 
-// Watch tells the phase, and gives what is closed once it has changed.
+// Watch returns the current phase, and a channel that is closed when the phase changes.
 func (s *State) Watch() (p Phase, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -8,15 +8,16 @@
 	_ "hoptiller/internal/draws"
 )
 
-// Whatever the order: a stop is for good, the last of drain and activate before it decides whether clients are
-// wanted, and after it only a drain does. Whoever watches hears of each change and of nothing else.
-func TestOrders(t *testing.T) {
+// TestEventOrders applies events in random orders. A stop is final. Before a stop the last drain or activate decides
+// whether clients are wanted; after it only a drain changes that. A watcher is notified of every change of the phase
+// and of nothing else.
+func TestEventOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		drained, stopped := false, false
 		for _, e := range rapid.SliceOf(rapid.SampledFrom([]Event{Drain, Activate, Stop})).Draw(t, "events") {
 			before, changed := s.Watch()
-			yes := s.Tell(e)
+			fulfilled := s.Tell(e)
 			switch {
 			case e == Stop:
 				stopped = true
@@ -26,17 +27,17 @@
 				drained = false
 			}
 			p := s.Phase()
-			if p.Wanted() == drained || p.Stops() != stopped || yes != (e != Activate || !stopped) {
-				t.Fatalf("after %d: %v, %v; drained %v, stopped %v", e, p, yes, drained, stopped)
+			if p.Wanted() == drained || p.Stops() != stopped || fulfilled != (e != Activate || !stopped) {
+				t.Fatalf("after event %d: phase %v, fulfilled %v; drained %v, stopped %v", e, p, fulfilled, drained, stopped)
 			}
 			select {
 			case <-changed:
 				if p == before {
-					t.Fatal("told of no change")
+					t.Fatal("a watcher was notified although the phase did not change")
 				}
 			default:
 				if p != before {
-					t.Fatal("not told of a change")
+					t.Fatal("a watcher was not notified of a change of the phase")
 				}
 			}
 		}
