--- a/internal/fleet/release/comparison.go
+++ b/internal/fleet/release/comparison.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Counts holds the number of all requests, and of the bad ones: those that were refused, failed or late.
+// Counts holds the number of all requests, and of the bad ones, which were refused, failed or late.
 type Counts struct {
 	Requests, Bad int64
 }
@@ -14,15 +14,15 @@
 func (a Counts) plus(b Counts) Counts  { return Counts{a.Requests + b.Requests, a.Bad + b.Bad} }
 
 // badPercent returns the percentage of bad requests.
-func (a Counts) percent() float64 { return 100 * float64(a.Bad) / float64(max(1, a.Requests)) }
+func (a Counts) badPercent() float64 { return 100 * float64(a.Bad) / float64(max(1, a.Requests)) }
 
 // comparisonsPerSoak is how often the routers are compared in one soak, so that a bad version is found before the soak ends.
 const comparisonsPerSoak = 4
 
 // Comparison decides whether changed routers do worse than the others.
 type Comparison struct {
-	MinRequests          int     // that each group needs; fewer are no evidence
-	FalseHaltProbability float64 // that the comparisons of a release halt a version as good as the old one
+	MinRequests          int     // number that each group needs; fewer are no evidence
+	FalseHaltProbability float64 // of a version as good as the old one, over all comparisons of a release
 	Margin               float64 // fraction of requests by which the changed routers may do worse
 }
 
@@ -31,17 +31,17 @@
 // Proportions", 2000), which adds one good and one bad request to each group. The error probability is divided evenly among the
 // comparisons of a release (Bonferroni). The test assumes independent requests. Real requests come in bursts, for which the
 // margin allows.
-func (w Comparison) Compare(changed, control Counts, comparisons int) (bool, string) {
-	proportion := func(c Counts) (rate, variance float64) {
-		total := float64(c.Requests) + 2
-		rate = (float64(c.Bad) + 1) / total
+func (c Comparison) Compare(changed, control Counts, comparisons int) (bool, string) {
+	proportion := func(group Counts) (rate, variance float64) {
+		total := float64(group.Requests) + 2
+		rate = (float64(group.Bad) + 1) / total
 		return rate, rate * (1 - rate) / total
 	}
 	rate, rateVariance := proportion(changed)
 	controlRate, controlVariance := proportion(control)
-	z := (rate - controlRate - w.Margin) / math.Sqrt(rateVariance+controlVariance)
-	// quantile of the normal distribution
-	threshold := math.Sqrt2 * math.Erfinv(1-2*w.FalseHaltProbability/float64(max(1, comparisons)))
+	z := (rate - controlRate - c.Margin) / math.Sqrt(rateVariance+controlVariance)
+	// The threshold is a quantile of the normal distribution.
+	threshold := math.Sqrt2 * math.Erfinv(1-2*c.FalseHaltProbability/float64(max(1, comparisons)))
 	return z > threshold, fmt.Sprintf("%.2f%% of %d requests went wrong there, %.2f%% of %d elsewhere (z %.1f, halted from %.1f)",
-		changed.percent(), changed.Requests, control.percent(), control.Requests, z, threshold)
+		changed.badPercent(), changed.Requests, control.badPercent(), control.Requests, z, threshold)
 }
--- a/internal/fleet/release/release.go
+++ b/internal/fleet/release/release.go
@@ -16,14 +16,14 @@
 
 // Params holds the settings of one release.
 type Params struct {
-	TargetRevision string        // of a changed router; see Router.Revision
+	TargetRevision string        // revision of a changed router; see Router.Revision
 	CanarySize     int           // number of routers in the first wave
 	SecondWaveSize int           // number of routers in the second wave
 	GrowthFactor   float64       // size of each later wave, as a multiple of the wave before it
 	MaxWaveSize    int           // upper bound of the size of a wave; 0: unlimited
 	SoakDuration   time.Duration // how long the changed routers are observed after each wave
-	ReplaceTimeout time.Duration // for a router to serve again, from the start of its replacement
-	PermitTimeout  time.Duration // for a router to get its permit
+	ReplaceTimeout time.Duration // limit for a router to serve again, from the start of its replacement
+	PermitTimeout  time.Duration // limit for a router to get its permit
 	Comparison     Comparison
 }
 
@@ -35,7 +35,7 @@
 	Incarnation string // start of its process; a restart changes it
 	Revision    string // version of its program or checksum of its settings, whichever the release changes
 	PermitState string // none, asking, out or ended
-	Reason      string // why its permit was refused or it does not answer
+	Reason      string // why it has no permit or does not answer; may be empty
 	Counts      Counts // requests since its process started
 }
 
@@ -58,7 +58,8 @@
 	RecordOnly                   // only write the record
 )
 
-// Action is one thing that the driver has to do. If Record is set, the driver stores it durably before it does anything else.
+// Action is one thing that the driver has to do. If Record is set, the driver stores it durably before it carries out the
+// action.
 type Action struct {
 	Kind   ActionKind
 	Router int
@@ -75,10 +76,10 @@
 	Reason      string `json:"why,omitempty"`  // halt: why the release halted
 }
 
-// RecordKind says what a record states.
+// Event is what a record states.
 type Event string
 
-// Kinds of records.
+// Events of a release.
 const (
 	EventBegin    Event = "begin"  // the replacement of a router begins
 	EventDone     Event = "done"   // the router serves with the desired revision
@@ -111,7 +112,7 @@
 	oldRevision         string        // its revision before the release
 }
 
-// Run is the state of one release. Times are on the clock of the driver.
+// Run is the state of one release. All times are on the driver's clock.
 type Run struct {
 	params      Params
 	order       []int                   // routers in the order of their replacement
@@ -275,7 +276,8 @@
 	return byStage
 }
 
-// halt starts no further replacement. Routers that are drained and whose replacement has not begun return to service.
+// halt stops the start of further replacements, and returns routers to service that were to be drained and whose replacement has
+// not begun. It does nothing if the release has halted or ended already.
 func (r *Run) halt(haltReason string) (actions []Action) {
 	if r.haltReason != "" || r.ended {
 		return nil
@@ -452,7 +454,8 @@
 	return "its revision is " + r.Revision
 }
 
-// soak compares the changed routers with the others, and starts the next wave if they do no worse.
+// soak observes the fleet once all routers of the waves so far are changed. It compares the changed routers with the others, and
+// halts the release if they do worse. After the soak it starts the next wave, or ends the release after the last one.
 func (r *Run) soak(fleet *FleetState) []Action {
 	if !r.soaking {
 		r.startSoak(fleet)
@@ -528,8 +531,8 @@
 
 // comparedGroups chooses which routers to compare. Both groups are measured over the same time, so that a fault of all routers
 // does not count against the new version. The changed routers are compared with the unchanged ones. If these have too few
-// requests, as after the last wave, the routers of this wave are compared with those that earlier waves changed and found no
-// worse.
+// requests, as after the last wave, the routers of this wave are compared with those of earlier waves, which did no worse in
+// their own soaks.
 func (r *Run) comparedGroups(totals soakCounts) (changed, control Counts, enoughRequests bool) {
 	changed, control = totals.thisWave.plus(totals.earlierWaves), totals.unchanged
 	if !r.enoughRequests(control) && r.waveStart > 0 {
@@ -549,10 +552,10 @@
 	if totals.unchanged.Requests > 0 || r.lastUnchanged.Requests == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; unchanged routers, measured earlier: %.2f%% of %d", r.lastUnchanged.percent(), r.lastUnchanged.Requests)
+	return fmt.Sprintf("; unchanged routers, measured earlier: %.2f%% of %d", r.lastUnchanged.badPercent(), r.lastUnchanged.Requests)
 }
 
-// StartNextWave starts the next wave. Update calls it when the wave before has done no worse than the other routers.
+// StartNextWave starts the next wave. Update calls it after a soak in which the changed routers did no worse.
 func (r *Run) StartNextWave() {
 	r.waveStart = r.waveEnd
 	if r.waveEnd == min(len(r.order), max(1, r.params.CanarySize)) {
--- a/internal/fleet/rollout/driver.go
+++ b/internal/fleet/rollout/driver.go
@@ -20,7 +20,7 @@
 	plan      *plan.Release
 	fleet     *fleet
 	out       io.Writer // progress messages for the operator
-	folder    string    // of the journal, and of the files of commands
+	folder    string    // contains the journal and the files of the commands
 	driverID  string    // host name and process number, by which the fleet knows this driver
 	startTime time.Time // zero of the driver's clock
 
@@ -233,7 +233,8 @@
 		if leaseHeld {
 			return nil
 		}
-		// Another driver of the same release may be dead, and this driver takes over then, unless it is to start a release.
+		// Another driver that holds the lease may be dead. If it carries out the same release, this driver waits to take over
+		// from it, unless this driver is to start the release.
 		heldByOther := strings.Contains(holder, " is run by ")
 		if (!heldByOther || mode != Start && strings.Contains(holder, "release "+d.plan.Name+" ")) && time.Since(start) < maxWait {
 			reason, _, _ := strings.Cut(holder, ": ") // without the number of the permit slot, which changes
--- a/internal/fleet/rollout/driver_test.go
+++ b/internal/fleet/rollout/driver_test.go
@@ -85,7 +85,8 @@
 	return New(&plan.Release{Name: "x", State: t.TempDir(), Routers: map[int]string{0: "127.0.0.1:1", 1: "127.0.0.1:2"}}, io.Discard)
 }
 
-// TestCommand checks that this driver and the next one see that a command has begun, and whether it runs.
+// TestCommand checks that this driver and the next one see that a command has begun, and whether it still runs. The command is a
+// shell that runs other programs.
 func TestCommand(t *testing.T) {
 	d := testDriver(t)
 	if d.commandRuns(1) || d.commandsBegun(1) != 0 {
--- a/internal/fleet/rollout/fleet.go
+++ b/internal/fleet/rollout/fleet.go
@@ -23,23 +23,24 @@
 )
 
 const (
-	callTimeout = 2 * time.Second
+	callTimeout = 2 * time.Second // of one call to a router
 
 	// maxParallelCalls is how many routers are queried at one time, each on its own connection. It does not limit the size of the
 	// fleet. If none of 1,024 routers answers, a query takes four times callTimeout and not thirty times, after which the fleet
 	// would consider the driver dead.
 	maxParallelCalls = 256
 
-	maxAnswerBytes = 1 << 20 // bytes of an answer; all leases that a fleet can have fit in, at about 200 bytes each
+	maxAnswerBytes = 1 << 20 // limit of one answer; enough for all leases that a fleet can have, at about 200 bytes each
 )
 
 // fleet calls the routers of a release plan.
 type fleet struct {
 	plan    *plan.Release
-	numbers []int // of the routers, ascending
+	numbers []int // numbers of the routers, ascending
 	client  http.Client
 }
 
+// newFleet returns a fleet whose calls each use a new connection.
 func newFleet(p *plan.Release) *fleet {
 	return &fleet{plan: p, numbers: slices.Sorted(maps.Keys(p.Routers)),
 		client: http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -243,7 +244,7 @@
 			return false, text, false
 		case status == http.StatusGone:
 			return false, "an operator has ended it", true
-		case status == http.StatusNotFound && d.leaseHeld: // it expired without a majority to renew it, or this router is new
+		case status == http.StatusNotFound && d.leaseHeld: // the lease expired unrenewed, for lack of a majority, or this router is new
 			holder = "it is unknown to router " + strconv.Itoa(router)
 			leaseUnknown = true
 		case status == http.StatusConflict:
--- a/internal/fleet/rollout/journal.go
+++ b/internal/fleet/rollout/journal.go
@@ -18,14 +18,14 @@
 	"hoptiller/internal/fleet/release"
 )
 
-// ErrDriverRunning is returned if another driver has locked the folder.
+// ErrDriverRunning is returned if another driver has locked the release's folder.
 var ErrDriverRunning = errors.New("another driver of this release runs on this machine")
 
-// journal is a file of lines, each with a checksum and a record. Each line is on disk before the next one is written, so only the
-// last line can be torn. The record of a torn line was not acted on.
+// journal is an open file of lines, each with a checksum and a record. Each line is on disk before the next one is written, so
+// only the last line can be torn. The record of a torn line was not acted on.
 type journal struct {
 	file     *os.File
-	lockFile *os.File
+	lockFile *os.File // its lock keeps other drivers out
 }
 
 // openJournal locks a folder for this driver and reads the records of its journal.
