--- a/internal/fleet/release/comparison.go
+++ b/internal/fleet/release/comparison.go
@@ -22,7 +22,7 @@
 // Comparison decides whether changed routers do worse than the others.
 type Comparison struct {
 	MinRequests          int     // number that each group needs; fewer are no evidence
-	FalseHaltProbability float64 // of a version as good as the old one, over all comparisons of a release
+	FalseHaltProbability float64 // that all comparisons of a release together halt a version as good as the old one
 	Margin               float64 // fraction of requests by which the changed routers may do worse
 }
 
--- a/internal/fleet/release/release.go
+++ b/internal/fleet/release/release.go
@@ -96,7 +96,7 @@
 // The stages of a router.
 const (
 	Waiting        Stage = iota // not changed, or rolled back
-	AwaitingPermit              // it is to be drained and waits for its permit
+	AwaitingPermit              // it is to be drained, and waits for its permit
 	Replacing                   // its replacement has begun
 	Changed                     // it serves with the target revision
 )
@@ -117,7 +117,7 @@
 	params      Params
 	order       []int                   // routers in the order of their replacement
 	progressOf  map[int]*routerProgress // by router
-	now         time.Duration           // of the last call of Update
+	now         time.Duration           // time of the last call of Update
 	rollingBack bool
 	ended       bool
 	haltReason  string // empty: the release has not halted
@@ -129,7 +129,7 @@
 	soakStart     time.Duration        // when the current soak began
 	comparisons   int                  // number of comparisons made in this soak
 	baseline      map[int]routerSample // counts of each router when the soak began
-	lastUnchanged Counts               // of the unchanged routers, when they last had enough requests
+	lastUnchanged Counts               // counts of the unchanged routers when they last had enough requests
 
 	disagreeSince  time.Duration // when the views began to disagree; 0: they agree
 	leaseLostSince time.Duration // when the release lease was lost; 0: it is held
@@ -216,7 +216,7 @@
 }
 
 // MarkNeverRan takes back the start of a router's replacement whose command never ran because the driver died first. It returns
-// the record of that, which the caller stores.
+// the record of this, which the caller must store.
 func (r *Run) MarkNeverRan(router int) *Record {
 	if progress := r.progressOf[router]; progress != nil && progress.stage == Replacing {
 		progress.stage, progress.stageStart = AwaitingPermit, r.now
--- a/internal/fleet/release/release_test.go
+++ b/internal/fleet/release/release_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// fakeFleet simulates a fleet with a bound of routers that may be out of service, whose replacements take 3 s.
+// fakeFleet simulates a fleet. Its permits bound how many routers may be out of service, and each replacement takes 3 s.
 type fakeFleet struct {
 	now          time.Duration
 	rng          *rand.Rand
@@ -31,6 +31,7 @@
 	peakOut      int          // maximum number of routers that were out of service or dead at one time
 }
 
+// newFakeFleet returns a fleet of n routers that all serve with the old revision.
 func newFakeFleet(n int, seed uint64) *fakeFleet {
 	f := &fakeFleet{rng: rand.New(rand.NewPCG(seed, 7)), routers: map[int]*Router{}, maxOut: 2, servesAt: map[int]time.Duration{},
 		newRevision: map[int]string{}, badRate: map[string]float64{"old": 0.01, "new": 0.01}, extraBadRate: map[int]float64{},
@@ -151,7 +152,7 @@
 	return true
 }
 
-// unlimited is a number of writes and actions after which no test kills its driver.
+// unlimited is a number of writes and actions that no test reaches, so the driver is not killed.
 const unlimited = 1 << 30
 
 // TestWaves checks that a release reaches all routers in waves that grow, and that no more routers are out of service than the
@@ -193,12 +194,13 @@
 	}
 }
 
-// TestFaultOfAllRouters has a fault of all routers begin at a random time of the release, and end or not. The fault must not
-// count against a version that is as good as the old one: such a version is halted as rarely as the error rate of the plan says,
-// whenever the fault begins. During each release fewer and fewer unchanged routers are left, and none after the last wave.
+// TestFaultOfAllRouters starts a fault of all routers at a random time of a release. The fault may end or outlast the release. It
+// must not count against a version that is as good as the old one: such a version is halted no more often than
+// FalseHaltProbability allows, whenever the fault starts. Fewer and fewer unchanged routers are left for comparison during each
+// release, and none after the last wave.
 func TestFaultOfAllRouters(t *testing.T) {
 	const seeds = 200
-	const maxHalted = 8 // with 200 seeds and an error rate of 0.01 two are expected; nine occur once in 5,000 runs
+	const maxHalted = 8 // with 200 seeds and a probability of 0.01 two are expected; nine occur once in 5,000 runs
 	halted, lastHalt := 0, ""
 	for seed := range uint64(seeds) {
 		fleet := newFakeFleet(5+int(seed%8), seed)
@@ -404,8 +406,8 @@
 	}
 }
 
-// TestCompareErrorRate checks that the comparison has the configured error rate: of 2,000 comparisons of equal groups few find a
-// difference, and most comparisons find a difference of 0.05.
+// TestCompareErrorRate checks that the comparison has the configured error probability: of 2,000 comparisons of equal groups few
+// find a difference, and most comparisons find a difference of 0.05.
 func TestCompareErrorRate(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	draw := func(n int, p float64) (c Counts) {
--- a/internal/fleet/rollout/driver.go
+++ b/internal/fleet/rollout/driver.go
@@ -36,7 +36,7 @@
 	lastMessage         string                 // last message of printOnce
 }
 
-// Mode is how a driver continues from the records that it finds.
+// Mode says how a driver proceeds from the state in which it finds the release.
 type Mode string
 
 // Modes of a driver.
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// finish ends the release in the fleet as well, if it has ended here.
+// finish ends the release in the fleet if this driver has completed it.
 func (d *Driver) finish(ctx context.Context) error {
 	if !d.run.Ended() {
 		return nil
@@ -161,7 +161,7 @@
 	return End(ctx, d.plan)
 }
 
-// adoptFromRouters creates records from what the routers report. It serves where the driver has run on another machine and this
+// adoptFromRouters creates records from what the routers report. It is used if the driver ran on another machine, so that this
 // one has no records.
 func (d *Driver) adoptFromRouters(answers map[int]answer) (records []release.Record, err error) {
 	fleetState := d.fleet.state(answers)
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// waitForLease waits until this driver holds the fleet's release lease, for as long as a dead driver may still hold it.
+// waitForLease waits until this driver holds the fleet's release lease, but no longer than a dead driver may still hold it.
 func (d *Driver) waitForLease(ctx context.Context, mode Mode) error {
 	// A driver counts as dead after 15 s, a lease expires in 10 s, and voters do not answer for 10 s after their start.
 	const maxWait = 45 * time.Second
--- a/internal/fleet/rollout/fleet.go
+++ b/internal/fleet/rollout/fleet.go
@@ -114,7 +114,8 @@
 	return response.StatusCode, strings.TrimSpace(string(body)), err
 }
 
-// revision returns what the release changes of a router: the version of its program, or the checksum of its settings.
+// revision returns the property of a router that the release changes: the version of its program, or the checksum of its
+// settings.
 func (f *fleet) revision(member *peers.Member) string {
 	if f.plan.Program != "" {
 		return member.Version
@@ -122,7 +123,7 @@
 	return member.Settings
 }
 
-// targetRevision returns the revision of a changed router. The plan states a program or settings, not both.
+// targetRevision returns the revision of a changed router. The plan states either a program or settings.
 func (f *fleet) targetRevision() string { return f.plan.Program + f.plan.Settings }
 
 // state combines the answers of the routers into the state of the fleet. A router serves if it reports so and most of the others
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -44,7 +44,7 @@
 	Leaving:  {Drain: Leaving, Activate: Leaving, Stop: Leaving},
 }
 
-// Next returns the phase that follows phase p after event e, and whether that fulfils the request.
+// Next returns the phase that follows phase p after event e, and whether the new phase fulfils the request.
 func Next(p Phase, e Event) (to Phase, fulfilled bool) {
 	to = transitions[p][e]
 	return to, e != Activate || to == Serving
