--- a/internal/fleet/drains/drains.go
+++ b/internal/fleet/drains/drains.go
@@ -1,9 +1,10 @@
-// Package drains has slot caches get nothing new because the fleet's operators say so, whatever the directory says: it stands
-// between the directory and who listens to it, and changes the entries of those that are drained. What the module does with a
-// drained slot cache is the same in both cases.
+// Package drains keeps new requests away from slot caches that the fleet's operators drain, whatever discovery says of them. It
+// stands between discovery and the listeners to its server lists, and changes the entries of drained slot caches. The decision
+// module treats a slot cache that operators drain like one that discovery lists as draining.
 //
-// A drain may come by and by: the slot cache's weight falls over a time, so that its keys move to their next homes a few at a
-// time, and the origin and those homes need not bear all of its misses at once. It comes back the same way.
+// A drain may be gradual: the slot cache's weight falls over a time, so that its keys move to the next slot caches in their
+// order a few at a time, and neither the origin nor those slot caches get all of its misses at once. When the drain ends, the
+// weight rises in the same way.
 package drains
 
 import (
@@ -16,53 +17,56 @@
 	"hoptiller/internal/relay"
 )
 
-// Listener hears of servers.
+// Listener receives server lists.
 type Listener interface {
+	// Told handles a full list of servers, or the changed entries of one.
 	Told(kind hoptiller.ListKind, servers []relay.Server)
+	// Knows reports whether the server with this ID is known.
 	Knows(id uint32) bool
 }
 
 // Drain says how a slot cache is drained.
 type Drain struct {
-	Over  time.Duration // from full weight to none, and back
-	Whole bool          // it has no weight by now: a router that learns of it late need not begin
+	Over  time.Duration // time in which the weight falls from full to zero, and rises again afterwards
+	Whole bool          // the weight has reached zero already: a router that learns of the drain late starts at zero
 }
 
-// steps of a weight that falls or grows.
-const steps = 16
+// weightSteps is the number of steps in which a weight falls or rises.
+const weightSteps = 16
 
-// state is a slot cache that is drained, or coming back.
-type state struct {
-	drain Drain
-	since time.Duration
-	back  bool
-	step  int // of its weight, of steps: 0 is drained
+// drainState is the state of a slot cache that is drained, or whose weight rises again after a drain.
+type drainState struct {
+	drain  Drain
+	since  time.Duration // when the weight began to fall or rise
+	rising bool          // the drain has ended
+	step   int           // current weight in steps: 0 is zero weight, weightSteps is full weight
 }
 
-// at is the step at a time.
-func (s *state) at(now time.Duration) int {
-	part := 1.0
-	if s.drain.Over > 0 && (s.back || !s.drain.Whole) {
-		part = min(1, float64(now-s.since)/float64(s.drain.Over))
+// stepAt returns the step at a time.
+func (s *drainState) stepAt(now time.Duration) int {
+	fraction := 1.0
+	if s.drain.Over > 0 && (s.rising || !s.drain.Whole) {
+		fraction = min(1, float64(now-s.since)/float64(s.drain.Over))
 	}
-	if s.back {
-		return int(part * steps)
+	if s.rising {
+		return int(fraction * weightSteps)
 	}
-	return steps - int(part*steps)
+	return weightSteps - int(fraction*weightSteps)
 }
 
-// Caches is a Listener before another one. It may be used by many goroutines.
+// Caches is a Listener that changes the entries of drained slot caches and passes server lists on to the next Listener. It is
+// safe for use by several goroutines at once.
 type Caches struct {
 	next Listener
 
-	mu     sync.Mutex // held while next is told, or an older word could come after a newer one
+	mu     sync.Mutex // held during calls of next too, so that next receives updates in their order
 	listed map[uint32]relay.Server
-	states map[uint32]*state
+	states map[uint32]*drainState
 }
 
-// New makes the Caches before a listener.
+// New returns a Caches that passes server lists on to next.
 func New(next Listener) *Caches {
-	return &Caches{next: next, listed: map[uint32]relay.Server{}, states: map[uint32]*state{}}
+	return &Caches{next: next, listed: map[uint32]relay.Server{}, states: map[uint32]*drainState{}}
 }
 
 // Knows implements Listener.
@@ -82,62 +86,63 @@
 		} else {
 			c.listed[s.ID] = s
 		}
-		if st := c.states[s.ID]; st != nil {
+		if state := c.states[s.ID]; state != nil {
 			if &changed[0] == &servers[0] {
 				changed = slices.Clone(servers)
 			}
-			changed[i] = st.put(s)
+			changed[i] = state.apply(s)
 		}
 	}
 	c.next.Told(kind, changed)
 }
 
-// put is an entry as the module is to have it.
-func (s *state) put(e relay.Server) relay.Server {
+// apply returns the entry of a slot cache as the decision module is to see it.
+func (s *drainState) apply(entry relay.Server) relay.Server {
 	switch {
-	case e.Phase != hoptiller.Ready || s.step == steps:
+	case entry.Phase != hoptiller.Ready || s.step == weightSteps:
 	case s.step == 0:
-		e.Phase = hoptiller.Draining
+		entry.Phase = hoptiller.Draining
 	default:
-		if e.Weight <= 0 { // not stated
-			e.Weight = 1
+		if entry.Weight <= 0 { // not stated
+			entry.Weight = 1
 		}
-		e.Weight *= float64(s.step) / steps
+		entry.Weight *= float64(s.step) / weightSteps
 	}
-	return e
+	return entry
 }
 
-// Set says which slot caches are drained now, and does what is due of their weights. It wants to be called several times a second.
+// Set replaces the set of drained slot caches and passes on the weights that have changed since the last call. It must be
+// called several times a second.
 func (c *Caches) Set(now time.Duration, drains map[uint32]Drain) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var changed []relay.Server
 	for id, d := range drains {
-		st := c.states[id]
-		if st == nil || st.back {
-			begun := now
-			if st != nil && d.Over > 0 { // it was coming back: from where it stands
-				begun -= time.Duration(float64(steps-st.step) / steps * float64(d.Over))
+		state := c.states[id]
+		if state == nil || state.rising {
+			began := now
+			if state != nil && d.Over > 0 { // the weight was rising: it falls from where it is
+				began -= time.Duration(float64(weightSteps-state.step) / weightSteps * float64(d.Over))
 			}
-			c.states[id] = &state{drain: d, since: begun, step: steps}
+			c.states[id] = &drainState{drain: d, since: began, step: weightSteps}
 		} else if d.Whole {
-			st.drain.Whole = true
+			state.drain.Whole = true
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.states)) {
-		st := c.states[id]
-		if _, still := drains[id]; !still && !st.back {
-			st.back, st.since = true, now-time.Duration(float64(st.step)/steps*float64(st.drain.Over))
+		state := c.states[id]
+		if _, drained := drains[id]; !drained && !state.rising {
+			state.rising, state.since = true, now-time.Duration(float64(state.step)/weightSteps*float64(state.drain.Over))
 		}
-		step := st.at(now)
-		if step == st.step && step != steps {
+		step := state.stepAt(now)
+		if step == state.step && step != weightSteps {
 			continue
 		}
-		if st.step = step; st.back && step == steps {
+		if state.step = step; state.rising && step == weightSteps {
 			delete(c.states, id)
 		}
-		if e, listed := c.listed[id]; listed {
-			changed = append(changed, st.put(e))
+		if entry, listed := c.listed[id]; listed {
+			changed = append(changed, state.apply(entry))
 		}
 	}
 	if len(changed) > 0 {
@@ -145,15 +150,15 @@
 	}
 }
 
-// Whole tells whether a slot cache gets nothing new here by now.
+// Whole reports whether the drain of a slot cache is complete: its weight is zero and it gets no new requests from this router.
 func (c *Caches) Whole(id uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	st := c.states[id]
-	return st != nil && !st.back && st.step == 0
+	state := c.states[id]
+	return state != nil && !state.rising && state.step == 0
 }
 
-// Find gives the slot cache of a name, as the directory has it. The origin is none.
+// Find returns the entry of the slot cache with a name, as discovery lists it. It doesn't find the origin.
 func (c *Caches) Find(name string) (s relay.Server, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,7 +170,7 @@
 	return relay.Server{}, false
 }
 
-// Name gives the name of a slot cache that is listed.
+// Name returns the name of a slot cache, or an empty string if discovery doesn't list it.
 func (c *Caches) Name(id uint32) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/notes/answer.go
+++ b/internal/fleet/notes/answer.go
@@ -6,60 +6,62 @@
 	"time"
 )
 
-// answer sends all notes that are believed, or, where they are too many for one answer, those that the asker needs most.
+// answer answers a pull with all valid leases or, if they are too many for one answer, with those that the asking router
+// needs most.
 func (s *Store) answer(now time.Duration, to int, number uint32) {
-	s.forget(now)
-	begin := func() []byte { return appendReply(uint16(s.self), uint16(to), number) }
-	empty := len(begin())
-	b, replies := begin(), 0
+	s.dropExpired(now)
+	begin := func() []byte { return appendAnswer(uint16(s.self), uint16(to), number) }
+	emptyLen := len(begin())
+	b, datagrams := begin(), 0
 	flush := func() {
-		if len(b) > empty {
-			s.out = append(s.out, Datagram{to, seal(b)})
-			b, replies = begin(), replies+1
+		if len(b) > emptyLen {
+			s.outgoing = append(s.outgoing, Datagram{to, appendChecksum(b)})
+			b, datagrams = begin(), datagrams+1
 		}
 	}
-	for _, h := range s.byNeed(to) {
-		n := h.Note
-		n.Ends = h.ends - now
-		item := appendNote(nil, &n, h.until-now)
-		if len(b)+len(item)+checkBytes > mostBytes {
+	for _, stored := range s.byNeed(to) {
+		lease := stored.Lease
+		lease.Ends = stored.endsAt - now
+		encoded := appendLease(nil, &lease, stored.expires-now)
+		if len(b)+len(encoded)+checksumBytes > maxDatagramBytes {
 			flush()
 		}
-		if replies == mostReplies {
+		if datagrams == maxAnswerDatagrams {
 			return
 		}
-		b = append(b, item...)
-		h.sent++
-		h.told.add(to)
+		b = append(b, encoded...)
+		stored.answers++
+		stored.sentTo.add(to)
 	}
 	flush()
 }
 
-// byNeed are all notes in the order in which an asker needs them: those that it has not been told from here, this router's own
-// first since nobody else has them earlier, the latest first; then the others, in case they were lost on the way, those that were
-// sent least first.
-func (s *Store) byNeed(asker int) []*held {
-	list := make([]*held, 0, len(s.notes))
-	for _, h := range s.notes {
-		list = append(list, h)
+// byNeed returns all leases in the order in which the asking router needs them. Leases that were not sent to it from here
+// come first: this router's own before the others, since no router has them earlier, and the latest first. Then come those
+// that were sent to it, in case the datagrams were lost: those that were in the fewest answers first.
+func (s *Store) byNeed(asking int) []*storedLease {
+	list := make([]*storedLease, 0, len(s.leases))
+	for _, stored := range s.leases {
+		list = append(list, stored)
 	}
-	slices.SortFunc(list, func(a, b *held) int {
-		told := a.told.has(asker)
+	slices.SortFunc(list, func(a, b *storedLease) int {
+		sentTo := a.sentTo.has(asking)
 		switch {
-		case told != b.told.has(asker):
-			return trueLast(told)
-		case told:
-			return cmp.Or(cmp.Compare(a.sent, b.sent), a.Key.compare(b.Key))
+		case sentTo != b.sentTo.has(asking):
+			return trueLast(sentTo)
+		case sentTo:
+			return cmp.Or(cmp.Compare(a.answers, b.answers), a.Key.compare(b.Key))
 		}
 		if own := int(a.Owner) == s.self; own != (int(b.Owner) == s.self) {
 			return trueLast(!own)
 		}
-		return cmp.Or(cmp.Compare(b.taken, a.taken), a.Key.compare(b.Key))
+		return cmp.Or(cmp.Compare(b.received, a.received), a.Key.compare(b.Key))
 	})
 	return list
 }
 
-// trueLast compares a condition that holds for one of two alone.
+// trueLast compares two items of which exactly one meets a condition, and sorts that one last. first reports whether it is
+// the first.
 func trueLast(first bool) int {
 	if first {
 		return 1
@@ -69,7 +71,7 @@
 
 const wordBits = 64
 
-// routerSet is a set of routers by number.
+// routerSet is a bit set of router numbers.
 type routerSet []uint64
 
 func (s routerSet) has(router int) bool {
--- a/internal/fleet/permit/agent.go
+++ b/internal/fleet/permit/agent.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// Electors are the numbers of those of n routers whose majority grants: five, or three or one of a small fleet, the same for
-// all that have the same list.
-func Electors(n int) (list []int) {
-	e := 1
+// Voters returns the numbers of those of n routers that vote on permits: five, or three or one in a small fleet. All routers
+// that have the same list of routers get the same voters.
+func Voters(n int) (list []int) {
+	count := 1
 	switch {
 	case n >= 5:
-		e = 5
+		count = 5
 	case n >= 3:
-		e = 3
+		count = 3
 	}
-	for i := range e {
-		list = append(list, i*n/e)
+	for i := range count {
+		list = append(list, i*n/count)
 	}
 	return list
 }
 
-// Groups are numbered so: of routers, of slot caches, and the one place of a release.
+// Numbers of the groups: of routers, of slot caches, and the group with a single slot that a release holds while it runs. The
+// groups of the further zones follow that of the first zone.
 const (
 	WholeFleet     uint16 = 0
 	FirstZone      uint16 = 1
@@ -32,27 +33,29 @@
 	Releases       uint16 = 0x8000
 )
 
-// zoneGroup is the group of a zone among those that begin with the first zone's; a negative zone is not known, and has none.
+// zoneGroup returns the group of a zone, where first is the group of the first zone. A negative zone is unknown and has no
+// group.
 func zoneGroup(first uint16, zone int) (group uint16, ok bool) {
-	return first + uint16(min(max(0, zone), MostZones-1)), zone >= 0
+	return first + uint16(min(max(0, zone), MaxZones-1)), zone >= 0
 }
 
-// inZone tells whether a zone's group is this one.
-func inZone(group, first uint16, zone int) bool {
-	its, ok := zoneGroup(first, zone)
-	return ok && its == group
+// isZoneGroup reports whether group is the group of a zone, where first is the group of the first zone.
+func isZoneGroup(group, first uint16, zone int) bool {
+	expected, ok := zoneGroup(first, zone)
+	return ok && expected == group
 }
 
-// ofRouters tells whether a group's permits are those of routers, each asked for by that router alone.
-func ofRouters(group uint16) bool { return group < AllCaches }
+// isRouterGroup reports whether a group's permits are those of routers. Each router requests its own permit and no other
+// router's.
+func isRouterGroup(group uint16) bool { return group < AllCaches }
 
-// Bound is how many routers of a group may be out: a number, or a part of the group.
+// Bound is the limit on how many members of a group may be out of service: a number, or a fraction of the group.
 type Bound struct {
 	Number int
-	Part   float64 // of 1; 0: Number is meant
+	Part   float64 // a fraction of the group, up to 1; if it is 0, Number applies
 }
 
-// Of is the bound for a group of n. A part is rounded down, but lets one be out where it lets any.
+// Of returns the limit for a group of n members. A fraction is rounded down, but to no less than one member.
 func (b Bound) Of(n int) int {
 	if b.Part <= 0 {
 		return min(b.Number, MostPlaces)
@@ -60,110 +63,114 @@
 	return min(max(1, int(b.Part*float64(n))), n, MostPlaces)
 }
 
-// Sight is what an elector sees of the fleet at a moment.
+// Sight is the state of the fleet as a voter sees it at one moment.
 type Sight struct {
-	Alive int           // routers that live, as far as is seen
-	Down  map[int]bool  // routers that don't serve, whatever the reason, by number
-	Young map[int]bool  // and those that have been seen in this life for less than the longest lease
-	Zone  func(int) int // of a router; negative: not known
+	Alive int           // number of routers that are believed to be alive
+	Down  map[int]bool  // routers that don't serve, for whatever reason, by number
+	Young map[int]bool  // routers whose current incarnation has been known for less than the longest lease, by number
+	Zone  func(int) int // returns a router's zone; negative if it is unknown
 
-	Caches     map[uint32]int  // slot caches that are listed, with their zones
-	CachesDown map[uint32]bool // and those of them that don't serve
+	Caches     map[uint32]int  // zones of the slot caches that discovery lists, by ID
+	CachesDown map[uint32]bool // listed slot caches that don't serve, by ID
 }
 
-// Agent is one router's side of permits: an elector, where it is one, and the seeker of its own permit.
+// Agent is one router's side of the permits: a voter, if the router is one, and the acquirers of the permits that it requests.
 type Agent struct {
-	Self, Of int
-	Zone     int           // of this router
-	Fleet    Bound         // how many routers may be out
-	PerZone  Bound         // and how many of a zone, a part of those seen in it; the zero value: any number
-	Caches   Bound         // how many slot caches may be out
-	OfZone   Bound         // and how many of a zone; the zero value: any number
-	See      func() Sight  // asked by electors
-	Chance   func() uint64 // random bits
-
-	// Told, if set, visits the places that others are known to hold, by whatever way this router has heard of them.
-	Told func(visit func(s Slot, permit uint64))
-
-	electors []int
-	elector  *Elector           // nil: another one's task
-	seeker   *Seeker            // nil: nothing is wanted
-	others   map[uint64]*Seeker // of permits that are not this router's own, by permit
-	taken    map[Slot]uint64    // places that are known to be taken, since the last tick; nil: not asked for yet
-	out      []Datagram
-	bad      uint64
+	Self, Of int           // number of this router, and of all routers
+	Zone     int           // this router's zone
+	Fleet    Bound         // how many routers may be out of service
+	PerZone  Bound         // how many routers of a zone; a fraction is one of the routers seen in it; the zero value sets no limit
+	Caches   Bound         // how many slot caches may be out of service
+	OfZone   Bound         // how many slot caches of a zone; the zero value sets no limit
+	See      func() Sight  // called by the voter
+	Chance   func() uint64 // returns random bits
+
+	// VisitTakenSlots, if set, calls visit for each slot that another permit is known to hold, however this router has learned it.
+	VisitTakenSlots func(visit func(s Slot, permit uint64))
+
+	voters       []int
+	voter        *Elector           // nil if this router is no voter
+	ownAcquirer  *Seeker            // of this router's own permit; nil if none was ever requested
+	transferable map[uint64]*Seeker // acquirers of transferable permits, by permit
+	taken        map[Slot]uint64    // slots that are known to be taken since the last tick; nil until they are needed
+	outgoing     []Datagram
+	rejected     uint64 // number of datagrams that were rejected
 }
 
-// Datagram is one that is to be sent.
+// Datagram is an encoded message and the router that it is for.
 type Datagram struct {
 	To   int
 	Body []byte
 }
 
-// Start begins, by the agent's own clock.
+// Start prepares the agent, whose process starts at now by its own clock.
 func (a *Agent) Start(now time.Duration) {
-	a.electors = Electors(a.Of)
-	for _, i := range a.electors {
+	a.voters = Voters(a.Of)
+	for _, i := range a.voters {
 		if i == a.Self {
-			a.elector = NewElector(now)
-			a.elector.Allow = a.allow
+			a.voter = NewVoter(now)
+			a.voter.Allow = a.mayGrant
 		}
 	}
 }
 
-// number of the router that a permit is for, or that has asked for it first.
-func number(permit uint64) int { return int(permit & 0xffff) }
+// routerOf returns the number of the router that a permit is for or, of a transferable permit, the router that requested it
+// first.
+func routerOf(permit uint64) int { return int(permit & 0xffff) }
 
-// allow holds a new permit against the bound: what is out by other permits, and what is down without one, uses up places too,
-// so that a fleet in trouble grants no more. An elector that sees less than half of the fleet grants nothing.
-func (a *Agent) allow(permit uint64, s Slot) bool {
-	sight := a.See()
+// mayGrant reports whether a new permit is within the limit of the slot's group. Members that are out of service under other
+// permits, and those that are down without a permit, count against the limit, so that a fleet with many failures grants no
+// more. A voter that sees no more than half of the fleet alive grants nothing.
+func (a *Agent) mayGrant(permit uint64, s Slot) bool {
+	fleet := a.See()
 	switch {
-	case sight.Alive*2 <= a.Of:
+	case fleet.Alive*2 <= a.Of:
 		return false
 	case s.Group == Releases:
 		return s.Number == 0
-	case !ofRouters(s.Group):
-		return a.allowCache(&sight, permit, s)
+	case !isRouterGroup(s.Group):
+		return a.mayGrantCache(&fleet, permit, s)
 	}
-	out := map[int]bool{}
-	for held, l := range a.elector.leases {
+	unavailable := map[int]bool{}
+	for held, l := range a.voter.leases {
 		if held.Group == s.Group {
-			out[number(l.permit)] = true
+			unavailable[routerOf(l.permit)] = true
 		}
 	}
-	for i := range sight.Down {
-		if s.Group == WholeFleet || sight.Zone != nil && inZone(s.Group, FirstZone, sight.Zone(i)) {
-			out[i] = true
+	for i := range fleet.Down {
+		if s.Group == WholeFleet || fleet.Zone != nil && isZoneGroup(s.Group, FirstZone, fleet.Zone(i)) {
+			unavailable[i] = true
 		}
 	}
-	delete(out, number(permit)) // the seeker itself may be out already
-	if !a.leavesMajority(&sight, out, number(permit)) {
+	delete(unavailable, routerOf(permit)) // the requesting router may be out of service already
+	if !a.keepsVoterMajority(&fleet, unavailable, routerOf(permit)) {
 		return false
 	}
-	return int(s.Number) < a.bound(s.Group) && len(out) < a.bound(s.Group)
+	return int(s.Number) < a.groupLimit(s.Group) && len(unavailable) < a.groupLimit(s.Group)
 }
 
-// leavesMajority tells whether a majority of the electors can grant while a router is out and for as long as it is silent after it:
-// else no permit could be renewed meanwhile, and all that goes by one would be lost. Where there are one or two electors in all, or
-// three routers, that can't be helped.
-func (a *Agent) leavesMajority(sight *Sight, out map[int]bool, seeker int) bool {
-	if len(a.electors) < 3 || !slices.Contains(a.electors, seeker) {
+// keepsVoterMajority reports whether a majority of the voters can still grant permits while the requesting router is out of
+// service, and afterwards while it grants nothing because it has just started. Without a majority no permit could be renewed in
+// that time, and all that depends on a permit would be lost. With fewer than three voters this can't be avoided, and the result
+// is true.
+func (a *Agent) keepsVoterMajority(fleet *Sight, unavailable map[int]bool, requester int) bool {
+	if len(a.voters) < 3 || !slices.Contains(a.voters, requester) {
 		return true
 	}
-	silent := 1 // the seeker
-	for _, e := range a.electors {
-		if e != seeker && (out[e] || sight.Down[e] || sight.Young[e]) {
+	silent := 1 // the requesting router
+	for _, i := range a.voters {
+		if i != requester && (unavailable[i] || fleet.Down[i] || fleet.Young[i]) {
 			silent++
 		}
 	}
-	return silent <= len(a.electors)-Majority(len(a.electors))
+	return silent <= len(a.voters)-Majority(len(a.voters))
 }
 
-func (a *Agent) bound(group uint16) int {
-	if !ofRouters(group) {
-		sight := a.See()
-		return a.boundCaches(&sight, group)
+// groupLimit returns how many members of a group may be out of service.
+func (a *Agent) groupLimit(group uint16) int {
+	if !isRouterGroup(group) {
+		fleet := a.See()
+		return a.cacheGroupLimit(&fleet, group)
 	}
 	if group == WholeFleet {
 		return a.Fleet.Of(a.Of)
@@ -174,16 +181,16 @@
 	if a.PerZone.Part <= 0 {
 		return a.PerZone.Of(a.Of)
 	}
-	sight, n := a.See(), 0
+	fleet, n := a.See(), 0
 	for i := range a.Of {
-		if sight.Zone != nil && inZone(group, FirstZone, sight.Zone(i)) {
+		if fleet.Zone != nil && isZoneGroup(group, FirstZone, fleet.Zone(i)) {
 			n++
 		}
 	}
-	return a.PerZone.Of(max(1, n)) // of a zone that nobody has told of yet one may be out
+	return a.PerZone.Of(max(1, n)) // a zone in which no router has been seen yet counts as one router
 }
 
-// groups are those that bound this router.
+// groups returns the groups that limit this router.
 func (a *Agent) groups() []uint16 {
 	groups := []uint16{WholeFleet}
 	if zone, ok := zoneGroup(FirstZone, a.Zone); ok && a.PerZone != (Bound{}) {
@@ -192,156 +199,160 @@
 	return groups
 }
 
-// Want asks for a permit, and tells whether that is new: one that is asked for or held goes on.
+// Want starts to acquire a permit for this router and reports whether it did so. It does nothing while a permit is requested or
+// held already.
 func (a *Agent) Want(now time.Duration) bool {
-	if a.Wants(now) {
+	if a.Active(now) {
 		return false
 	}
-	id := a.Chance()<<16 | uint64(a.Self)
-	a.seeker = NewSeeker(id, len(a.electors), MostLease)
+	permit := a.Chance()<<16 | uint64(a.Self)
+	a.ownAcquirer = NewSeeker(permit, len(a.voters), MostLease)
 	groups := a.groups()
-	a.seeker.Choose = func(held map[Slot]uint64) []Slot { return a.choose(id, groups, held, nil) }
-	r := rand.New(rand.NewPCG(a.Chance(), id))
-	a.seeker.Chance = r.Float64
-	a.seeker.Want(now)
+	a.ownAcquirer.Choose = func(held map[Slot]uint64) []Slot { return a.chooseSlots(permit, groups, held, nil) }
+	r := rand.New(rand.NewPCG(a.Chance(), permit))
+	a.ownAcquirer.Chance = r.Float64
+	a.ownAcquirer.Want(now)
 	a.flush()
 	return true
 }
 
-// Wants tells whether a permit is asked for or held.
-func (a *Agent) Wants(now time.Duration) bool {
-	p := a.Phase(now)
-	return p == Asking || p == Holding
+// Active reports whether this router's own permit is requested or held.
+func (a *Agent) Active(now time.Duration) bool {
+	phase := a.Phase(now)
+	return phase == Asking || phase == Holding
 }
 
-// Phase is where this router's own permit stands.
+// Phase returns the phase of this router's own permit.
 func (a *Agent) Phase(now time.Duration) Phase {
-	if a.seeker == nil {
+	if a.ownAcquirer == nil {
 		return Idle
 	}
-	return a.seeker.Phase(now)
+	return a.ownAcquirer.Phase(now)
 }
 
-// Left is how long a permit that is held lasts if it isn't renewed.
+// Left returns how long this router's own permit lasts if it isn't renewed; 0 if it is not held.
 func (a *Agent) Left(now time.Duration) time.Duration {
 	if a.Phase(now) != Holding {
 		return 0
 	}
-	return a.seeker.Until() - now
+	return a.ownAcquirer.HeldUntil() - now
 }
 
-// Return gives the permit back, once this router serves again, or wants it no more.
+// Return gives this router's own permit back, or stops requesting it. A router that was out of service must serve again before
+// the call.
 func (a *Agent) Return(now time.Duration) {
-	if a.seeker != nil {
-		a.seeker.Return(now)
+	if a.ownAcquirer != nil {
+		a.ownAcquirer.Return(now)
 		a.flush()
 	}
 }
 
-// Tick does what is due; it wants to be called several times a second.
+// Tick runs the acquirers and queues the messages that are due. It must be called several times a second.
 func (a *Agent) Tick(now time.Duration) {
 	a.taken = nil
-	if a.seeker != nil {
-		a.seeker.Tick(now)
+	if a.ownAcquirer != nil {
+		a.ownAcquirer.Tick(now)
 	}
-	for _, s := range a.others {
-		s.Tick(now)
+	for _, acquirer := range a.transferable {
+		acquirer.Tick(now)
 	}
 	a.flush()
 }
 
-// flush puts what the seekers want sent into datagrams. An elector is asked by way of the network even by itself: an answer that
-// comes within the asking has no place in a seeker's turns.
+// flush encodes the requests that the acquirers have queued. Requests to this router's own voter are queued as datagrams too:
+// an acquirer doesn't expect a reply while it is still sending a request.
 func (a *Agent) flush() {
-	if a.seeker != nil {
-		a.send(a.seeker)
+	if a.ownAcquirer != nil {
+		a.send(a.ownAcquirer)
 	}
-	for _, s := range a.others {
-		a.send(s)
+	for _, acquirer := range a.transferable {
+		a.send(acquirer)
 	}
 }
 
-func (a *Agent) send(k *Seeker) {
-	for _, s := range k.Out() {
-		to := a.electors[s.To]
-		a.out = append(a.out, Datagram{to, AppendAsk(uint16(a.Self), uint16(to), &s.Ask)})
+// send queues an acquirer's requests as datagrams.
+func (a *Agent) send(acquirer *Seeker) {
+	for _, request := range acquirer.Out() {
+		to := a.voters[request.To]
+		a.outgoing = append(a.outgoing, Datagram{to, AppendRequest(uint16(a.Self), uint16(to), &request.Ask)})
 	}
 }
 
-// Out gives what is to be sent since it was last asked. What is for this router itself is to be handed to Receive.
+// Out returns the datagrams that were queued since the last call. The caller passes those that are for this router itself to
+// Receive.
 func (a *Agent) Out() []Datagram {
-	o := a.out
-	a.out = nil
-	return o
+	queued := a.outgoing
+	a.outgoing = nil
+	return queued
 }
 
-// Receive takes a datagram from a router.
+// Receive handles a datagram from a router.
 func (a *Agent) Receive(now time.Duration, from int, b []byte) {
 	m, err := Parse(b)
 	if err != nil || int(m.From) != from || int(m.To) != a.Self {
-		a.bad++
+		a.rejected++
 		return
 	}
 	switch {
-	case m.Ask != nil && number(m.Ask.Permit) != from && (len(m.Ask.Slots) == 0 || slices.ContainsFunc(m.Ask.Slots,
-		func(s Slot) bool { return ofRouters(s.Group) })):
-		a.bad++ // a router's permit is asked for and given back by itself alone
-	case m.Ask != nil && a.elector != nil:
-		r := a.elector.Take(now, m.Ask)
-		a.out = append(a.out, Datagram{from, AppendReply(uint16(a.Self), m.From, &r)})
+	case m.Request != nil && routerOf(m.Request.Permit) != from && (len(m.Request.Slots) == 0 || slices.ContainsFunc(m.Request.Slots,
+		func(s Slot) bool { return isRouterGroup(s.Group) })):
+		a.rejected++ // a router's own permit may be requested and given back by that router alone
+	case m.Request != nil && a.voter != nil:
+		reply := a.voter.Take(now, m.Request)
+		a.outgoing = append(a.outgoing, Datagram{from, AppendReply(uint16(a.Self), m.From, &reply)})
 	case m.Reply != nil:
-		k := a.seeker
-		if other := a.others[m.Reply.Permit]; other != nil {
-			k = other
+		acquirer := a.ownAcquirer
+		if other := a.transferable[m.Reply.Permit]; other != nil {
+			acquirer = other
 		}
-		if i := slices.Index(a.electors, from); i >= 0 && k != nil {
-			k.Take(now, i, m.Reply)
+		if i := slices.Index(a.voters, from); i >= 0 && acquirer != nil {
+			acquirer.Take(now, i, m.Reply)
 			a.flush()
 		}
 	}
 }
 
-// Holder is one that is out by permit, as an elector knows.
+// Holder is a slot and the router whose permit holds it, as a voter knows it.
 type Holder struct {
 	Router int
 	Slot   Slot
 }
 
-// Status is how things stand, for operators.
+// Status is the state of the permits at this router, for operators.
 type Status struct {
-	Phase   Phase
-	Left    time.Duration
-	Why     string   // for which it was last refused, while it asks
-	Elector bool     // this router is one
-	Silent  bool     // an elector that has just started
-	Holders []Holder // known to this elector
-	Bad     uint64   // datagrams that were not taken
+	Phase             Phase         // of this router's own permit
+	Left              time.Duration // until this router's own permit expires if it isn't renewed; 0 if it is not held
+	Why               string        // reason of the latest refusal, while the permit is requested
+	Elector           bool          // this router is a voter
+	Silent            bool          // this router is a voter that has just started and grants nothing yet
+	Holders           []Holder      // known to this voter
+	RejectedDatagrams uint64
 }
 
-// why tells for what a seeker that asks was last refused.
-func why(k *Seeker) string {
-	for slot, by := range k.held { // one of them
-		if !ofRouters(slot.Group) && slot.Group != Releases {
-			return fmt.Sprintf("%s: slot cache s-%08x has place %d", Held, CacheOf(by), slot.Number)
+// refusalReason describes why an acquirer that requests a permit has not got it yet.
+func refusalReason(acquirer *Seeker) string {
+	for slot, permit := range acquirer.held { // any one of them
+		if !isRouterGroup(slot.Group) && slot.Group != Releases {
+			return fmt.Sprintf("%s: slot cache s-%08x has place %d", Held, CacheID(permit), slot.Number)
 		}
-		return fmt.Sprintf("%s: router %d has place %d", Held, number(by), slot.Number)
+		return fmt.Sprintf("%s: router %d has place %d", Held, routerOf(permit), slot.Number)
 	}
-	if k.Why() != Granted {
-		return k.Why().String()
+	if acquirer.Reason() != Granted {
+		return acquirer.Reason().String()
 	}
 	return "not answered yet"
 }
 
-// Status tells how things stand.
+// Status returns the state of the permits at this router.
 func (a *Agent) Status(now time.Duration) (s Status) {
-	s = Status{Phase: a.Phase(now), Left: a.Left(now), Elector: a.elector != nil, Bad: a.bad}
-	if a.seeker != nil && s.Phase == Asking {
-		s.Why = why(a.seeker)
+	s = Status{Phase: a.Phase(now), Left: a.Left(now), Elector: a.voter != nil, RejectedDatagrams: a.rejected}
+	if a.ownAcquirer != nil && s.Phase == Asking {
+		s.Why = refusalReason(a.ownAcquirer)
 	}
-	if a.elector != nil {
-		s.Silent = now < a.elector.silent
-		for slot, by := range a.elector.Holders(now) {
-			s.Holders = append(s.Holders, Holder{number(by), slot})
+	if a.voter != nil {
+		s.Silent = now < a.voter.silentUntil
+		for slot, permit := range a.voter.Holders(now) {
+			s.Holders = append(s.Holders, Holder{routerOf(permit), slot})
 		}
 	}
 	return s
--- a/internal/fleet/permit/agent_test.go
+++ b/internal/fleet/permit/agent_test.go
@@ -6,208 +6,219 @@
 	"time"
 )
 
-// ring is a fleet of agents whose datagrams take 20 ms.
-type ring struct {
-	now    time.Duration
-	agents []*Agent
-	alive  int
-	down   map[int]bool
-	cut    map[int]bool // hears nobody, nobody hears it
-	wires  []flying
+// testFleet is a fleet of agents in virtual time. Each datagram arrives 20 ms after it was sent.
+type testFleet struct {
+	now      time.Duration
+	agents   []*Agent
+	alive    int          // number of routers that every agent sees alive
+	down     map[int]bool // routers that every agent sees down
+	isolated map[int]bool // routers that exchange no datagrams with others
+	inFlight []sentDatagram
 }
 
-type flying struct {
-	at       time.Duration
+// sentDatagram is a datagram that has not arrived yet.
+type sentDatagram struct {
+	at       time.Duration // when it arrives
 	from, to int
 	body     []byte
 }
 
-func newRing(n int, fleet, zone Bound) *ring {
-	r := &ring{alive: n, down: map[int]bool{}, cut: map[int]bool{}}
+func newTestFleet(n int, fleet, zone Bound) *testFleet {
+	f := &testFleet{alive: n, down: map[int]bool{}, isolated: map[int]bool{}}
 	seed := uint64(0)
 	for i := range n {
 		a := &Agent{Self: i, Of: n, Zone: i % 2, Fleet: fleet, PerZone: zone,
-			See:    func() Sight { return Sight{Alive: r.alive, Down: r.down, Zone: func(i int) int { return i % 2 }} },
+			See:    func() Sight { return Sight{Alive: f.alive, Down: f.down, Zone: func(i int) int { return i % 2 }} },
 			Chance: func() uint64 { seed += 0x9e3779b97f4a7c15; return seed }}
 		a.Start(0)
-		r.agents = append(r.agents, a)
+		f.agents = append(f.agents, a)
 	}
-	r.run(MostLease) // electors are silent until then
-	return r
+	f.run(MostLease) // voters grant nothing until then
+	return f
 }
 
-// run goes on for a time, and gives the greatest number that were out at once.
-func (r *ring) run(over time.Duration) (most int) {
-	for end := r.now + over; r.now < end; r.now += 10 * time.Millisecond {
-		for len(r.wires) > 0 && r.wires[0].at <= r.now {
-			w := r.wires[0]
-			r.wires = r.wires[1:]
-			r.agents[w.to].Receive(r.now, w.from, w.body)
-		}
-		out := 0
-		for i, a := range r.agents {
-			a.Tick(r.now)
+// run advances time by a duration. It returns the largest number of routers that held a permit at the same time.
+func (f *testFleet) run(duration time.Duration) (maxHolders int) {
+	for end := f.now + duration; f.now < end; f.now += 10 * time.Millisecond {
+		for len(f.inFlight) > 0 && f.inFlight[0].at <= f.now {
+			arrived := f.inFlight[0]
+			f.inFlight = f.inFlight[1:]
+			f.agents[arrived.to].Receive(f.now, arrived.from, arrived.body)
+		}
+		holders := 0
+		for i, a := range f.agents {
+			a.Tick(f.now)
 			for _, d := range a.Out() {
-				if !r.cut[i] && !r.cut[d.To] || i == d.To {
-					r.wires = append(r.wires, flying{r.now + 20*time.Millisecond, i, d.To, d.Body})
+				if !f.isolated[i] && !f.isolated[d.To] || i == d.To {
+					f.inFlight = append(f.inFlight, sentDatagram{f.now + 20*time.Millisecond, i, d.To, d.Body})
 				}
 			}
-			if a.Phase(r.now) == Holding {
-				out++
+			if a.Phase(f.now) == Holding {
+				holders++
 			}
 		}
-		most = max(most, out)
+		maxHolders = max(maxHolders, holders)
 	}
-	return most
+	return maxHolders
 }
 
-func (r *ring) holders() (list []int) {
-	for i, a := range r.agents {
-		if a.Phase(r.now) == Holding {
+// holders returns the routers that hold a permit now.
+func (f *testFleet) holders() (list []int) {
+	for i, a := range f.agents {
+		if a.Phase(f.now) == Holding {
 			list = append(list, i)
 		}
 	}
 	return list
 }
 
-// However many ask, no more are out than the bounds allow, and each gets its turn soon after another is back.
-func TestTurns(t *testing.T) {
+// All routers request a permit. Never more of them are out of service than the bounds allow, and each gets a permit soon after
+// another router has given one back.
+func TestBoundsAndTurns(t *testing.T) {
 	for name, c := range map[string]struct {
 		n           int
 		fleet, zone Bound
-		most        int
-	}{"one": {5, Bound{Number: 1}, Bound{}, 1}, "two": {7, Bound{Number: 2}, Bound{}, 2}, "a third": {9, Bound{Part: 0.34}, Bound{}, 3},
-		"one of a zone": {6, Bound{Number: 3}, Bound{Number: 1}, 2}, "half of a zone, and two electors": {8, Bound{Number: 8}, Bound{Part: 0.5}, 3},
-		"a fleet of two": {2, Bound{Number: 1}, Bound{}, 1}} {
-		r := newRing(c.n, c.fleet, c.zone)
-		for _, a := range r.agents {
-			a.Want(r.now)
-		}
-		turns, most := map[int]bool{}, 0
+		maxHolders  int
+	}{"one": {5, Bound{Number: 1}, Bound{}, 1}, "two": {7, Bound{Number: 2}, Bound{}, 2},
+		"a third":                        {9, Bound{Part: 0.34}, Bound{}, 3},
+		"one per zone":                   {6, Bound{Number: 3}, Bound{Number: 1}, 2},
+		"half of a zone, and two voters": {8, Bound{Number: 8}, Bound{Part: 0.5}, 3},
+		"a fleet of two":                 {2, Bound{Number: 1}, Bound{}, 1}} {
+		f := newTestFleet(c.n, c.fleet, c.zone)
+		for _, a := range f.agents {
+			a.Want(f.now)
+		}
+		served, maxHolders := map[int]bool{}, 0
 		for range 10 * c.n {
-			most = max(most, r.run(4*time.Second))
-			for _, i := range r.holders() {
-				turns[i] = true
-				r.agents[i].Return(r.now)
+			maxHolders = max(maxHolders, f.run(4*time.Second))
+			for _, i := range f.holders() {
+				served[i] = true
+				f.agents[i].Return(f.now)
 			}
 		}
-		if most != c.most || len(turns) != c.n {
-			t.Errorf("%s: %d out at once, %d are meant; %d of %d had a turn", name, most, c.most, len(turns), c.n)
+		if maxHolders != c.maxHolders || len(served) != c.n {
+			t.Errorf("%s: up to %d permits at once, want %d; %d of %d routers got one", name, maxHolders, c.maxHolders, len(served), c.n)
 		}
 	}
 }
 
-// A permit is renewed for as long as a majority hears of it, and lost before another one gets it.
-func TestCutOff(t *testing.T) {
-	r := newRing(5, Bound{Number: 1}, Bound{})
-	r.agents[3].Want(r.now)
-	r.run(time.Minute)
-	if h := r.holders(); !reflect.DeepEqual(h, []int{3}) {
-		t.Fatalf("after a minute %v hold", h)
+// A permit is renewed while a majority of the voters receives the requests. A holder that is cut off from them loses its permit
+// before another router gets one.
+func TestIsolatedHolderLosesPermit(t *testing.T) {
+	f := newTestFleet(5, Bound{Number: 1}, Bound{})
+	f.agents[3].Want(f.now)
+	f.run(time.Minute)
+	if h := f.holders(); !reflect.DeepEqual(h, []int{3}) {
+		t.Fatalf("holders after a minute: %v", h)
 	}
-	r.cut[3] = true
-	r.agents[4].Want(r.now)
-	if most := r.run(2 * MostLease); most > 1 {
-		t.Errorf("%d out at once", most)
+	f.isolated[3] = true
+	f.agents[4].Want(f.now)
+	if maxHolders := f.run(2 * MostLease); maxHolders > 1 {
+		t.Errorf("%d routers held a permit at once", maxHolders)
 	}
-	if h := r.holders(); !reflect.DeepEqual(h, []int{4}) {
-		t.Errorf("at last %v hold", h)
+	if h := f.holders(); !reflect.DeepEqual(h, []int{4}) {
+		t.Errorf("holders at the end: %v", h)
 	}
-	if left := r.agents[4].Left(r.now); left <= 0 || left > MostLease {
-		t.Errorf("%v left", left)
+	if remaining := f.agents[4].Left(f.now); remaining <= 0 || remaining > MostLease {
+		t.Errorf("the permit lasts for another %v", remaining)
 	}
 }
 
-// Nobody may go out while others are down, or while less than half of the fleet is seen, and who asks is told why.
-func TestTrouble(t *testing.T) {
-	for name, spoil := range map[string]func(r *ring){
-		"one is down":     func(r *ring) { r.down[1] = true },
-		"half is unseen":  func(r *ring) { r.alive = 2 },
-		"most are silent": func(r *ring) { r.cut[0], r.cut[1], r.cut[2] = true, true, true },
+// No router gets a permit while others are down, while most of the fleet is not seen, or while most voters are cut off. The
+// status names a reason.
+func TestNoPermitDuringFailures(t *testing.T) {
+	for name, fail := range map[string]func(f *testFleet){
+		"one router is down":      func(f *testFleet) { f.down[1] = true },
+		"most routers are unseen": func(f *testFleet) { f.alive = 2 },
+		"most voters are cut off": func(f *testFleet) { f.isolated[0], f.isolated[1], f.isolated[2] = true, true, true },
 	} {
-		r := newRing(5, Bound{Number: 1}, Bound{})
-		spoil(r)
-		r.agents[4].Want(r.now)
-		if r.run(10*time.Second) > 0 {
-			t.Errorf("%s: it went out", name)
+		f := newTestFleet(5, Bound{Number: 1}, Bound{})
+		fail(f)
+		f.agents[4].Want(f.now)
+		if f.run(10*time.Second) > 0 {
+			t.Errorf("%s: the router got a permit", name)
 		}
-		if s := r.agents[4].Status(r.now); s.Phase != Asking || s.Why == "" {
+		if s := f.agents[4].Status(f.now); s.Phase != Asking || s.Why == "" {
 			t.Errorf("%s: %+v", name, s)
 		}
 	}
-	r := newRing(5, Bound{Number: 1}, Bound{})
-	r.down[4] = true // it drains already
-	if r.agents[4].Want(r.now); r.run(5*time.Second) != 1 {
-		t.Error("one that is down itself gets no permit")
+	f := newTestFleet(5, Bound{Number: 1}, Bound{})
+	f.down[4] = true // the requesting router is draining already
+	if f.agents[4].Want(f.now); f.run(5*time.Second) != 1 {
+		t.Error("a router that is down itself got no permit")
 	}
 }
 
-// As many electors as grant stay: those that are down, or silent since they have just started, count.
-func TestElectorsStay(t *testing.T) {
+// Permits leave a majority of the voters able to grant. Voters that are down, or that grant nothing because they have just
+// started, count as unable.
+func TestVoterMajorityStays(t *testing.T) {
 	for name, c := range map[string]struct {
 		young, down []int
-		seeker      int
-		out         bool
+		requester   int
+		granted     bool
 	}{
-		"all are there":               {nil, nil, 4, true},
-		"one has just started":        {[]int{0}, nil, 4, true},
-		"two have just started":       {[]int{0, 1}, nil, 4, false},
-		"one is down, one is new":     {[]int{0}, []int{1}, 4, false},
-		"the seeker has just started": {[]int{4, 0}, nil, 4, true},
+		"all voters serve":               {nil, nil, 4, true},
+		"one has just started":           {[]int{0}, nil, 4, true},
+		"two have just started":          {[]int{0, 1}, nil, 4, false},
+		"one is down, one is new":        {[]int{0}, []int{1}, 4, false},
+		"the requester has just started": {[]int{4, 0}, nil, 4, true},
 	} {
-		r := newRing(5, Bound{Number: 5}, Bound{})
+		f := newTestFleet(5, Bound{Number: 5}, Bound{})
 		young := map[int]bool{}
 		for _, i := range c.young {
 			young[i] = true
 		}
 		for _, i := range c.down {
-			r.down[i] = true
+			f.down[i] = true
 		}
-		for _, a := range r.agents {
-			a.See = func() Sight { return Sight{Alive: r.alive, Down: r.down, Young: young} }
+		for _, a := range f.agents {
+			a.See = func() Sight { return Sight{Alive: f.alive, Down: f.down, Young: young} }
 		}
-		r.agents[c.seeker].Want(r.now)
-		if out := r.run(5*time.Second) == 1; out != c.out {
-			t.Errorf("%s: out %v", name, out)
+		f.agents[c.requester].Want(f.now)
+		if granted := f.run(5*time.Second) == 1; granted != c.granted {
+			t.Errorf("%s: granted %v", name, granted)
 		}
 	}
-	r := newRing(7, Bound{Number: 7}, Bound{})
-	for _, a := range r.agents {
-		a.Want(r.now)
+	f := newTestFleet(7, Bound{Number: 7}, Bound{})
+	for _, a := range f.agents {
+		a.Want(f.now)
 	}
-	if most := r.run(20 * time.Second); most != 4 { // two that are no electors, and two of five that are
-		t.Errorf("%d out, 4 are meant", most)
+	if maxHolders := f.run(20 * time.Second); maxHolders != 4 { // two that are no voters, and two of five voters
+		t.Errorf("%d routers held a permit at once, want 4", maxHolders)
 	}
 }
 
-// Datagrams are read as they were written, and no others are.
+// A datagram decodes to the message that was encoded, and a corrupt one is rejected. Whatever arrives, an agent answers the
+// sender alone, with short datagrams.
 func FuzzParse(f *testing.F) {
-	a := &Ask{Permit: 7<<16 | 3, Seq: 9, Slots: []Slot{{0, 1}, {2, 0}}, For: MostLease}
-	r := &Reply{Permit: 7, Seq: 1, Why: Held, Slot: Slot{1, 2}, Holder: 5}
-	for _, b := range [][]byte{AppendAsk(1, 2, a), AppendAsk(1, 2, &Ask{Permit: 1, Seq: 2, Release: true}), AppendReply(3, 4, r)} {
+	request := &Ask{Permit: 7<<16 | 3, Seq: 9, Slots: []Slot{{0, 1}, {2, 0}}, Duration: MostLease}
+	reply := &Reply{Permit: 7, Seq: 1, Why: Held, Slot: Slot{1, 2}, Holder: 5}
+	for _, b := range [][]byte{AppendRequest(1, 2, request), AppendRequest(1, 2, &Ask{Permit: 1, Seq: 2, Release: true}),
+		AppendReply(3, 4, reply)} {
 		m, err := Parse(b)
-		if err != nil || m.Ask == nil == (m.Reply == nil) {
+		if err != nil || m.Request == nil == (m.Reply == nil) {
 			f.Fatalf("%v, %+v", err, m)
 		}
-		if m.Ask != nil && !m.Ask.Release && !reflect.DeepEqual(m.Ask, a) || m.Reply != nil && !reflect.DeepEqual(m.Reply, r) {
-			f.Fatalf("%+v is read otherwise", m)
+		if m.Request != nil && !m.Request.Release && !reflect.DeepEqual(m.Request, request) ||
+			m.Reply != nil && !reflect.DeepEqual(m.Reply, reply) {
+			f.Fatalf("%+v differs from what was encoded", m)
 		}
 		for i := range b {
 			b[i] ^= 0x10
 			if _, err := Parse(b); err == nil {
-				f.Fatalf("spoilt at %d, and read", i)
+				f.Fatalf("a datagram with a corrupt byte %d was accepted", i)
 			}
 			b[i] ^= 0x10
 		}
-		f.Add(b[:len(b)-checkBytes])
+		f.Add(b[:len(b)-checksumBytes])
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		agent := newRing(2, Bound{Number: 1}, Bound{}).agents[0]
+		agent := newTestFleet(2, Bound{Number: 1}, Bound{}).agents[0]
 		agent.Receive(MostLease, 1, b)
-		agent.Receive(MostLease, 1, seal(b))
+		agent.Receive(MostLease, 1, appendChecksum(b))
 		for _, d := range agent.Out() {
 			if d.To != 1 || len(d.Body) > 256 {
-				t.Errorf("%d bytes to %d", len(d.Body), d.To)
+				t.Errorf("%d bytes to router %d", len(d.Body), d.To)
 			}
 		}
 	})
--- a/internal/fleet/permit/clone.go
+++ b/internal/fleet/permit/clone.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// Clone is another elector that knows the same, for model checking.
-func (e *Elector) Clone() *Elector {
-	c := *e
-	c.leases, c.seqs = maps.Clone(e.leases), maps.Clone(e.seqs)
+// Clone returns a copy of the voter, for model checking.
+func (v *Elector) Clone() *Elector {
+	c := *v
+	c.leases, c.lastSeqs = maps.Clone(v.leases), maps.Clone(v.lastSeqs)
 	return &c
 }
 
-// Clone is another seeker that stands the same.
-func (s *Seeker) Clone() *Seeker {
-	c := *s
-	c.slots, c.answered, c.held, c.out = slices.Clone(s.slots), slices.Clone(s.answered), maps.Clone(s.held), slices.Clone(s.out)
+// Clone returns a copy of the acquirer, for model checking.
+func (a *Seeker) Clone() *Seeker {
+	c := *a
+	c.slots, c.answered, c.held, c.outgoing = slices.Clone(a.slots), slices.Clone(a.answered), maps.Clone(a.held),
+		slices.Clone(a.outgoing)
 	return &c
 }
 
-// AppendState appends all on which hangs what an elector will answer. Times are told from now on.
-func (e *Elector) AppendState(b []byte, now time.Duration) []byte {
-	b = binary.AppendVarint(b, int64(max(0, e.silent-now)))
+// AppendState appends an encoding of all state on which the voter's replies depend. Times are encoded relative to now.
+func (v *Elector) AppendState(b []byte, now time.Duration) []byte {
+	b = binary.AppendVarint(b, int64(max(0, v.silentUntil-now)))
 	var lines []string
-	for s, l := range e.leases {
-		if l.until > now {
+	for s, l := range v.leases {
+		if l.expires > now {
 			x := binary.AppendVarint(AppendSlot([]byte{1}, s), int64(l.permit))
-			lines = append(lines, string(binary.AppendVarint(x, int64(l.until-now))))
+			lines = append(lines, string(binary.AppendVarint(x, int64(l.expires-now))))
 		}
 	}
-	for p, q := range e.seqs {
-		if q.until > now {
+	for p, record := range v.lastSeqs {
+		if record.expires > now {
 			x := binary.AppendVarint([]byte{2}, int64(p))
-			lines = append(lines, string(binary.AppendVarint(binary.AppendVarint(x, int64(q.seq)), int64(q.until-now))))
+			lines = append(lines, string(binary.AppendVarint(binary.AppendVarint(x, int64(record.seq)), int64(record.expires-now))))
 		}
 	}
 	slices.Sort(lines)
@@ -44,16 +45,16 @@
 	return append(b, 0xff)
 }
 
-// AppendState appends all on which hangs what a seeker will do.
-func (s *Seeker) AppendState(b []byte, now time.Duration) []byte {
-	for _, x := range []int64{int64(s.Phase(now)), int64(s.seq), int64(now - s.sent), int64(now - s.again), int64(max(0, s.until-now)),
-		int64(s.granted), int64(s.refused), int64(s.returns)} {
+// AppendState appends an encoding of all state on which the acquirer's actions depend. Times are encoded relative to now.
+func (a *Seeker) AppendState(b []byte, now time.Duration) []byte {
+	for _, x := range []int64{int64(a.Phase(now)), int64(a.seq), int64(now - a.sent), int64(now - a.nextSend),
+		int64(max(0, a.heldUntil-now)), int64(a.grants), int64(a.refusals), int64(a.remainingReleases)} {
 		b = binary.AppendVarint(b, x)
 	}
-	for _, x := range s.slots {
+	for _, x := range a.slots {
 		b = AppendSlot(b, x)
 	}
-	for _, done := range s.answered {
+	for _, done := range a.answered {
 		if done {
 			b = append(b, 1)
 		} else {
@@ -61,8 +62,8 @@
 		}
 	}
 	var held []string
-	for x, p := range s.held {
-		held = append(held, string(binary.AppendVarint(AppendSlot(nil, x), int64(p))))
+	for x, permit := range a.held {
+		held = append(held, string(binary.AppendVarint(AppendSlot(nil, x), int64(permit))))
 	}
 	slices.Sort(held)
 	for _, x := range held {
--- a/internal/fleet/permit/wire.go
+++ b/internal/fleet/permit/wire.go
@@ -8,60 +8,64 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version is the first byte of each datagram: another one than the view's, which share an address with these.
+// Version is the first byte of each datagram. It differs from that of the view's datagrams, which use the same address.
 const Version = 2
 
-// A datagram is version 1, kind 1, from 2, to 2, permit 8, seq 4; then, of an ask, its time in ms 4, number of slots 1 and each
-// slot 3, or of a reply why 1, slot 3, holder 8; and 4 bytes of a checksum. All numbers have the most significant byte first.
+// A datagram begins with version 1, kind 1, from 2, to 2, permit 8, seq 4, where the figures are lengths in bytes. A request
+// goes on with its duration in ms 4, number of slots 1 and each slot 3; a reply with its reason 1, slot 3, holder 8. A
+// checksum of 4 bytes ends the datagram. All numbers are big-endian.
 const (
-	headBytes  = 18
-	checkBytes = 4
-	mostSlots  = 16 // of one ask, which has one in each group that bounds the seeker: two
+	headerBytes     = 18
+	checksumBytes   = 4
+	maxRequestSlots = 16 // of one request; it has one slot in each group that limits the holder, which are two
 
-	kindAsk     = 1
+	kindRequest = 1
 	kindRelease = 2
 	kindReply   = 3
 )
 
-var errBad = errors.New("no datagram of permits")
+var errMalformed = errors.New("malformed permit datagram")
 
-// Message is what was read: one of both is set.
+// Message is a decoded datagram. Either Request or Reply is set.
 type Message struct {
 	From, To uint16
-	Ask      *Ask
+	Request  *Ask
 	Reply    *Reply
 }
 
-// SlotBytes is the length of a slot in a datagram: its group 2, and the low byte of its number 1. The high bits of the number
-// stand in those bits of the group that no group uses, so that slots with numbers up to 255 read as ever.
+// SlotBytes is the length of a slot in a datagram: 2 bytes for its group and 1 for the low byte of its number. The high bits
+// of the number are in bits of the group that no group number uses, so that slots with numbers up to 255 are encoded as they
+// were before larger numbers existed.
 const SlotBytes = 3
 
 const (
 	numberShift = 10
-	numberBits  = 0x3c00 // of a group in a datagram
+	numberMask  = 0x3c00 // bits of an encoded group that hold the high bits of the slot's number
 )
 
-// MostPlaces is how many places a group can have: as many as a datagram tells apart, and more than a fleet of 1,024 routers or
-// servers needs of which all may be out at once.
-const MostPlaces = (numberBits>>numberShift + 1) << 8
+// MostPlaces is the largest number of slots that a group can have: as many as a datagram can tell apart. It is more than a
+// fleet of 1,024 routers or servers needs if all of them may be out of service at once.
+const MostPlaces = (numberMask>>numberShift + 1) << 8
 
-// MostZones is how many zones have groups of their own, for the same reason. What is in a further one counts as in the last.
-const MostZones = 1<<numberShift - 1
+// MaxZones is the number of zones that have groups of their own, limited by the encoding too. Members of any further zone
+// count in the group of the last.
+const MaxZones = 1<<numberShift - 1
 
-// AppendSlot writes a slot.
+// AppendSlot appends an encoded slot.
 func AppendSlot(b []byte, s Slot) []byte {
 	high := s.Number >> 8 << numberShift
 	return append(binary.BigEndian.AppendUint16(b, s.Group|high), byte(s.Number))
 }
 
-// ReadSlot reads a slot of SlotBytes.
+// ReadSlot decodes a slot from the first SlotBytes of b.
 func ReadSlot(b []byte) Slot {
 	group := binary.BigEndian.Uint16(b)
-	high := group & numberBits >> numberShift << 8
-	return Slot{Group: group &^ numberBits, Number: high | uint16(b[2])}
+	high := group & numberMask >> numberShift << 8
+	return Slot{Group: group &^ numberMask, Number: high | uint16(b[2])}
 }
 
-func head(kind byte, from, to uint16, permit uint64, seq uint32) []byte {
+// newDatagram returns a datagram's header.
+func newDatagram(kind byte, from, to uint16, permit uint64, seq uint32) []byte {
 	b := append(make([]byte, 0, 96), Version, kind)
 	b = binary.BigEndian.AppendUint16(b, from)
 	b = binary.BigEndian.AppendUint16(b, to)
@@ -69,53 +73,57 @@
 	return binary.BigEndian.AppendUint32(b, seq)
 }
 
-func seal(b []byte) []byte { return binary.BigEndian.AppendUint32(b, uint32(xxhash.Sum64(b))) }
+// appendChecksum appends the checksum that ends a datagram.
+func appendChecksum(b []byte) []byte {
+	return binary.BigEndian.AppendUint32(b, uint32(xxhash.Sum64(b)))
+}
 
-// AppendAsk writes an ask of at most 16 slots.
-func AppendAsk(from, to uint16, a *Ask) []byte {
-	if a.Release {
-		return seal(head(kindRelease, from, to, a.Permit, a.Seq))
+// AppendRequest returns the datagram of a request of at most 16 slots, or of a release.
+func AppendRequest(from, to uint16, request *Ask) []byte {
+	if request.Release {
+		return appendChecksum(newDatagram(kindRelease, from, to, request.Permit, request.Seq))
 	}
-	b := head(kindAsk, from, to, a.Permit, a.Seq)
-	b = binary.BigEndian.AppendUint32(b, uint32(a.For.Milliseconds()))
-	b = append(b, byte(len(a.Slots)))
-	for _, s := range a.Slots {
+	b := newDatagram(kindRequest, from, to, request.Permit, request.Seq)
+	b = binary.BigEndian.AppendUint32(b, uint32(request.Duration.Milliseconds()))
+	b = append(b, byte(len(request.Slots)))
+	for _, s := range request.Slots {
 		b = AppendSlot(b, s)
 	}
-	return seal(b)
+	return appendChecksum(b)
 }
 
-// AppendReply writes a reply.
-func AppendReply(from, to uint16, r *Reply) []byte {
-	b := append(head(kindReply, from, to, r.Permit, r.Seq), byte(r.Why))
-	return seal(binary.BigEndian.AppendUint64(AppendSlot(b, r.Slot), r.Holder))
+// AppendReply returns the datagram of a reply.
+func AppendReply(from, to uint16, reply *Reply) []byte {
+	b := append(newDatagram(kindReply, from, to, reply.Permit, reply.Seq), byte(reply.Why))
+	return appendChecksum(binary.BigEndian.AppendUint64(AppendSlot(b, reply.Slot), reply.Holder))
 }
 
-// Parse reads a datagram. Whatever is wrong, nothing of it counts.
+// Parse decodes a datagram. It returns an error, and neither a request nor a reply, if any part of the datagram is invalid.
 func Parse(b []byte) (m Message, err error) {
-	if len(b) < headBytes+checkBytes || b[0] != Version {
-		return m, errBad
+	if len(b) < headerBytes+checksumBytes || b[0] != Version {
+		return m, errMalformed
 	}
-	body := b[:len(b)-checkBytes]
+	body := b[:len(b)-checksumBytes]
 	if uint32(xxhash.Sum64(body)) != binary.BigEndian.Uint32(b[len(body):]) {
-		return m, errBad
+		return m, errMalformed
 	}
 	kind := body[1]
 	m.From, m.To = binary.BigEndian.Uint16(body[2:]), binary.BigEndian.Uint16(body[4:])
 	permit, seq := binary.BigEndian.Uint64(body[6:]), binary.BigEndian.Uint32(body[14:])
-	body = body[headBytes:]
+	body = body[headerBytes:]
 	switch {
 	case kind == kindRelease && len(body) == 0:
-		m.Ask = &Ask{Permit: permit, Seq: seq, Release: true}
-	case kind == kindAsk && len(body) >= 5 && body[4] > 0 && body[4] <= mostSlots && len(body) == 5+int(body[4])*SlotBytes:
-		m.Ask = &Ask{Permit: permit, Seq: seq, For: time.Duration(binary.BigEndian.Uint32(body)) * time.Millisecond}
+		m.Request = &Ask{Permit: permit, Seq: seq, Release: true}
+	case kind == kindRequest && len(body) >= 5 && body[4] > 0 && body[4] <= maxRequestSlots && len(body) == 5+int(body[4])*SlotBytes:
+		m.Request = &Ask{Permit: permit, Seq: seq, Duration: time.Duration(binary.BigEndian.Uint32(body)) * time.Millisecond}
 		for body = body[5:]; len(body) > 0; body = body[SlotBytes:] {
-			m.Ask.Slots = append(m.Ask.Slots, ReadSlot(body))
+			m.Request.Slots = append(m.Request.Slots, ReadSlot(body))
 		}
-	case kind == kindReply && len(body) == 1+SlotBytes+8 && Why(body[0]) <= Refused:
-		m.Reply = &Reply{Permit: permit, Seq: seq, Why: Why(body[0]), Slot: ReadSlot(body[1:]), Holder: binary.BigEndian.Uint64(body[4:])}
+	case kind == kindReply && len(body) == 1+SlotBytes+8 && Reason(body[0]) <= Invalid:
+		m.Reply = &Reply{Permit: permit, Seq: seq, Why: Reason(body[0]), Slot: ReadSlot(body[1:]),
+			Holder: binary.BigEndian.Uint64(body[4:])}
 	default:
-		return m, errBad
+		return m, errMalformed
 	}
 	return m, nil
 }
