--- a/internal/fleet/drains/drains.go
+++ b/internal/fleet/drains/drains.go
@@ -2,9 +2,9 @@
 // stands between discovery and the listeners to its server lists, and changes the entries of drained slot caches. The decision
 // module treats a slot cache that operators drain like one that discovery lists as draining.
 //
-// A drain may be gradual: the slot cache's weight falls over a time, so that its keys move to the next slot caches in their
-// order a few at a time, and neither the origin nor those slot caches get all of its misses at once. When the drain ends, the
-// weight rises in the same way.
+// A drain may be gradual: the slot cache's weight falls over a time, so that its keys move, a few at a time, to the slot caches
+// that are next in line for them. Neither the origin nor those slot caches then get all of its misses at once. When the drain
+// ends, the weight rises in the same way.
 package drains
 
 import (
--- a/internal/fleet/notes/answer.go
+++ b/internal/fleet/notes/answer.go
@@ -60,8 +60,8 @@
 	return list
 }
 
-// trueLast compares two items of which exactly one meets a condition, and sorts that one last. first reports whether it is
-// the first.
+// trueLast returns the result of comparing two items of which exactly one meets a condition and is to be sorted last. first
+// says whether it is the first item.
 func trueLast(first bool) int {
 	if first {
 		return 1
--- a/internal/fleet/notes/manager.go
+++ b/internal/fleet/notes/manager.go
@@ -11,9 +11,9 @@
 
 // The owner of a lease renews its permit and announces the lease again with each renewal. If it has not done so for a while,
 // another router takes over the permit: the first one after the owner that is alive, or the owner itself in its next
-// incarnation.
+// incarnation. A renewal is due when two thirds of the permit's time remain.
 const (
-	takeOverBelow       = 5 * time.Second // remaining time below which others take a lease over; the owner renews it at two thirds
+	takeOverBelow       = 5 * time.Second // remaining time below which others take a lease over
 	overdueBelow        = 6 * time.Second // remaining time below which others pull from the owner, in case it has renewed the lease
 	renewalPullInterval = 60 * time.Millisecond
 	takeOverDelay       = 100 * time.Millisecond // between the turns of two successive routers to take a lease over
@@ -29,7 +29,8 @@
 	ErrFull = fmt.Errorf("%d leases are known already, which is the maximum", MostNotes)
 )
 
-// ErrTaken is the error that another lease for the same slot cache or release exists. Router is its owner.
+// ErrTaken reports that a lease for the same slot cache or release exists or is requested already. Router is the router that
+// manages it.
 type ErrTaken struct{ Router int }
 
 // Error implements error.
@@ -68,7 +69,7 @@
 }
 
 // Ask requests a permit with a slot in each of the groups. Once it is granted this router announces a lease with the body.
-// The lease ends by itself after the duration. The error is ErrTaken or ErrFull.
+// The lease ends by itself after the duration. The error is an *ErrTaken or ErrFull.
 func (k *Keeper) Ask(now time.Duration, key Key, groups []uint16, body string, duration time.Duration) error {
 	current, _, known := k.Get(now, key)
 	switch {
--- a/internal/fleet/notes/store.go
+++ b/internal/fleet/notes/store.go
@@ -79,9 +79,9 @@
 	Lease
 	expires  time.Duration // when this router stops believing the lease
 	endsAt   time.Duration // when the drain or release ends by itself
-	hash     uint64        // the lease's share of the store's checksum
+	hash     uint64        // hashLease of the lease
 	received time.Duration // when it was stored
-	answers  int           // number of answers that had it
+	answers  int           // number of answers that have included the lease
 	sentTo   routerSet     // routers to which an answer with it was sent
 }
 
@@ -89,12 +89,13 @@
 	fanout         = 4 // routers to which one round announces a change
 	announceRounds = 3 // rounds for each change: all but one in 100,000 routers hear at once, and the rest within pullInterval
 	roundInterval  = 60 * time.Millisecond
-	pullInterval   = time.Second      // between pulls from random routers, while leases are known and after the start
-	startupPeriod  = 10 * time.Second // for which a router that has started pulls although it knows of no lease
+	pullInterval   = time.Second      // between pulls from random routers, sent while leases are known and during startupPeriod
+	startupPeriod  = 10 * time.Second // after the start, in which a router pulls even if it knows no lease
 	pullTimeout    = 2 * time.Second  // after which an answer is ignored
 
 	// maxPulls is how many pulls may be open at once. It limits the work of pulling, not the number of leases that can be learned.
-	// Once half of them are open, pulls are spaced by minPullInterval, so that no more are sent than time out.
+	// Once half of them are open, pulls are spaced by minPullInterval, so that they are sent no
+	// faster than they time out.
 	maxPulls        = 64
 	minPullInterval = pullTimeout / (maxPulls / 2)
 
@@ -116,7 +117,7 @@
 	random            func() uint64
 	started           time.Duration
 	leases            map[Key]*storedLease
-	checksum          uint64                   // equal at two routers that know the same leases
+	checksum          uint64                   // XOR of the hashes of all leases: equal at two routers that know the same leases
 	nextExpiry        time.Duration            // no lease expires before this
 	roundsLeft        int                      // rounds of announcements that are still due
 	nextRound         time.Duration            // when the next round is due
@@ -221,7 +222,7 @@
 	}
 }
 
-// hashLease returns a lease's share of the store's checksum.
+// hashLease returns a hash of the fields that tell versions of a lease apart. The store's checksum is the XOR of these hashes.
 func hashLease(lease *Lease) uint64 {
 	var b [15]byte
 	b[0] = byte(lease.Kind)
--- a/internal/fleet/permit/agent.go
+++ b/internal/fleet/permit/agent.go
@@ -23,14 +23,13 @@
 	return list
 }
 
-// Numbers of the groups: of routers, of slot caches, and the group with a single slot that a release holds while it runs. The
-// groups of the further zones follow that of the first zone.
+// Numbers of the groups.
 const (
-	WholeFleet     uint16 = 0
-	FirstZone      uint16 = 1
-	AllCaches      uint16 = 0x4000
-	FirstCacheZone uint16 = 0x4001
-	Releases       uint16 = 0x8000
+	WholeFleet     uint16 = 0      // all routers
+	FirstZone      uint16 = 1      // routers of the first zone; the groups of further zones follow
+	AllCaches      uint16 = 0x4000 // all slot caches
+	FirstCacheZone uint16 = 0x4001 // slot caches of the first zone; the groups of further zones follow
+	Releases       uint16 = 0x8000 // releases; it has one slot, so that one release runs at a time
 )
 
 // zoneGroup returns the group of a zone, where first is the group of the first zone. A negative zone is unknown and has no
@@ -76,7 +75,7 @@
 
 // Agent is one router's side of the permits: a voter, if the router is one, and the acquirers of the permits that it requests.
 type Agent struct {
-	Self, Of int           // number of this router, and of all routers
+	Self, Of int           // this router's number, and how many routers there are
 	Zone     int           // this router's zone
 	Fleet    Bound         // how many routers may be out of service
 	PerZone  Bound         // how many routers of a zone; a fraction is one of the routers seen in it; the zero value sets no limit
@@ -151,8 +150,8 @@
 
 // keepsVoterMajority reports whether a majority of the voters can still grant permits while the requesting router is out of
 // service, and afterwards while it grants nothing because it has just started. Without a majority no permit could be renewed in
-// that time, and all that depends on a permit would be lost. With fewer than three voters this can't be avoided, and the result
-// is true.
+// that time, and all that depends on a permit would be lost. With fewer than three voters no majority could be kept, and the
+// result is true.
 func (a *Agent) keepsVoterMajority(fleet *Sight, unavailable map[int]bool, requester int) bool {
 	if len(a.voters) < 3 || !slices.Contains(a.voters, requester) {
 		return true
--- a/internal/fleet/permit/voter.go
+++ b/internal/fleet/permit/voter.go
@@ -1,6 +1,6 @@
 // Package permit decides which routers and slot caches of a fleet may be out of service. A permit is a lease of one numbered
-// slot in each group that limits its holder, and a majority of voters grants it. A slot has one holder at a time, so that a
-// group of K slots has no more than K members out of service.
+// slot in each group that limits its holder, and a majority of voters grants it. A slot has one holder at a time. A group
+// of K slots therefore has no more than K members out of service.
 //
 // The leases are those of Gray and Cheriton ("Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
 // Consistency", SOSP 1989), granted by a majority without a disk as in PaxosLease (Trencseni, Gazso and Reinhardt, 2012): a
@@ -23,7 +23,7 @@
 
 // Ask is the request that an acquirer sends to each voter.
 type Ask struct {
-	Permit   uint64 // a random number; each time that something goes out of service has its own permit
+	Permit   uint64 // a random ID, new for each time that something goes out of service
 	Seq      uint32 // rises with each request for this permit
 	Slots    []Slot
 	Duration time.Duration // of the lease, up to MostLease
--- a/internal/fleet/permit/wire.go
+++ b/internal/fleet/permit/wire.go
@@ -17,7 +17,7 @@
 const (
 	headerBytes     = 18
 	checksumBytes   = 4
-	maxRequestSlots = 16 // of one request; it has one slot in each group that limits the holder, which are two
+	maxRequestSlots = 16 // a request needs one slot in each group that limits its holder: two
 
 	kindRequest = 1
 	kindRelease = 2
@@ -47,7 +47,7 @@
 // fleet of 1,024 routers or servers needs if all of them may be out of service at once.
 const MostPlaces = (numberMask>>numberShift + 1) << 8
 
-// MaxZones is the number of zones that have groups of their own, limited by the encoding too. Members of any further zone
+// MaxZones is the number of zones that have groups of their own, which the encoding limits too. Members of any further zone
 // count in the group of the last.
 const MaxZones = 1<<numberShift - 1
 
