--- a/internal/fleet/permit/acquirer.go
+++ b/internal/fleet/permit/acquirer.go
@@ -30,8 +30,8 @@
 	Ended         // it has given the permit back, or lost it
 )
 
-// Seeker is an acquirer: it acquires, renews and releases one permit. It serves for one time that something goes out of
-// service; the next time needs a new Seeker.
+// Seeker acquires, renews and releases one permit. It serves for one time that something goes out of service; the next time
+// needs a new one.
 type Seeker struct {
 	Permit uint64
 	Lease  time.Duration
--- a/internal/fleet/permit/voter.go
+++ b/internal/fleet/permit/voter.go
@@ -21,7 +21,7 @@
 	Number uint16 // from 0 to K-1 in a group of K slots; less than MostPlaces
 }
 
-// Ask is the request that an acquirer sends to each voter.
+// Ask asks a voter to grant, renew or release a permit. An acquirer sends it to each voter.
 type Ask struct {
 	Permit   uint64 // a random ID, new for each time that something goes out of service
 	Seq      uint32 // rises with each request for this permit
