--- a/internal/fleet/peers/compare.go
+++ b/internal/fleet/peers/compare.go
@@ -7,82 +7,84 @@
 	"strings"
 )
 
-// Asked is what came of asking one router for its view.
+// Asked is the result of requesting one router's view of the fleet.
 type Asked struct {
-	Addr string  `json:"asked"`
-	Err  string  `json:"error,omitempty"`
+	Addr string  `json:"asked"`           // address of the router's operators' interface
+	Err  string  `json:"error,omitempty"` // why there is no view
 	View *Report `json:"view,omitempty"`
 }
 
-// Differences tells in one line each what several views say differently of a router, and which routers run another
-// program or have other settings than most.
+// Differences compares the views of several routers. It returns a line for each router about which the views differ, and a
+// line for each program version or hash of settings that differs from that of the most routers.
 func Differences(all []Asked) (lines []string) {
-	most := 0
+	routers := 0
 	for _, a := range all {
 		if a.View != nil {
-			most = max(most, len(a.View.Members))
+			routers = max(routers, len(a.View.Members))
 		}
 	}
-	for i := range most {
-		said := map[string][]string{}
+	for i := range routers {
+		addrsByState := map[string][]string{}
 		for _, a := range all {
-			if a.View == nil || a.View.Self == i { // what a router says of itself is ahead of all others
+			if a.View == nil || a.View.Self == i { // a router knows its own changes before all others
 				continue
 			}
-			what := "not in the list"
+			state := "not in the list"
 			if i < len(a.View.Members) {
 				m := &a.View.Members[i]
-				if what = m.State; m.State != "unknown" {
-					what += " " + m.Phase + " life " + m.Life
+				if state = m.State; m.State != "unknown" {
+					state += " " + m.Phase + " life " + m.Life
 				}
 			}
-			said[what] = append(said[what], a.Addr)
+			addrsByState[state] = append(addrsByState[state], a.Addr)
 		}
-		if len(said) < 2 {
+		if len(addrsByState) < 2 {
 			continue
 		}
 		var parts []string
-		for what, who := range said {
-			parts = append(parts, fmt.Sprintf("%s at %s", what, strings.Join(who, ", ")))
+		for state, addrs := range addrsByState {
+			parts = append(parts, fmt.Sprintf("%s at %s", state, strings.Join(addrs, ", ")))
 		}
 		slices.Sort(parts)
 		lines = append(lines, fmt.Sprintf("router %d: %s", i, strings.Join(parts, "; ")))
 	}
-	lines = append(lines, odd(all, "program", func(m *Member) string { return m.Version })...)
-	return append(lines, odd(all, "settings", func(m *Member) string { return m.Settings })...)
+	lines = append(lines, minorities(all, "program", func(m *Member) string { return m.Version })...)
+	return append(lines, minorities(all, "settings", func(m *Member) string { return m.Settings })...)
 }
 
-// odd names the routers whose figure is another than that of most, as the first view that was got has it.
-func odd(all []Asked, name string, figure func(m *Member) string) (lines []string) {
-	at := slices.IndexFunc(all, func(a Asked) bool { return a.View != nil })
-	if at < 0 {
+// minorities returns a line for each value of a property that differs from the most frequent value, with the routers that
+// have it. It uses the first view that could be fetched.
+func minorities(all []Asked, name string, property func(m *Member) string) (lines []string) {
+	first := slices.IndexFunc(all, func(a Asked) bool { return a.View != nil })
+	if first < 0 {
 		return nil
 	}
-	by := map[string][]int{}
-	for i := range all[at].View.Members {
-		m := &all[at].View.Members[i]
-		if f := figure(m); f != "" && (m.State == "alive" || m.State == "suspect") {
-			by[f] = append(by[f], m.Number)
+	routersByValue := map[string][]int{}
+	for i := range all[first].View.Members {
+		m := &all[first].View.Members[i]
+		if value := property(m); value != "" && (m.State == "alive" || m.State == "suspect") {
+			routersByValue[value] = append(routersByValue[value], m.Number)
 		}
 	}
-	var figures []string
-	for f := range by {
-		figures = append(figures, f)
+	var values []string
+	for value := range routersByValue {
+		values = append(values, value)
 	}
-	slices.SortFunc(figures, func(a, b string) int {
-		return cmp.Or(len(by[b])-len(by[a]), strings.Compare(a, b))
+	slices.SortFunc(values, func(a, b string) int {
+		return cmp.Or(len(routersByValue[b])-len(routersByValue[a]), strings.Compare(a, b))
 	})
-	for _, f := range figures[min(1, len(figures)):] {
-		lines = append(lines, fmt.Sprintf("%s %s at %d routers, %s at %d: %s", name, figures[0], len(by[figures[0]]), f, len(by[f]), few(by[f])))
+	for _, value := range values[min(1, len(values)):] {
+		lines = append(lines, fmt.Sprintf("%s %s at %d routers, %s at %d: %s", name, values[0], len(routersByValue[values[0]]),
+			value, len(routersByValue[value]), firstNumbers(routersByValue[value])))
 	}
 	return lines
 }
 
-// few names some routers.
-func few(list []int) string {
-	const most = 12
-	text := strings.Trim(fmt.Sprint(list[:min(most, len(list))]), "[]")
-	if len(list) > most {
+// firstNumbers returns the text of the first numbers of a list.
+func firstNumbers(list []int) string {
+	const maxNumbers = 12
+	text := strings.Trim(fmt.Sprint(list[:min(maxNumbers, len(list))]), "[]")
+	if len(list) > maxNumbers {
 		text += " ..."
 	}
 	return text
--- a/internal/fleet/peers/drains.go
+++ b/internal/fleet/peers/drains.go
@@ -13,20 +13,21 @@
 	"hoptiller/internal/fleet/permit"
 )
 
-// Drained is a slot cache that is out by operators' word, or that this router asks to be.
+// Drained is a slot cache that operators have drained, or for which this router has requested the permit to drain it.
 type Drained struct {
 	Cache  string  `json:"cache"`
-	State  string  `json:"state"` // asking, or out
-	Why    string  `json:"why,omitempty"`
-	Router int     `json:"router"` // that keeps it so
-	Ends   float64 `json:"ends_s"` // by itself, in so many seconds
+	State  string  `json:"state"`         // "asking" while the permit is requested, "out" while the slot cache is drained
+	Why    string  `json:"why,omitempty"` // why the permit was last refused
+	Router int     `json:"router"`        // number of the router that holds or requests the permit
+	Ends   float64 `json:"ends_s"`        // seconds until the drain ends by itself
 }
 
-// MostDrain is the longest that a slot cache may be drained for.
+// MostDrain is the longest time for which a slot cache may be drained.
 const MostDrain = 7 * 24 * time.Hour
 
-// A drain's note says over how many ms it comes, and whether it has.
-func drainBody(d drains.Drain) string {
+// encodeDrain returns the body of a drain's lease: the time in ms over which the weight falls, and whether the drain is
+// complete.
+func encodeDrain(d drains.Drain) string {
 	b := binary.BigEndian.AppendUint32(nil, uint32(d.Over.Milliseconds()))
 	if d.Whole {
 		return string(append(b, 1))
@@ -34,93 +35,99 @@
 	return string(append(b, 0))
 }
 
-func readDrain(body string) drains.Drain {
+// decodeDrain decodes the body of a drain's lease.
+func decodeDrain(body string) drains.Drain {
 	if len(body) != 5 {
-		return drains.Drain{} // of another version: at once
+		return drains.Drain{} // a format of another version: drain at once
 	}
 	return drains.Drain{Over: time.Duration(binary.BigEndian.Uint32([]byte(body))) * time.Millisecond, Whole: body[4] == 1}
 }
 
-// saidOf is what was logged of a slot cache that is drained.
-type saidOf struct {
-	name  string
-	whole bool
+// loggedDrain is what was logged about the drain of a slot cache.
+type loggedDrain struct {
+	cacheName string
+	complete  bool
 }
 
-// drains are the slot caches that are out, and are logged as they change; p.mu is held. The name stands in the event's kind, which
-// is what the log bounds: each slot cache's drain is told, however many there are.
-func (p *Peers) drains() map[uint32]drains.Drain {
-	if p.keeper == nil || p.set.Aside == nil {
+// currentDrains returns the slot caches that are drained and logs the changes since the last call. The caller holds p.mu.
+// The messages contain the name of the slot cache, because the log limits the number of lines with the same message. So
+// the drain of each slot cache is logged, regardless of their number.
+func (p *Peers) currentDrains() map[uint32]drains.Drain {
+	if p.leases == nil || p.settings.Aside == nil {
 		return nil
 	}
 	now := p.now()
-	out := map[uint32]drains.Drain{}
-	for _, n := range p.keeper.All(now) {
-		if n.Kind == notes.Release && int(n.Owner) != p.keeps {
-			p.keeps, p.driverAt = int(n.Owner), now // whoever keeps it from now on has not heard its driver yet, who may be there
+	current := map[uint32]drains.Drain{}
+	for _, lease := range p.leases.All(now) {
+		if lease.Kind == notes.Release && int(lease.Owner) != p.releaseOwner {
+			// The release has a new owner, which has not heard from the driver yet. Because the driver may still be running,
+			// its DriverTimeout starts anew.
+			p.releaseOwner, p.driverHeardAt = int(lease.Owner), now
 		}
-		if n.Kind != notes.Cache {
+		if lease.Kind != notes.Cache {
 			continue
 		}
-		d := readDrain(n.Body)
-		out[n.ID] = d
-		s := p.said[n.ID]
-		if s == nil {
-			s = &saidOf{name: p.cacheName(n.ID)}
-			p.said[n.ID] = s
-			slog.Info("slot cache "+s.name+" drained", "router", n.Owner, "over", d.Over)
+		d := decodeDrain(lease.Body)
+		current[lease.ID] = d
+		logged := p.loggedDrains[lease.ID]
+		if logged == nil {
+			logged = &loggedDrain{cacheName: p.cacheName(lease.ID)}
+			p.loggedDrains[lease.ID] = logged
+			slog.Info("slot cache "+logged.cacheName+" drained", "router", lease.Owner, "over", d.Over)
 		}
-		if whole := p.set.Aside.Whole(n.ID); whole && !s.whole {
-			s.whole = true
-			slog.Info("slot cache " + s.name + " gets nothing new")
-			d.Whole = true                            // who learns of it from now on need not begin
-			p.keeper.Change(now, n.Key, drainBody(d)) // no matter if another router keeps it: that one says so
+		if complete := p.settings.Aside.Whole(lease.ID); complete && !logged.complete {
+			logged.complete = true
+			slog.Info("slot cache " + logged.cacheName + " gets nothing new")
+			d.Whole = true                                  // routers that learn of the drain from now on drain the slot cache at once
+			p.leases.Change(now, lease.Key, encodeDrain(d)) // fails if another router owns the lease; that one changes it itself
 		}
 	}
-	for id, s := range p.said {
-		if _, still := out[id]; !still {
-			slog.Info("slot cache " + s.name + " drained no more")
-			delete(p.said, id)
+	for id, logged := range p.loggedDrains {
+		if _, stillDrained := current[id]; !stillDrained {
+			slog.Info("slot cache " + logged.cacheName + " drained no more")
+			delete(p.loggedDrains, id)
 		}
 	}
-	return out
+	return current
 }
 
 func (p *Peers) cacheName(id uint32) string {
-	if name := p.set.Aside.Name(id); name != "" {
+	if name := p.settings.Aside.Name(id); name != "" {
 		return name
 	}
 	return fmt.Sprintf("s-%08x", id)
 }
 
-// ErrNoCache says that no slot cache of this name is listed.
+// ErrNoCache is the error for the name of a slot cache that is not in the list of cache servers.
 var ErrNoCache = errors.New("no slot cache of this name is listed")
 
-// DrainCache asks the fleet that a slot cache may be out, and has it drained by all routers once the fleet lets it, over a
-// time; it serves again after a time by itself. The error is ErrNoCache, or one of package notes.
-func (p *Peers) DrainCache(name string, last, over time.Duration) error {
-	s, ok := p.set.Aside.Find(name)
+// DrainCache requests a permit for draining a slot cache. Once it is granted, all routers drain the slot cache: its weight
+// falls to zero over rampTime. The drain ends by itself after maxDuration. The error is ErrNoCache or one of package
+// notes.
+func (p *Peers) DrainCache(name string, maxDuration, rampTime time.Duration) error {
+	server, ok := p.settings.Aside.Find(name)
 	if !ok {
 		return ErrNoCache
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.flush()
-	key := notes.Key{Kind: notes.Cache, ID: s.ID}
-	return p.keeper.Ask(p.now(), key, p.set.Agent.CacheGroups(s.Zone), drainBody(drains.Drain{Over: over}), last)
+	key := notes.Key{Kind: notes.Cache, ID: server.ID}
+	return p.leases.Ask(p.now(), key, p.settings.Agent.CacheGroups(server.Zone),
+		encodeDrain(drains.Drain{Over: rampTime}), maxDuration)
 }
 
-// ActivateCache has a slot cache serve again, whichever router was asked to drain it.
+// ActivateCache ends the drain of a slot cache, whichever router was asked to drain it.
 func (p *Peers) ActivateCache(name string) error {
-	s, listed := p.set.Aside.Find(name)
+	server, listed := p.settings.Aside.Find(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.flush()
-	key := notes.Key{Kind: notes.Cache, ID: s.ID}
-	if !listed { // it may be drained still
+	key := notes.Key{Kind: notes.Cache, ID: server.ID}
+	if !listed { // the slot cache may still be drained
 		key.ID = 0
-		for id, said := range p.said {
-			if said.name == name {
+		for id, logged := range p.loggedDrains {
+			if logged.cacheName == name {
 				key.ID = id
 			}
 		}
@@ -128,140 +135,148 @@
 			return ErrNoCache
 		}
 	}
-	return p.keeper.Undo(p.now(), key)
+	return p.leases.Undo(p.now(), key)
 }
 
-// drained is for the report; p.mu is held.
-func (p *Peers) drained() (list []Drained) {
+// reportDrains returns the drained slot caches for a Report. The caller holds p.mu.
+func (p *Peers) reportDrains() (list []Drained) {
 	now := p.now()
-	told := map[notes.Key]bool{}
-	for _, n := range p.keeper.All(now) {
-		if n.Kind == notes.Cache {
-			told[n.Key] = true
-			list = append(list, Drained{Cache: p.cacheName(n.ID), State: "out", Router: int(n.Owner), Ends: n.Ends.Seconds()})
+	granted := map[notes.Key]bool{}
+	for _, lease := range p.leases.All(now) {
+		if lease.Kind == notes.Cache {
+			granted[lease.Key] = true
+			list = append(list, Drained{Cache: p.cacheName(lease.ID), State: "out", Router: int(lease.Owner), Ends: lease.Ends.Seconds()})
 		}
 	}
-	for _, key := range p.keeper.Kept() {
-		if key.Kind == notes.Cache && !told[key] {
-			_, why := p.keeper.Stand(now, key)
-			list = append(list, Drained{Cache: p.cacheName(key.ID), State: "asking", Why: why, Router: p.set.Self, Ends: p.keeper.Ends(now, key).Seconds()})
+	for _, key := range p.leases.Kept() {
+		if key.Kind == notes.Cache && !granted[key] {
+			_, reason := p.leases.Stand(now, key)
+			list = append(list, Drained{Cache: p.cacheName(key.ID), State: "asking", Why: reason, Router: p.settings.Self,
+				Ends: p.leases.Ends(now, key).Seconds()})
 		}
 	}
 	return list
 }
 
-// releaseKey is the one of a fleet's release: there is one at a time.
+// releaseKey is the key of the fleet's release. There is one release at a time.
 var releaseKey = notes.Key{Kind: notes.Release, ID: 1}
 
 const (
-	// DriverTime is how long after its last word a release's driver is taken for gone.
-	DriverTime = 15 * time.Second
-	// releaseTime is how long the fleet remembers a release whose driver is gone.
-	releaseTime = 24 * time.Hour
+	// DriverTimeout is the time after which the driver of a release counts as gone if the router that owns the release has
+	// not heard from it.
+	DriverTimeout = 15 * time.Second
+	// releaseDuration is how long the fleet keeps a release whose driver has gone.
+	releaseDuration = 24 * time.Hour
 
-	// Names of releases and drivers, and what a driver says of where it stands, have so many bytes at the most: a note's body has
-	// room for these. A driver that replaces more routers than the last one can name says that they are many.
-	MostName  = 24
-	MostBy    = 28
-	MostStage = 64
+	// The names of a release and of its driver, and the stage that the driver states, are limited to this many bytes, so that they
+	// fit into the body of a lease. A driver that replaces more routers than a stage can list states that they are many.
+	MaxReleaseName = 24
+	MaxDriverName  = 28
+	MaxStage       = 64
 )
 
-// Running is a release that the fleet knows.
+// Running is a release that the fleet runs or that this router has requested.
 type Running struct {
 	ID     string `json:"id"`
-	By     string `json:"by"`    // the driver
-	Stage  string `json:"stage"` // as the driver said last
-	Router int    `json:"router"`
-	State  string `json:"state"` // asking, or held
-	Why    string `json:"why,omitempty"`
+	By     string `json:"by"`            // name of the driver
+	Stage  string `json:"stage"`         // the stage that the driver stated last
+	Router int    `json:"router"`        // number of the router that owns or requests the release
+	State  string `json:"state"`         // "asking" while the permit is requested, "held" afterwards
+	Why    string `json:"why,omitempty"` // why the permit was last refused
 }
 
-// ErrRuns says that another driver, or another release, has the fleet.
+// ErrRuns is the error of a driver's call while another driver runs the release, or while the fleet runs another release.
 type ErrRuns struct {
 	Running
-	Gone bool // this router keeps it, and its driver has not spoken for long
+	DriverGone bool // this router owns the release and has not heard from its driver for DriverTimeout
 }
 
 // Error implements error.
 func (e *ErrRuns) Error() string {
 	text := fmt.Sprintf("release %s is run by %s (%s), kept by router %d", e.ID, e.By, e.Stage, e.Router)
-	if e.Gone {
-		text += "; its driver is gone: go on with it or end it first"
+	if e.DriverGone {
+		text += "; its driver is gone: continue the release or end it first"
 	}
 	return text
 }
 
-// ErrEnded says that operators have ended a release.
+// ErrEnded is the error of a driver's call after operators have ended its release.
 var ErrEnded = errors.New("the release was ended")
 
-func releaseBody(id, by, stage string) string {
-	if len(stage) > MostStage {
-		stage = stage[:MostStage]
+// encodeRelease returns the body of a release's lease.
+func encodeRelease(id, driver, stage string) string {
+	if len(stage) > MaxStage {
+		stage = stage[:MaxStage]
 	}
-	return id + "\n" + by + "\n" + stage
+	return id + "\n" + driver + "\n" + stage
 }
 
-// GoOnRelease says that a driver runs a release and where it stands, and asks for the fleet's one place for releases if it has it
-// not. It wants to be called more often than every DriverTime. Another driver of the same release takes it over once the former
-// one has not spoken for that long. With only, nothing is asked for anew: what was ended stays so.
-func (p *Peers) GoOnRelease(id, by, stage string, only bool) (Running, error) {
+// GoOnRelease states that a driver runs a release and in which stage the release is. If the fleet runs no release, it
+// requests the fleet's only permit for releases, unless onlyExisting is set: the driver of a release that operators have
+// ended must not start that release again. The driver has to call it more often than every DriverTimeout. After that time
+// without a call, another driver of the same release can take over, at the router that owns the release.
+func (p *Peers) GoOnRelease(id, driver, stage string, onlyExisting bool) (Running, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.flush()
-	if id == "" || by == "" || len(id) > MostName || len(by) > MostBy || strings.Contains(id+by+stage, "\n") {
-		return Running{}, fmt.Errorf("a release has a name of 1 to %d bytes, and its driver one of 1 to %d", MostName, MostBy)
+	if id == "" || driver == "" || len(id) > MaxReleaseName || len(driver) > MaxDriverName ||
+		strings.Contains(id+driver+stage, "\n") {
+		return Running{}, fmt.Errorf(
+			"the name of a release must have 1 to %d bytes and that of its driver 1 to %d, without line breaks",
+			MaxReleaseName, MaxDriverName)
 	}
 	now := p.now()
-	body := releaseBody(id, by, stage)
-	was, known := p.running()
+	body := encodeRelease(id, driver, stage)
+	current, known := p.runningRelease()
 	switch {
-	case !known && only:
-		if n, _, told := p.keeper.Get(now, releaseKey); told && n.Off {
+	case !known && onlyExisting:
+		if lease, _, ok := p.leases.Get(now, releaseKey); ok && lease.Off {
 			return Running{}, ErrEnded
 		}
 		return Running{}, notes.ErrNone
 	case !known:
-		if err := p.keeper.Ask(now, releaseKey, []uint16{permit.Releases}, body, releaseTime); err != nil {
+		if err := p.leases.Ask(now, releaseKey, []uint16{permit.Releases}, body, releaseDuration); err != nil {
 			return Running{}, err
 		}
-	case was.ID == id && was.By == by || was.ID == id && was.Router == p.set.Self && now-p.driverAt > DriverTime:
-		if err := p.keeper.Renew(now, releaseKey, body, releaseTime); err != nil {
+	case current.ID == id && current.By == driver ||
+		current.ID == id && current.Router == p.settings.Self && now-p.driverHeardAt > DriverTimeout:
+		if err := p.leases.Renew(now, releaseKey, body, releaseDuration); err != nil {
 			return Running{}, err
 		}
 	default:
-		here := was.Router == p.set.Self
-		return Running{}, &ErrRuns{Running: was, Gone: here && now-p.driverAt > DriverTime}
+		isOwner := current.Router == p.settings.Self
+		return Running{}, &ErrRuns{Running: current, DriverGone: isOwner && now-p.driverHeardAt > DriverTimeout}
 	}
-	p.driverAt = now
-	r, _ := p.running()
-	return r, nil
+	p.driverHeardAt = now
+	running, _ := p.runningRelease()
+	return running, nil
 }
 
-// EndRelease frees the fleet of a release.
+// EndRelease ends the fleet's release.
 func (p *Peers) EndRelease(id string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.flush()
-	if r, known := p.running(); !known || r.ID != id {
+	if running, known := p.runningRelease(); !known || running.ID != id {
 		return notes.ErrNone
 	}
-	return p.keeper.Undo(p.now(), releaseKey)
+	return p.leases.Undo(p.now(), releaseKey)
 }
 
-// running is the release that is known here; p.mu is held.
-func (p *Peers) running() (r Running, known bool) {
+// runningRelease returns the release that this router knows or has requested. The caller holds p.mu.
+func (p *Peers) runningRelease() (running Running, known bool) {
 	now := p.now()
-	n, _, told := p.keeper.Get(now, releaseKey)
-	body, owner, state := n.Body, int(n.Owner), "held"
-	if !told || n.Off {
-		own, asks := p.keeper.Wanted(releaseKey)
-		if !asks {
+	lease, _, granted := p.leases.Get(now, releaseKey)
+	body, owner, state := lease.Body, int(lease.Owner), "held"
+	if !granted || lease.Off {
+		requestedBody, requested := p.leases.Wanted(releaseKey)
+		if !requested {
 			return Running{}, false
 		}
-		body, owner, state = own, p.set.Self, "asking"
-		_, r.Why = p.keeper.Stand(now, releaseKey)
+		body, owner, state = requestedBody, p.settings.Self, "asking"
+		_, running.Why = p.leases.Stand(now, releaseKey)
 	}
 	parts := append(strings.SplitN(body, "\n", 3), "", "", "")
-	r.ID, r.By, r.Stage, r.Router, r.State = parts[0], parts[1], parts[2], owner, state
-	return r, true
+	running.ID, running.By, running.Stage, running.Router, running.State = parts[0], parts[1], parts[2], owner, state
+	return running, true
 }
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -1,4 +1,5 @@
-// Package peers carries a router's view of its fleet over datagrams: a socket and a clock round package view.
+// Package peers runs a router's view of its fleet: it adds a UDP socket, a clock and locks to package view, and to the
+// permits and leases that routers exchange over the same socket.
 package peers
 
 import (
@@ -21,27 +22,29 @@
 	"hoptiller/internal/fleet/view"
 )
 
-// Settings say whose peers these are.
+// Settings are the parameters of a Peers.
 type Settings struct {
 	Self   int      // number of this router
-	Listen string   // where datagrams come
-	Addrs  []string // of all routers by number, as this one reaches them, its own included
+	Listen string   // address on which datagrams are received
+	Addrs  []string // addresses of all routers by number, this one included, as this router reaches them
 	Seed   uint64
-	Phase  func() view.Phase   // asked all the time
-	Tell   func() view.Details // the same
+	Phase  func() view.Phase   // returns this router's current phase; called with each tick
+	Tell   func() view.Details // returns the details to publish about this router; called with each tick
 
-	Agent *permit.Agent  // this router's side of permits; nil: there are none
-	Out   func(out bool) // has clients sent away, or has them come again; with Agent
+	Agent *permit.Agent  // this router's part in granting and acquiring permits; nil if there are no permits
+	Out   func(out bool) // called with true to send clients away and with false to accept them again; required with Agent
 
-	Caches func() []hoptiller.CacheState // the slot caches as they are seen here; with Agent
-	Aside  *drains.Caches                // has slot caches get nothing new; with Agent
+	Caches func() []hoptiller.CacheState // returns the state of the slot caches as this router knows it; required with Agent
+	Aside  *drains.Caches                // drains slot caches; required with Agent
 
-	Sighted func(view.Sight) // told at once, and again and again, what any router saw of a slot cache, this one included; nil: nobody is
+	// Sighted, if set, is called with what any router, this one included, observed of slot caches: with a new observation when the
+	// datagram arrives that contains it, and with all observations that are kept at each tick.
+	Sighted func(view.Sight)
 
-	Wrap func(*net.UDPConn) Conn // puts a Conn of the caller's round each socket; nil: the socket itself is used
+	Wrap func(*net.UDPConn) Conn // if set, wraps each socket
 }
 
-// Conn is what datagrams are sent and received by. *net.UDPConn is one.
+// Conn sends and receives datagrams. *net.UDPConn implements it.
 type Conn interface {
 	ReadFromUDPAddrPort(b []byte) (n int, from netip.AddrPort, err error)
 	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
@@ -49,92 +52,95 @@
 	Close() error
 }
 
-// Peers is the view of one router and its socket.
+// Peers is one router's view of its fleet, with the socket through which it talks to the other routers. It is safe for
+// concurrent use.
 type Peers struct {
-	set    Settings
-	addrs  []netip.AddrPort
-	number map[netip.AddrPort]int
-	begun  time.Time
+	settings     Settings
+	addrs        []netip.AddrPort
+	routerByAddr map[netip.AddrPort]int
+	startTime    time.Time
 
-	mu        sync.Mutex
-	view      *view.View
-	conn      Conn         // nil while the address is not free
-	told      []view.Event // not logged yet
-	sendFails uint64
+	mu             sync.Mutex
+	view           *view.View
+	conn           Conn         // nil while there is no socket
+	unloggedEvents []view.Event // to be logged with the next tick
+	sendFailures   uint64
 
-	acting sync.Mutex // held before mu by whoever has this router go out or come back: one after the other
-	out    bool       // this router is out by permit
+	serviceMu    sync.Mutex // held while this router goes out of service or returns; locked before mu
+	outOfService bool       // this router is out of service by its permit
 
-	keeper   *notes.Keeper      // with Agent
-	said     map[uint32]*saidOf // slot caches that were logged as drained
-	driverAt time.Duration      // when a release's driver last spoke to this router
-	keeps    int                // the router that keeps the release, as far as this one knows
+	leases        *notes.Keeper           // nil without Agent
+	loggedDrains  map[uint32]*loggedDrain // by slot cache
+	driverHeardAt time.Duration           // when the driver of the release last called this router
+	releaseOwner  int                     // the router that this one knows as the owner of the release's lease; -1 if none
 
-	seen   *permit.Sight // what electors see, worked out a moment ago; nil: not asked for
-	seenAt time.Duration
+	cachedState   *permit.Sight // last result of computeFleetState; nil if there is none since the last tick
+	cachedStateAt time.Duration // when it was computed
 
-	sawMu sync.Mutex
-	saw   map[uint32]view.SightState // of slot caches, the last of each, that the view was not told yet; nil: none
+	pendingMu           sync.Mutex
+	pendingObservations map[uint32]view.ObservedState // latest one of each slot cache since the last tick; nil if none
 }
 
-// MostRouters is how many numbers a datagram tells apart.
+// MostRouters is the greatest number of routers that datagrams can tell apart.
 const MostRouters = 65535
 
-// New checks the settings. The error says in one line why there can be no view.
-func New(set Settings) (*Peers, error) {
-	if len(set.Addrs) < 2 {
-		return nil, errors.New("no other routers are told")
+// New returns a Peers that does not run yet. The error states in one line why there can be no view with these settings.
+func New(settings Settings) (*Peers, error) {
+	if len(settings.Addrs) < 2 {
+		return nil, errors.New("no other routers are configured")
 	}
-	if len(set.Addrs) > MostRouters {
-		return nil, fmt.Errorf("%d routers are too many", len(set.Addrs))
+	if len(settings.Addrs) > MostRouters {
+		return nil, fmt.Errorf("%d routers are too many, the maximum is %d", len(settings.Addrs), MostRouters)
 	}
-	if set.Self < 0 || set.Self >= len(set.Addrs) {
-		return nil, fmt.Errorf("this is router %d, and there are addresses of %d", set.Self, len(set.Addrs))
+	if settings.Self < 0 || settings.Self >= len(settings.Addrs) {
+		return nil, fmt.Errorf("this is router %d, but the list has addresses of %d routers", settings.Self, len(settings.Addrs))
 	}
-	if _, err := netip.ParseAddrPort(set.Listen); err != nil {
+	if _, err := netip.ParseAddrPort(settings.Listen); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	p := &Peers{set: set, number: map[netip.AddrPort]int{}, begun: time.Now(), said: map[uint32]*saidOf{}, keeps: -1}
-	for i, text := range set.Addrs {
-		a, err := netip.ParseAddrPort(text)
+	p := &Peers{settings: settings, routerByAddr: map[netip.AddrPort]int{}, startTime: time.Now(),
+		loggedDrains: map[uint32]*loggedDrain{}, releaseOwner: -1}
+	for i, text := range settings.Addrs {
+		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("peers: %w", err)
 		}
-		a = netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
-		if other, twice := p.number[a]; twice && i != set.Self && other != set.Self {
+		addr = netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
+		if other, isDuplicate := p.routerByAddr[addr]; isDuplicate && i != settings.Self && other != settings.Self {
 			slog.Warn("two routers have one address", "addr", text, "routers", fmt.Sprintf("%d and %d", other, i))
 		}
-		p.addrs = append(p.addrs, a)
-		p.number[a] = i
+		p.addrs = append(p.addrs, addr)
+		p.routerByAddr[addr] = i
 	}
-	if set.Agent != nil {
-		set.Agent.See = p.see
-		set.Agent.Start(0)
-		p.keeper = notes.NewKeeper(0, set.Agent)
+	if settings.Agent != nil {
+		settings.Agent.See = p.fleetState
+		settings.Agent.Start(0)
+		p.leases = notes.NewKeeper(0, settings.Agent)
 	}
-	p.view = view.New(view.Config{Self: set.Self, Of: len(set.Addrs), Start: p.begun, Seed: set.Seed, Now: 0})
+	p.view = view.New(view.Config{Self: settings.Self, Of: len(settings.Addrs), Start: p.startTime, Seed: settings.Seed, Now: 0})
 	return p, nil
 }
 
-// now is the time since the start, by a clock that never steps.
-func (p *Peers) now() time.Duration { return time.Since(p.begun) }
+// now returns the time since the start, by a clock that never steps.
+func (p *Peers) now() time.Duration { return time.Since(p.startTime) }
 
-// again is how often an address that is taken is tried: by the process that this one replaces, for as long as that lives.
-const again = 250 * time.Millisecond
+// listenRetryInterval is the time between attempts to listen on an address that is in use. The process that this one
+// replaces keeps the address in use for as long as it runs.
+const listenRetryInterval = 250 * time.Millisecond
 
-// Run keeps the view until ctx ends, and tells the others then that this router does.
+// Run keeps the view up to date until ctx ends. It then announces to the other routers that this one leaves.
 func (p *Peers) Run(ctx context.Context) error {
-	conn, err := p.open(ctx)
+	conn, err := p.listen(ctx)
 	if err != nil {
 		return err
 	}
-	if conn == nil { // ended before the address was free
+	if conn == nil { // ctx ended before the address was free, or the address can't be listened on
 		return nil
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return p.receive(conn) })
 	g.Go(func() error {
-		p.tick(ctx)
+		p.runTicks(ctx)
 		p.mu.Lock()
 		p.view.Leave(p.now())
 		p.flush()
@@ -144,77 +150,79 @@
 	return g.Wait()
 }
 
-func (p *Peers) open(ctx context.Context) (Conn, error) {
-	addr, _ := netip.ParseAddrPort(p.set.Listen)
-	for waits := false; ; {
+// listen opens the socket. It waits for an address that is in use until ctx ends. It returns nil if there is no socket.
+func (p *Peers) listen(ctx context.Context) (Conn, error) {
+	addr, _ := netip.ParseAddrPort(p.settings.Listen)
+	for waitLogged := false; ; {
 		socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 		if err == nil {
 			var conn Conn = socket
-			if p.set.Wrap != nil {
-				conn = p.set.Wrap(socket)
+			if p.settings.Wrap != nil {
+				conn = p.settings.Wrap(socket)
 			}
 			p.mu.Lock()
 			p.conn = conn
 			p.mu.Unlock()
-			slog.Info("listening for routers", "addr", conn.LocalAddr(), "self", p.set.Self, "of", len(p.set.Addrs))
+			slog.Info("listening for routers", "addr", conn.LocalAddr(), "self", p.settings.Self, "of", len(p.settings.Addrs))
 			return conn, nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
-			// A router that can't hear others serves its clients all the same.
+			// The error is not returned: a router without a view still serves its clients.
 			slog.Warn("fleet view off", "why", err)
 			return nil, nil
 		}
-		if !waits {
-			slog.Info("peer_listen is taken, waiting for it", "addr", p.set.Listen)
-			waits = true
+		if !waitLogged {
+			slog.Info("peer_listen is taken, waiting for it", "addr", p.settings.Listen)
+			waitLogged = true
 		}
 		select {
 		case <-ctx.Done():
 			return nil, nil
-		case <-time.After(again):
+		case <-time.After(listenRetryInterval):
 		}
 	}
 }
 
+// receive handles the datagrams that arrive on conn until it is closed.
 func (p *Peers) receive(conn Conn) error {
-	b := make([]byte, 2*view.MostBytes) // a longer one than is allowed is seen to be that
+	b := make([]byte, 2*view.MostBytes) // longer than allowed, so that a datagram that is too long is detected and not cut off
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // nothing that the sender of one datagram does may end the view, nor keep this from waiting
+		if err != nil { // a sender must not be able to end the view, nor to keep this goroutine busy with errors
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		who, known := p.number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		router, known := p.routerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !known {
-			who = -1
+			router = -1
 		}
-		p.take(who, b[:n])
+		p.handleDatagram(router, b[:n])
 	}
 }
 
-// take takes a datagram from the address of a router; negative: from another one.
-func (p *Peers) take(from int, b []byte) {
+// handleDatagram handles a datagram from the address of a router. The number from is negative if no router has the address.
+func (p *Peers) handleDatagram(from int, b []byte) {
 	p.mu.Lock()
 	switch {
-	case len(b) > 0 && b[0] == permit.Version && p.set.Agent != nil:
-		p.set.Agent.Receive(p.now(), from, b)
-	case len(b) > 0 && b[0] == notes.Version && p.set.Agent != nil:
-		p.keeper.Receive(p.now(), from, b)
-		p.keeper.Store.Tick(p.now()) // what is new is passed on at once
+	case len(b) > 0 && b[0] == permit.Version && p.settings.Agent != nil:
+		p.settings.Agent.Receive(p.now(), from, b)
+	case len(b) > 0 && b[0] == notes.Version && p.settings.Agent != nil:
+		p.leases.Receive(p.now(), from, b)
+		p.leases.Store.Tick(p.now()) // passes on new leases at once
 	default:
 		p.view.Receive(p.now(), from, b)
 	}
 	p.flush()
-	sights := p.view.NewSights()
+	observations := p.view.NewObservations()
 	p.mu.Unlock()
-	p.tellSights(sights)
+	p.passOn(observations)
 }
 
-// tick lets the view do what is due, until ctx ends.
-func (p *Peers) tick(ctx context.Context) {
+// runTicks ticks the view, permits, leases and drains whenever the view is due, until ctx ends.
+func (p *Peers) runTicks(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -223,117 +231,120 @@
 			return
 		case <-timer.C:
 		}
-		phase, details := p.set.Phase(), p.set.Tell()
-		p.sawMu.Lock()
-		saw := p.saw
-		p.saw = nil
-		p.sawMu.Unlock()
-		p.acting.Lock()
+		phase, details := p.settings.Phase(), p.settings.Tell()
+		p.pendingMu.Lock()
+		pending := p.pendingObservations
+		p.pendingObservations = nil
+		p.pendingMu.Unlock()
+		p.serviceMu.Lock()
 		p.mu.Lock()
 		p.view.SetPhase(phase)
-		p.view.Tell(details)
+		p.view.SetDetails(details)
 		p.view.Tick(p.now())
-		for cache, state := range saw {
-			p.view.Saw(view.Sight{Cache: cache, State: state})
+		for cache, state := range pending {
+			p.view.Observe(view.Sight{Cache: cache, State: state})
 		}
-		p.view.NewSights()
-		sights := p.view.Sights(p.now())
-		change := p.turn()
-		drains := p.drains()
+		p.view.NewObservations()
+		observations := p.view.Observations(p.now())
+		change := p.tickPermits()
+		currentDrains := p.currentDrains()
 		p.flush()
-		due, events := p.view.Next(), p.told
-		p.told = nil
+		due, events := p.view.Next(), p.unloggedEvents
+		p.unloggedEvents = nil
 		p.mu.Unlock()
-		p.act(change)
-		if p.set.Aside != nil {
-			p.set.Aside.Set(p.now(), drains)
+		p.apply(change)
+		if p.settings.Aside != nil {
+			p.settings.Aside.Set(p.now(), currentDrains)
 		}
-		p.acting.Unlock()
-		p.tellSights(sights)
-		tell(events)
+		p.serviceMu.Unlock()
+		p.passOn(observations)
+		logEvents(events)
 		timer.Reset(max(time.Millisecond, due-p.now()))
 	}
 }
 
-// tellSights tells this router's module of sightings.
-func (p *Peers) tellSights(sights []view.Sight) {
-	if p.set.Sighted == nil {
+// passOn passes observations to the callback of the settings.
+func (p *Peers) passOn(observations []view.Sight) {
+	if p.settings.Sighted == nil {
 		return
 	}
-	for _, s := range sights {
-		p.set.Sighted(s)
+	for _, o := range observations {
+		p.settings.Sighted(o)
 	}
 }
 
-// flush sends what the view wants sent; p.mu is held. No datagram is waited for: one that can't be sent is lost.
+// flush sends the datagrams that the view, the permits and the leases have queued. The caller holds p.mu. It doesn't
+// retry: a datagram that can't be sent at once is lost.
 func (p *Peers) flush() {
 	for _, d := range p.view.Out() {
 		if p.conn == nil {
 			continue
 		}
 		if _, err := p.conn.WriteToUDPAddrPort(d.Body, p.addrs[d.To]); err != nil {
-			p.sendFails++
+			p.sendFailures++
 		}
 	}
-	p.told = append(p.told, p.view.Events()...)
-	if p.set.Agent == nil {
+	p.unloggedEvents = append(p.unloggedEvents, p.view.Events()...)
+	if p.settings.Agent == nil {
 		return
 	}
-	for all := p.set.Agent.Out(); len(all) > 0; all = p.set.Agent.Out() {
-		for _, d := range all {
-			if d.To == p.set.Self {
-				p.set.Agent.Receive(p.now(), d.To, d.Body)
+	for datagrams := p.settings.Agent.Out(); len(datagrams) > 0; datagrams = p.settings.Agent.Out() {
+		for _, d := range datagrams {
+			if d.To == p.settings.Self {
+				p.settings.Agent.Receive(p.now(), d.To, d.Body)
 			} else if p.conn != nil {
 				p.conn.WriteToUDPAddrPort(d.Body, p.addrs[d.To])
 			}
 		}
 	}
-	for _, d := range p.keeper.Out() {
+	for _, d := range p.leases.Out() {
 		if p.conn != nil {
 			p.conn.WriteToUDPAddrPort(d.Body, p.addrs[d.To])
 		}
 	}
 }
 
-// tell logs what has changed. When half of the fleet dies at once, that is one line for all.
-func tell(events []view.Event) {
-	const single = 4
+// logEvents logs changes of the view. If there are many of a kind, as when half of the fleet fails at once, it logs the
+// first few and their number.
+func logEvents(events []view.Event) {
+	const maxLinesPerKind = 4
 	counts := map[string]int{}
-	said := 0
+	logged := 0
 	for _, e := range events {
-		what := kindOf(e)
-		if what == "" {
+		kind := eventMessage(e)
+		if kind == "" {
 			continue
 		}
-		if counts[what]++; counts[what] <= single {
-			slog.Info(what, "router", e.Who, "phase", e.After.Phase, "start", time.UnixMilli(e.After.Inc.Start).UTC().Format(time.RFC3339Nano))
-			said++
+		if counts[kind]++; counts[kind] <= maxLinesPerKind {
+			slog.Info(kind, "router", e.Who, "phase", e.After.Phase,
+				"start", time.UnixMilli(e.After.Inc.Start).UTC().Format(time.RFC3339Nano))
+			logged++
 		}
 	}
-	for what, n := range counts {
-		if n > single {
-			slog.Info("and more at once", "what", what, "all", n)
+	for kind, n := range counts {
+		if n > maxLinesPerKind {
+			slog.Info("and more at once", "what", kind, "all", n)
 		}
 	}
 }
 
-// kindOf names an event for the log; empty: it is none for it.
-func kindOf(e view.Event) string {
-	a, b := &e.Before, &e.After
+// eventMessage returns the log message for a change, or an empty string if the change is not logged.
+func eventMessage(e view.Event) string {
+	before, after := &e.Before, &e.After
 	switch {
-	case b.State == view.Dead && a.State != view.Dead && a.Known():
+	case after.State == view.Dead && before.State != view.Dead && before.Known():
 		return "router lost"
-	case b.State == view.Left && a.State != view.Left:
+	case after.State == view.Left && before.State != view.Left:
 		return "router left"
-	case b.State != view.Alive:
+	case after.State != view.Alive:
 		return ""
-	case !a.Known():
+	case !before.Known():
 		return "router joined"
-	case a.Inc.Start != b.Inc.Start:
+	case before.Inc.Start != after.Inc.Start:
 		return "router restarted"
-	case !a.Here():
+	case !before.Here():
 		return "router back"
-	case a.Phase != b.Phase:
+	case before.Phase != after.Phase:
 		return "router changed phase"
 	}
 	return ""
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -15,8 +15,8 @@
 	"hoptiller/internal/testprog"
 )
 
-// sockets finds free addresses.
-func sockets(t testing.TB, n int) (addrs []string) {
+// freeAddrs returns addresses that were free a moment ago.
+func freeAddrs(t testing.TB, n int) (addrs []string) {
 	for range n {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
@@ -28,10 +28,11 @@
 	return addrs
 }
 
-// run runs a router's view until end is called.
+// run starts the view of a router. It runs until end is called or the test ends.
 func run(t testing.TB, self int, addrs []string) (p *Peers, end func()) {
 	p, err := New(Settings{Self: self, Listen: addrs[self], Addrs: addrs, Seed: uint64(self),
-		Phase: func() view.Phase { return view.Serving }, Tell: func() view.Details { return view.Details{Version: 0xabc, Rate: uint16(self)} }})
+		Phase: func() view.Phase { return view.Serving },
+		Tell:  func() view.Details { return view.Details{Version: 0xabc, Rate: uint16(self)} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +41,7 @@
 	go func() { done <- p.Run(ctx) }()
 	end = sync.OnceFunc(func() {
 		cancel()
-		if err := testprog.Await(t, done, "end of a view"); err != nil {
+		if err := testprog.Await(t, done, "the end of a view"); err != nil {
 			t.Error(err)
 		}
 	})
@@ -48,10 +49,10 @@
 	return p, end
 }
 
-// Three routers see each other over sockets and say the same, one that leaves is known to have left, and one that begins at an
-// address that is still taken waits for it.
+// Three routers learn of each other over sockets until their views agree. Then one of them is replaced: the next process
+// waits for the address that is still in use, and the others learn its incarnation after the former process has left.
 func TestPeers(t *testing.T) {
-	addrs := sockets(t, 3)
+	addrs := freeAddrs(t, 3)
 	a, _ := run(t, 0, addrs)
 	b, _ := run(t, 1, addrs)
 	c, leave := run(t, 2, addrs)
@@ -71,90 +72,96 @@
 	}
 	testprog.Until(t, "three views agree", func() bool { return agree(a, b, c) })
 	if lines := Differences([]Asked{{Addr: "a", View: a.Report()}, {Addr: "b", View: b.Report()}}); len(lines) > 0 {
-		t.Errorf("two that agree differ: %v", lines)
+		t.Errorf("views that agree have differences: %v", lines)
 	}
 	next, _ := run(t, 2, addrs)
 	leave()
-	testprog.Until(t, "the next life is seen", func() bool {
+	testprog.Until(t, "the next process is known", func() bool {
 		r := a.Report()
 		return r.Alive == 3 && r.Members[2].Life == next.Report().Members[2].Life
 	})
-	if s := a.Summary(); s.Sent == 0 || s.ReceivedBytes == 0 || s.Bad+s.Strange > 0 {
+	if s := a.Summary(); s.Sent == 0 || s.ReceivedBytes == 0 || s.Undecodable+s.Misaddressed > 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// Who has a place is told by the place's kind.
-func TestHolder(t *testing.T) {
-	for group, says := range map[uint16]string{permit.WholeFleet: "the fleet", permit.FirstZone + 2: "zone 2", permit.AllCaches: "slot caches",
+// The description of a holder names the group of its slot.
+func TestDescribeHolder(t *testing.T) {
+	for group, name := range map[uint16]string{permit.WholeFleet: "the fleet", permit.FirstZone + 2: "zone 2",
+		permit.AllCaches:          "slot caches",
 		permit.FirstCacheZone + 1: "slot caches of zone 1", permit.Releases: "releases"} {
-		if got := holder(permit.Holder{Router: 3, Slot: permit.Slot{Group: group, Number: 1}}); got != "router 3 has place 1 of "+says {
-			t.Errorf("%q, want %q", got, says)
+		if got := describeHolder(permit.Holder{Router: 3, Slot: permit.Slot{Group: group, Number: 1}}); got !=
+			"router 3 has place 1 of "+name {
+			t.Errorf("got %q, want the group %q", got, name)
 		}
 	}
 }
 
-// What can't be a fleet is told in one line.
-func TestNew(t *testing.T) {
-	good := []string{"127.0.0.1:1", "127.0.0.1:2"}
-	for says, set := range map[string]Settings{
-		"no other routers":   {Listen: good[0], Addrs: good[:1]},
-		"this is router 2":   {Self: 2, Listen: good[0], Addrs: good},
-		"this is router -1":  {Self: -1, Listen: good[0], Addrs: good},
-		"peer_listen":        {Listen: "x", Addrs: good},
-		"peers: ":            {Listen: good[0], Addrs: []string{good[0], "router-2"}},
-		"routers are too ma": {Listen: good[0], Addrs: make([]string, 1<<16)},
+// New rejects settings that don't describe a fleet, with an error of one line.
+func TestNewErrors(t *testing.T) {
+	valid := []string{"127.0.0.1:1", "127.0.0.1:2"}
+	for want, settings := range map[string]Settings{
+		"no other routers":   {Listen: valid[0], Addrs: valid[:1]},
+		"this is router 2":   {Self: 2, Listen: valid[0], Addrs: valid},
+		"this is router -1":  {Self: -1, Listen: valid[0], Addrs: valid},
+		"peer_listen":        {Listen: "x", Addrs: valid},
+		"peers: ":            {Listen: valid[0], Addrs: []string{valid[0], "router-2"}},
+		"routers are too ma": {Listen: valid[0], Addrs: make([]string, 1<<16)},
 	} {
-		if _, err := New(set); err == nil || !strings.Contains(err.Error(), says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v", says, err)
+		if _, err := New(settings); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("got error %v, want one line with %q", err, want)
 		}
 	}
 }
 
-// Where views differ is told by router, and who runs another program or has other settings than most.
+// Differences lists the routers about which views differ, and those whose program or settings differ from those of the
+// most routers.
 func TestDifferences(t *testing.T) {
-	member := func(n int, state, version string) Member {
-		return Member{Number: n, State: state, Phase: "serving", Life: "1.0", Version: version}
+	member := func(number int, state, version string) Member {
+		return Member{Number: number, State: state, Phase: "serving", Life: "1.0", Version: version}
 	}
-	a := &Report{Self: 0, Members: []Member{member(0, "alive", "aa"), member(1, "alive", "aa"), member(2, "alive", "bb"), member(3, "unknown", "")}}
+	a := &Report{Self: 0, Members: []Member{member(0, "alive", "aa"), member(1, "alive", "aa"), member(2, "alive", "bb"),
+		member(3, "unknown", "")}}
 	b := &Report{Self: 1, Members: []Member{member(0, "alive", "aa"), member(1, "suspect", "aa"), member(2, "dead", "bb")}}
 	got := strings.Join(Differences([]Asked{{Addr: "a:1", View: a}, {Addr: "b:1", View: b}, {Addr: "c:1", Err: "away"}}), "\n")
 	want := `router 2: alive serving life 1.0 at a:1; dead serving life 1.0 at b:1
 router 3: not in the list at b:1; unknown at a:1
 program aa at 2 routers, bb at 1: 2`
 	if got != want {
-		t.Errorf("%s", got)
+		t.Errorf("got:\n%s\nwant:\n%s", got, want)
 	}
 }
 
-// When half of the fleet dies at once, the log gets a few lines.
-func TestKinds(t *testing.T) {
-	alive, later := view.Member{Inc: view.Incarnation{Start: 1}}, view.Member{Inc: view.Incarnation{Start: 2}}
-	dead, left, drains, suspect := alive, alive, alive, alive
-	dead.State, left.State, drains.Phase, suspect.State = view.Dead, view.Left, view.Draining, view.Suspect
+// Each kind of change has its own log message; a suspicion has none.
+func TestEventMessage(t *testing.T) {
+	alive, restarted := view.Member{Inc: view.Incarnation{Start: 1}}, view.Member{Inc: view.Incarnation{Start: 2}}
+	dead, left, draining, suspect := alive, alive, alive, alive
+	dead.State, left.State, draining.Phase, suspect.State = view.Dead, view.Left, view.Draining, view.Suspect
 	for want, e := range map[string]view.Event{
 		"router joined": {After: alive}, "router lost": {Before: suspect, After: dead}, "router left": {Before: alive, After: left},
-		"router back": {Before: dead, After: alive}, "router restarted": {Before: dead, After: later}, "router changed phase": {Before: alive, After: drains},
-		"": {Before: alive, After: suspect},
+		"router back": {Before: dead, After: alive}, "router restarted": {Before: dead, After: restarted},
+		"router changed phase": {Before: alive, After: draining},
+		"":                     {Before: alive, After: suspect},
 	} {
-		if got := kindOf(e); got != want {
-			t.Errorf("%q is told as %q", want, got)
+		if got := eventMessage(e); got != want {
+			t.Errorf("got message %q, want %q", got, want)
 		}
 	}
 }
 
-// What a router of 300 spends on its view, on real sockets: all are in this process, which does nothing else.
+// BenchmarkPeers measures the CPU time that one router of 300 spends on its view, with real sockets. All routers run in
+// this process, which does nothing else.
 func BenchmarkPeers(b *testing.B) {
 	const routers = 300
-	was := slog.Default()
+	logger := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	b.Cleanup(func() { slog.SetDefault(was) })
-	addrs := sockets(b, routers)
+	b.Cleanup(func() { slog.SetDefault(logger) })
+	addrs := freeAddrs(b, routers)
 	all := make([]*Peers, routers)
 	for i := range all {
 		all[i], _ = run(b, i, addrs)
 	}
-	testprog.Until(b, "300 routers see each other", func() bool {
+	testprog.Until(b, "300 routers know each other", func() bool {
 		for _, p := range all {
 			if p.Summary().Alive != routers {
 				return false
@@ -162,18 +169,18 @@
 		}
 		return true
 	})
-	used := func() time.Duration {
-		var u syscall.Rusage
-		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+	cpuTime := func() time.Duration {
+		var usage syscall.Rusage
+		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 			b.Fatal(err)
 		}
-		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+		return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 	}
-	time.Sleep(5 * time.Second) // until the news of the start is old
+	time.Sleep(5 * time.Second) // until the updates from the start have stopped spreading
 	b.ResetTimer()
-	before, begun := used(), time.Now()
+	cpuBefore, start := cpuTime(), time.Now()
 	for range b.N {
 		time.Sleep(time.Second)
 	}
-	b.ReportMetric(float64((used()-before).Microseconds())/routers/time.Since(begun).Seconds(), "us/router-s")
+	b.ReportMetric(float64((cpuTime()-cpuBefore).Microseconds())/routers/time.Since(start).Seconds(), "us/router-s")
 }
--- a/internal/fleet/peers/report.go
+++ b/internal/fleet/peers/report.go
@@ -7,87 +7,89 @@
 	"hoptiller/internal/fleet/view"
 )
 
-// Member is one router in a Report.
+// Member is a router in a Report.
 type Member struct {
 	Number   int     `json:"number"`
-	State    string  `json:"state"` // alive, suspect, dead, left, or unknown: never heard of
+	State    string  `json:"state"` // alive, suspect, dead, left, or unknown if the router was never heard of
 	Phase    string  `json:"phase,omitempty"`
-	Start    string  `json:"start,omitempty"` // of its process, by its own clock
-	Life     string  `json:"life,omitempty"`  // its incarnation
-	Since    float64 `json:"since_s"`         // how long it has been in its state
-	Version  string  `json:"version,omitempty"`
-	Settings string  `json:"settings,omitempty"`
+	Start    string  `json:"start,omitempty"`    // start time of the router's process by its own clock
+	Life     string  `json:"life,omitempty"`     // incarnation: start in ms since 1970, a dot, count
+	Since    float64 `json:"since_s"`            // seconds since the state or the process changed last
+	Version  string  `json:"version,omitempty"`  // hash of the program's version in hexadecimal digits
+	Settings string  `json:"settings,omitempty"` // hash of the settings in hexadecimal digits
 	Rate     int     `json:"requests_per_s"`
-	Zone     *int    `json:"zone,omitempty"` // its number, if it is told
-	Twice    bool    `json:"number_taken_twice,omitempty"`
+	Zone     *int    `json:"zone,omitempty"`               // number of the router's zone, if it is known
+	Twice    bool    `json:"number_taken_twice,omitempty"` // another router uses the same number
 }
 
-// Cache is what some router saw of a slot cache before the list told it.
-type Cache struct {
+// CacheObservation is what a router observed of a slot cache before the list of cache servers showed it.
+type CacheObservation struct {
 	ID    string  `json:"id"`
-	State string  `json:"state"`
+	State string  `json:"state"` // down or back
 	Age   float64 `json:"age_s"`
 }
 
-// Charges are what operators have asked of the whole fleet.
+// Charges are the drains of slot caches and the release that operators have requested of the whole fleet.
 type Charges struct {
-	Drains  []Drained `json:"drains,omitempty"` // slot caches that are out
+	Drains  []Drained `json:"drains,omitempty"` // slot caches that are drained or are to be drained
 	Release *Running  `json:"release,omitempty"`
 }
 
-// Report is a router's view as operators read it.
+// Report is a router's view of the fleet, for operators.
 type Report struct {
-	Self    int      `json:"self"`
-	Sum     string   `json:"sum"` // the same in all views that say the same
-	Members []Member `json:"members"`
-	Caches  []Cache  `json:"caches,omitempty"`
-	Out     *Out     `json:"out,omitempty"` // who is out by permit, as this router knows
+	Self    int                `json:"self"`
+	Sum     string             `json:"sum"` // checksum, equal in all views that agree
+	Members []Member           `json:"members"`
+	Caches  []CacheObservation `json:"caches,omitempty"` // observations of slot caches
+	Out     *Out               `json:"out,omitempty"`    // permits that this router knows
 	Charges
 	Summary
 }
 
-// Summary is what stands in the metrics.
+// Summary is the part of a Report that the metrics show. The numbers of datagrams, bytes and other events are since the start.
 type Summary struct {
-	Alive         int    `json:"alive"`
-	Suspect       int    `json:"suspect"`
-	Dead          int    `json:"dead"`
-	Left          int    `json:"left"`
-	Unknown       int    `json:"unknown"`
-	Health        int    `json:"health"` // 0 is best
-	Sent          uint64 `json:"datagrams_sent"`
-	SentBytes     uint64 `json:"bytes_sent"`
-	Received      uint64 `json:"datagrams_received"`
-	ReceivedBytes uint64 `json:"bytes_received"`
-	Bad           uint64 `json:"datagrams_bad"`
-	Strange       uint64 `json:"datagrams_strange"`
-	SendFailed    uint64 `json:"datagrams_not_sent"`
-	ProbesFailed  uint64 `json:"probes_failed"`
-	Contradicted  uint64 `json:"contradicted"`
-	Stalls        uint64 `json:"stalls"`
-	Twice         int    `json:"number_taken_twice"`
+	Alive          int    `json:"alive"`
+	Suspect        int    `json:"suspect"`
+	Dead           int    `json:"dead"`
+	Left           int    `json:"left"`
+	Unknown        int    `json:"unknown"`
+	Health         int    `json:"health"` // score from 0, the best, to 4
+	Sent           uint64 `json:"datagrams_sent"`
+	SentBytes      uint64 `json:"bytes_sent"`
+	Received       uint64 `json:"datagrams_received"`
+	ReceivedBytes  uint64 `json:"bytes_received"`
+	Undecodable    uint64 `json:"datagrams_bad"`
+	Misaddressed   uint64 `json:"datagrams_strange"`
+	SendFailures   uint64 `json:"datagrams_not_sent"`
+	ProbesFailed   uint64 `json:"probes_failed"`
+	Refutations    uint64 `json:"contradicted"`
+	Stalls         uint64 `json:"stalls"`
+	DuplicateCount int    `json:"number_taken_twice"` // see view.View.DuplicateCount
 }
 
-// Summary counts the fleet as it is seen.
+// Summary returns the current summary.
 func (p *Peers) Summary() *Summary {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.summary()
 }
 
-// Sum is the same for two views that say the same of all routers, up to suspicions.
+// Sum returns a checksum of the view. It is equal for two views that agree on all routers, suspicions aside.
 func (p *Peers) Sum() uint32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Sum()
 }
 
+// summary returns the current summary. The caller holds p.mu.
 func (p *Peers) summary() *Summary {
-	c := p.view.Counts()
-	s := &Summary{Health: p.view.Health(), Sent: c.Sent, SentBytes: c.SentBytes, Received: c.Received, ReceivedBytes: c.ReceivedBytes,
-		Bad: c.Bad, Strange: c.Strange, SendFailed: p.sendFails, ProbesFailed: c.ProbesFailed, Contradicted: c.Contradicted, Stalls: c.Stalls,
-		Twice: p.view.Twice()}
-	if p.keeper != nil {
-		s.Bad += p.keeper.Bad()
+	counts := p.view.Counts()
+	s := &Summary{Health: p.view.HealthScore(), Sent: counts.Sent, SentBytes: counts.SentBytes, Received: counts.Received,
+		ReceivedBytes: counts.ReceivedBytes, Undecodable: counts.Undecodable, Misaddressed: counts.Misaddressed,
+		SendFailures: p.sendFailures, ProbesFailed: counts.ProbesFailed, Refutations: counts.Refutations, Stalls: counts.Stalls,
+		DuplicateCount: p.view.DuplicateCount()}
+	if p.leases != nil {
+		s.Undecodable += p.leases.Bad()
 	}
 	for i := range p.view.Members() {
 		m := &p.view.Members()[i]
@@ -101,22 +103,22 @@
 	return s
 }
 
-// Report is the whole view.
+// Report returns the current report.
 func (p *Peers) Report() *Report {
-	var out *Out
-	if p.set.Agent != nil {
-		o := p.Out()
-		out = &o
+	var permitStatus *Out
+	if p.settings.Agent != nil {
+		status := p.Out()
+		permitStatus = &status
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	r := &Report{Self: p.set.Self, Sum: fmt.Sprintf("%08x", p.view.Sum()), Summary: *p.summary(), Out: out}
-	if p.keeper != nil {
-		if p.set.Aside != nil {
-			r.Drains = p.drained()
+	r := &Report{Self: p.settings.Self, Sum: fmt.Sprintf("%08x", p.view.Sum()), Summary: *p.summary(), Out: permitStatus}
+	if p.leases != nil {
+		if p.settings.Aside != nil {
+			r.Drains = p.reportDrains()
 		}
-		if running, known := p.running(); known {
+		if running, known := p.runningRelease(); known {
 			r.Release = &running
 		}
 	}
@@ -126,32 +128,34 @@
 			r.Members = append(r.Members, Member{Number: i, State: "unknown"})
 			continue
 		}
-		x := Member{Number: i, State: m.State.String(), Phase: m.Phase.String(), Since: (now - m.Since).Seconds(),
+		member := Member{Number: i, State: m.State.String(), Phase: m.Phase.String(), Since: (now - m.Since).Seconds(),
 			Start: time.UnixMilli(m.Inc.Start).UTC().Format(time.RFC3339Nano), Life: fmt.Sprintf("%d.%d", m.Inc.Start, m.Inc.Count)}
 		if d := &m.Details; d.Seq != 0 {
 			if d.Zone > 0 {
 				zone := int(d.Zone) - 1
-				x.Zone = &zone
+				member.Zone = &zone
 			}
-			x.Version, x.Settings, x.Rate, x.Twice = fmt.Sprintf("%08x", d.Version), fmt.Sprintf("%08x", d.Settings), int(d.Rate), d.Twice
+			member.Version, member.Settings, member.Rate, member.Twice =
+				fmt.Sprintf("%08x", d.Version), fmt.Sprintf("%08x", d.Settings), int(d.Rate), d.DuplicateNumber
 		}
-		r.Members = append(r.Members, x)
+		r.Members = append(r.Members, member)
 	}
-	for _, s := range p.view.Sights(now) {
-		r.Caches = append(r.Caches, Cache{fmt.Sprintf("s-%08x", s.Cache), map[view.SightState]string{view.SeenDown: "down", view.SeenBack: "back"}[s.State],
-			s.Age.Seconds()})
+	for _, o := range p.view.Observations(now) {
+		r.Caches = append(r.Caches, CacheObservation{fmt.Sprintf("s-%08x", o.Cache),
+			map[view.ObservedState]string{view.SeenDown: "down", view.SeenBack: "back"}[o.State], o.Age.Seconds()})
 	}
 	return r
 }
 
-// Saw tells the fleet what this router saw of a slot cache. It waits for nothing: callers carry requests.
-func (p *Peers) Saw(cache uint32, state view.SightState) {
-	p.sawMu.Lock()
-	defer p.sawMu.Unlock()
-	if p.saw == nil {
-		p.saw = map[uint32]view.SightState{}
+// Saw records what this router observed of a slot cache, to be spread with the next tick. It doesn't wait for the view,
+// because its callers are processing requests.
+func (p *Peers) Saw(cache uint32, state view.ObservedState) {
+	p.pendingMu.Lock()
+	defer p.pendingMu.Unlock()
+	if p.pendingObservations == nil {
+		p.pendingObservations = map[uint32]view.ObservedState{}
 	}
-	if _, known := p.saw[cache]; known || len(p.saw) < view.MostSights {
-		p.saw[cache] = state
+	if _, known := p.pendingObservations[cache]; known || len(p.pendingObservations) < view.MaxObservations {
+		p.pendingObservations[cache] = state
 	}
 }
--- a/internal/fleet/view/clock_test.go
+++ b/internal/fleet/view/clock_test.go
@@ -5,28 +5,31 @@
 	"time"
 )
 
-// A router that restarts after its wall clock was set back is known in its new life, with what that tells, as soon as any other one.
-func TestRestartAfterTheClockWasSetBack(t *testing.T) {
+// A router whose wall clock was set back restarts with an older start time than that of its former incarnation. The others
+// must still learn its new incarnation, with its phase and details, within the same time as for any other restart.
+func TestRestartAfterClockWasSetBack(t *testing.T) {
 	const within = 5 * time.Second
-	for _, back := range []time.Duration{-time.Minute, 0, time.Second, time.Hour} {
-		for _, dead := range []time.Duration{0, 30 * time.Second} { // restarted at once, or after it was found dead
+	for _, setBack := range []time.Duration{-time.Minute, 0, time.Second, time.Hour} {
+		for _, downtime := range []time.Duration{0, 30 * time.Second} { // it restarts at once, or after the others declared it dead
 			now := time.Duration(0)
-			all := fleet(3, 0, 1, 2)
-			all[1].Tell(Details{Version: 7})
-			live(all, &now, 10*time.Second)
+			all := newViews(3, 0, 1, 2)
+			all[1].SetDetails(Details{Version: 7})
+			run(all, &now, 10*time.Second)
 			others := []*View{all[0], all[2]}
-			live(others, &now, dead)
-			again := New(Config{Self: 1, Of: 3, Start: start.Add(time.Minute - back), Seed: 9, Now: now})
-			again.SetPhase(Serving)
-			again.Tell(Details{Version: 8})
-			live([]*View{all[0], again, all[2]}, &now, within)
+			run(others, &now, downtime)
+			restarted := New(Config{Self: 1, Of: 3, Start: startTime.Add(time.Minute - setBack), Seed: 9, Now: now})
+			restarted.SetPhase(Serving)
+			restarted.SetDetails(Details{Version: 8})
+			run([]*View{all[0], restarted, all[2]}, &now, within)
 			for _, v := range others {
 				m := v.Members()[1]
 				if m.State != Alive || m.Phase != Serving || m.Details.Version != 8 {
-					t.Errorf("clock set back by %v, dead for %v: router %d sees it %v, %v, in version %d", back, dead, v.self, m.State, m.Phase, m.Details.Version)
+					t.Errorf("clock set back by %v, down for %v: router %d has state %v, phase %v and version %d",
+						setBack, downtime, v.self, m.State, m.Phase, m.Details.Version)
 				}
-				if m.Inc.Compare(again.own.Inc) != 0 {
-					t.Errorf("clock set back by %v, dead for %v: router %d sees it in life %v, it is in %v", back, dead, v.self, m.Inc, again.own.Inc)
+				if m.Inc.Compare(restarted.own.Inc) != 0 {
+					t.Errorf("clock set back by %v, down for %v: router %d has incarnation %v, want %v",
+						setBack, downtime, v.self, m.Inc, restarted.own.Inc)
 				}
 			}
 		}
--- a/internal/fleet/view/clone.go
+++ b/internal/fleet/view/clone.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// Clone is another view that says and will do the same, for model checking. What was received last is not in it.
+// Clone returns a deep copy of the view, for model checking. The datagram that was received last is not copied.
 func (v *View) Clone() *View {
 	c := *v
 	c.members = slices.Clone(v.members)
 	c.own = &c.members[c.self]
-	c.news.levels = make([][]item, len(v.news.levels))
-	for i, l := range v.news.levels {
-		c.news.levels[i] = slices.Clone(l)
+	c.updates.levels = make([][]queuedUpdate, len(v.updates.levels))
+	for i, level := range v.updates.levels {
+		c.updates.levels[i] = slices.Clone(level)
 	}
-	c.news.debts = slices.Clone(v.news.debts)
-	c.details, c.sights, c.probes = slices.Clone(v.details), slices.Clone(v.sights), slices.Clone(v.probes)
-	c.order, c.events, c.out = slices.Clone(v.order), slices.Clone(v.events), slices.Clone(v.out)
-	c.in = message{}
+	c.updates.corrections = slices.Clone(v.updates.corrections)
+	c.detailQueue, c.observations, c.probes = slices.Clone(v.detailQueue), slices.Clone(v.observations), slices.Clone(v.probes)
+	c.probeOrder, c.events, c.outgoing = slices.Clone(v.probeOrder), slices.Clone(v.events), slices.Clone(v.outgoing)
+	c.received = message{}
 	return &c
 }
 
-// AppendState appends all on which hangs what the view will say and do, but for chance: two views of one router with the same
-// state are as good as one to a search. Times are told from now on.
+// AppendState appends everything that determines what the view does next, except for the state of its random source. A
+// search may treat two views of one router with equal states as one. Times are relative to now.
 func (v *View) AppendState(b []byte) []byte {
-	n := func(x ...int64) {
-		for _, x := range x {
-			b = binary.AppendVarint(b, x)
+	appendInts := func(values ...int64) {
+		for _, value := range values {
+			b = binary.AppendVarint(b, value)
 		}
 	}
-	flag := func(x bool) int64 {
-		if x {
+	boolToInt := func(condition bool) int64 {
+		if condition {
 			return 1
 		}
 		return 0
@@ -38,14 +38,16 @@
 	since := func(t int64) int64 { return int64(v.now) - t }
 	for i := range v.members {
 		m := &v.members[i]
-		n(int64(m.State), int64(m.Phase), m.Inc.Start, int64(m.Inc.Count), int64(m.accusers), int64(m.sent), int64(m.heard))
+		appendInts(int64(m.State), int64(m.Phase), m.Inc.Start, int64(m.Inc.Count),
+			int64(m.accusers), int64(m.sentCount), int64(m.heardCount))
 		if m.State == Suspect {
-			n(since(int64(m.suspectedAt)))
+			appendInts(since(int64(m.suspectedAt)))
 		}
 	}
 	for _, p := range v.probes {
-		n(int64(p.target), since(int64(p.due)), int64(p.step), int64(p.asker))
+		appendInts(int64(p.target), since(int64(p.dueAt)), int64(p.step), int64(p.requester))
 	}
-	n(-1, since(int64(v.next)), int64(v.health), int64(v.repairs), flag(v.leaving), int64(len(v.order)), int64(v.turn%lookupTurn), int64(v.alike))
+	appendInts(-1, since(int64(v.nextProbeAt)), int64(v.healthScore), int64(v.repairBudget), boolToInt(v.leaving),
+		int64(len(v.probeOrder)), int64(v.probeCount%lookupInterval), int64(v.agreeing))
 	return b
 }
--- a/internal/fleet/view/gossip.go
+++ b/internal/fleet/view/gossip.go
@@ -5,253 +5,268 @@
 	"time"
 )
 
-// queue orders what is told of members: what has been sent least goes first.
-type queue struct {
-	most   uint8 // how often each change is sent
-	eager  uint8 // how often it may make datagrams longer than quiet ones are
-	levels [][]item
-	debts  []debt
+// updateQueue holds the membership updates that this router spreads. The updates that it has sent least often go first.
+type updateQueue struct {
+	maxSends      uint8            // after this many sends an update leaves the queue
+	maxEagerSends uint8            // an update sent fewer times is eager: it may make a datagram longer than softMaxBytes
+	levels        [][]queuedUpdate // indexed by the number of sends
+	corrections   []correction
 }
 
-type item struct {
-	who uint16
-	gen uint32
+// queuedUpdate is an update about a router. It is outdated if the router's Member has another generation.
+type queuedUpdate struct {
+	router     uint16
+	generation uint32
 }
 
-// debt is what a neighbour has been found to know worse.
-type debt struct{ to, who uint16 }
+// correction is a claim about a router. It is to be sent to another router, whose information is outdated.
+type correction struct{ to, router uint16 }
 
-// A change is known by nearly all once each has told it log2(n) times; three times as many for those that have missed it
-// (SWIM, section 4.1: lambda log n).
-const spread = 3
+// sendMultiplier scales how often each router sends an update. Nearly all of n routers know an update
+// after each has sent it log2(n) times. Three times as many sends also reach those that have missed it (SWIM, section 4.1:
+// lambda log n).
+const sendMultiplier = 3
 
-func (q *queue) limit(n int) {
+// setRouterCount sets the numbers of sends for a fleet of n routers.
+func (q *updateQueue) setRouterCount(n int) {
 	log := uint8(bits.Len(uint(n)))
-	q.most, q.eager = spread*log, log
-	levels := make([][]item, q.most)
+	q.maxSends, q.maxEagerSends = sendMultiplier*log, log
+	levels := make([][]queuedUpdate, q.maxSends)
 	copy(levels, q.levels)
 	q.levels = levels
 }
 
-// push takes a change of a member up.
-func (q *queue) push(who uint16, m *Member) {
-	m.sent, m.heard = 0, 0
+// push queues a change of a member.
+func (q *updateQueue) push(router uint16, m *Member) {
+	m.sentCount, m.heardCount = 0, 0
 	if len(q.levels) == 0 {
-		q.levels = make([][]item, 1)
+		q.levels = make([][]queuedUpdate, 1)
 	}
-	q.levels[0] = append(q.levels[0], item{who, m.gen})
+	q.levels[0] = append(q.levels[0], queuedUpdate{router, m.generation})
 }
 
-// mostDebts bounds work, and no list: what one datagram shows to be known worse is at most its sender and its 18 claims, and is
-// sent before the next datagram is read.
-const mostDebts = 512
+// maxCorrections limits the work that a datagram can cause. The queue never gets that long: a datagram causes at most one
+// correction for its sender and one for each of its 18 claims, and the queue is emptied before the next datagram is read.
+const maxCorrections = 512
 
-// owe notes that a neighbour is to be told of a member once more.
-func (q *queue) owe(to, who uint16) {
-	if len(q.debts) < mostDebts {
-		q.debts = append(q.debts, debt{to, who})
+// addCorrection queues a correction about a router.
+func (q *updateQueue) addCorrection(to, router uint16) {
+	if len(q.corrections) < maxCorrections {
+		q.corrections = append(q.corrections, correction{to, router})
 	}
 }
 
-// hasEager tells how many changes are still fresh.
-func (q *queue) hasEager() (n int) {
-	for _, l := range q.levels[:min(int(q.eager), len(q.levels))] {
-		n += len(l)
+// eagerCount returns the number of eager updates.
+func (q *updateQueue) eagerCount() (n int) {
+	for _, level := range q.levels[:min(int(q.maxEagerSends), len(q.levels))] {
+		n += len(level)
 	}
 	return n
 }
 
-// enoughAlike neighbours in a row that say the same as this router show that its news is old.
-const enoughAlike = 8
+// enoughAgreeing is the number of received datagrams in a row with this view's checksum, after which this router's updates
+// count as known to the whole fleet.
+const enoughAgreeing = 8
 
-// settle forgets all news but suspicions, which the sum of a view doesn't show.
-func (q *queue) settle(members []Member) {
-	for i, l := range q.levels {
-		kept := l[:0]
-		for _, it := range l {
-			if members[it.who].State == Suspect {
-				kept = append(kept, it)
+// keepSuspicionsOnly drops all updates but suspicions. Equal checksums don't show that other routers know the suspicions.
+func (q *updateQueue) keepSuspicionsOnly(members []Member) {
+	for i, level := range q.levels {
+		kept := level[:0]
+		for _, update := range level {
+			if members[update.router].State == Suspect {
+				kept = append(kept, update)
 			}
 		}
 		q.levels[i] = kept
 	}
 }
 
-// pop gives up to n changes that have been sent less than a number of times, and counts them as sent.
-func (q *queue) pop(n int, below uint8, members []Member, take func(who uint16)) (taken int) {
-	var again [][2]int // level and number of items that were taken from it
-	for level := 0; level < min(int(below), len(q.levels)) && taken < n; level++ {
-		l := q.levels[level]
+// pop calls visit with up to n updates that have been sent fewer than sendLimit times, and counts them as sent. It returns
+// their number.
+func (q *updateQueue) pop(n int, sendLimit uint8, members []Member, visit func(router uint16)) (visited int) {
+	var taken [][2]int // each level that was read, and the number of entries that were read from it
+	for sends := 0; sends < min(int(sendLimit), len(q.levels)) && visited < n; sends++ {
+		level := q.levels[sends]
 		k := 0
-		for k < len(l) && taken < n {
-			it := l[k]
+		for k < len(level) && visited < n {
+			update := level[k]
 			k++
-			if m := &members[it.who]; m.gen == it.gen && int(m.sent) == level {
-				take(it.who)
-				taken++
+			if m := &members[update.router]; m.generation == update.generation && int(m.sentCount) == sends {
+				visit(update.router)
+				visited++
 				continue
 			}
-			l[k-1].gen = 0 // overtaken by a later change
+			level[k-1].generation = 0 // a later change of the member has replaced this entry
 		}
-		again = append(again, [2]int{level, k})
+		taken = append(taken, [2]int{sends, k})
 	}
-	for i := len(again) - 1; i >= 0; i-- { // upwards last, or one would be taken twice
-		level, k := again[i][0], again[i][1]
-		l := q.levels[level]
-		for _, it := range l[:k] {
-			if it.gen == 0 {
+	// The last level comes first, because updates move to higher levels and none may move twice.
+	for i := len(taken) - 1; i >= 0; i-- {
+		sends, k := taken[i][0], taken[i][1]
+		level := q.levels[sends]
+		for _, update := range level[:k] {
+			if update.generation == 0 {
 				continue
 			}
-			m := &members[it.who]
-			// What others say as well is told as often by them (Demers and others, "Epidemic Algorithms for Replicated
-			// Database Maintenance", PODC 1987: feedback and counter).
-			level := int(m.sent) + 1 + int(m.heard)
-			m.sent, m.heard = uint8(min(level, 255)), 0
-			if level < len(q.levels) {
-				q.levels[level] = append(q.levels[level], it)
+			m := &members[update.router]
+			// Sends of the same update by other routers, as far as they were heard, count too: they spread it as well (Demers
+			// and others, "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987: feedback and counter).
+			sends := int(m.sentCount) + 1 + int(m.heardCount)
+			m.sentCount, m.heardCount = uint8(min(sends, 255)), 0
+			if sends < len(q.levels) {
+				q.levels[sends] = append(q.levels[sends], update)
 			}
 		}
-		q.levels[level] = append(l[:0], l[k:]...)
+		q.levels[sends] = append(level[:0], level[k:]...)
 	}
-	return taken
+	return visited
 }
 
-// quietBytes is the length up to which a datagram is filled with what is not urgent. With it a router sends what
-// it may: 85 bytes, 3.3 probes a second sent and as many answered.
-const quietBytes = 85
+// softMaxBytes is the length up to which a datagram is filled with information that is not urgent. With 85 bytes, a
+// router that sends 3.3 probes per second and answers as many stays within its permitted traffic.
+const softMaxBytes = 85
 
-// send makes a datagram. Its room is given to claims that the receiver needs, fresh news, own and others' details,
-// sightings, and news that has been told often already.
-func (v *View) send(k kind, to int, seq uint32, about int, needs ...int) {
-	v.write(k, to, seq, about, false, needs)
+// send queues a datagram. Its space is filled in this order: claims about the required routers, eager updates,
+// observations, and details of this and other routers. Up to two updates that are not eager are added if there are no
+// eager ones and softMaxBytes leaves space for them. Exchanges carry no observations or details. Datagrams on behalf of
+// another router contain only the required claims.
+func (v *View) send(k kind, to int, seq uint32, subject int, required ...int) {
+	v.sendDatagram(k, to, seq, subject, false, required)
 }
 
-func (v *View) write(k kind, to int, seq uint32, about int, compare bool, needs []int) {
-	b := v.begin(k, to, seq, about)
-	const end = MostBytes - checkBytes
-	if compare {
-		b = v.appendBits(b, seq)
+// sendDatagram does what send does, and can add a comparison of the members to the datagram.
+func (v *View) sendDatagram(k kind, to int, seq uint32, subject int, withComparison bool, required []int) {
+	b := v.encodeOwnHead(k, to, seq, subject)
+	const end = MostBytes - checksumBytes
+	if withComparison {
+		b = v.appendComparison(b, seq)
 	}
-	room := (end - len(b) - sectionBytes) / claimBytes
-	at := len(b)
+	capacity := (end - len(b) - sectionHeadBytes) / claimBytes
+	section := len(b)
 	b = append(b, byte(tagClaims), 0)
 	n := 0
-	put := func(who uint16) {
-		if int(who) != v.self { // the head says it
-			c := v.claim(int(who))
+	appendMember := func(router uint16) {
+		if int(router) != v.self { // the head of the datagram makes the claim about this router
+			c := v.claimAbout(int(router))
 			b = appendClaim(b, &c)
 			n++
 		}
 	}
-	for _, who := range needs {
-		if n < room {
-			put(uint16(who))
+	for _, router := range required {
+		if n < capacity {
+			appendMember(uint16(router))
 		}
 	}
-	if k != ask && !(k == ping && about != to) && !(k == ack && about != v.self) {
-		v.news.pop(room-n, v.news.eager, v.members, put)
-		if quiet := (quietBytes - checkBytes - len(b)) / claimBytes; quiet > 0 && v.news.hasEager() == 0 {
-			v.news.pop(min(quiet, 2), v.news.most, v.members, put)
+	if k != kindPingRequest && !(k == kindPing && subject != to) && !(k == kindAck && subject != v.self) {
+		v.updates.pop(capacity-n, v.updates.maxEagerSends, v.members, appendMember)
+		if spare := (softMaxBytes - checksumBytes - len(b)) / claimBytes; spare > 0 && v.updates.eagerCount() == 0 {
+			v.updates.pop(min(spare, 2), v.updates.maxSends, v.members, appendMember)
 		}
 	}
-	if b[at+1] = byte(n); n == 0 {
-		b = b[:at]
+	if b[section+1] = byte(n); n == 0 {
+		b = b[:section]
 	}
-	if k == ping || k == ack && about == v.self || k == news {
-		b = v.appendSights(b, end)
-		b = v.appendDetails(b, quietBytes-checkBytes)
+	if k == kindPing || k == kindAck && subject == v.self || k == kindUpdate {
+		b = v.appendObservations(b, end)
+		b = v.appendDetails(b, softMaxBytes-checksumBytes)
 	}
-	v.post(to, b)
+	v.queueDatagram(to, b)
 }
 
-// begin makes a datagram's head.
-func (v *View) begin(k kind, to int, seq uint32, about int) []byte {
-	h := head{kind: k, from: uint16(v.self), to: uint16(to), of: uint16(v.of), seq: seq, about: uint16(about), inc: v.own.Inc,
-		state: v.own.State, phase: v.own.Phase, sum: v.sum}
+// encodeOwnHead returns the encoded head of a datagram from this router.
+func (v *View) encodeOwnHead(k kind, to int, seq uint32, subject int) []byte {
+	h := head{kind: k, from: uint16(v.self), to: uint16(to), routerCount: uint16(v.routerCount), seq: seq, subject: uint16(subject),
+		inc: v.own.Inc, state: v.own.State, phase: v.own.Phase, viewChecksum: v.checksum}
 	return appendHead(make([]byte, 0, MostBytes), &h)
 }
 
-// post has a whole datagram sent.
-func (v *View) post(to int, b []byte) {
-	b = seal(b)
-	v.out = append(v.out, Datagram{to, b})
+// queueDatagram adds the checksum to a datagram and queues it to be sent.
+func (v *View) queueDatagram(to int, b []byte) {
+	b = appendChecksum(b)
+	v.outgoing = append(v.outgoing, Datagram{to, b})
 	v.counts.Sent++
 	v.counts.SentBytes += uint64(len(b))
 }
 
-// claim is what this router says of one.
-func (v *View) claim(who int) claim {
-	m := &v.members[who]
-	c := claim{who: uint16(who), state: m.State, phase: m.Phase, inc: m.Inc}
+// claimAbout returns a claim with what this router knows about a router.
+func (v *View) claimAbout(router int) claim {
+	m := &v.members[router]
+	c := claim{router: uint16(router), state: m.State, phase: m.Phase, inc: m.Inc}
 	if m.State == Suspect {
-		c.accusers, c.age = m.accusers, v.now-m.suspectedAt
+		c.accusers, c.suspicionAge = m.accusers, v.now-m.suspectedAt
 	}
 	return c
 }
 
-// Tell renews what this router tells of itself, at most as often as the fleet has room for: a router passes on some
-// twenty details a second, so that each of n may be renewed every n/10 seconds, and at the most every 2.
-func (v *View) Tell(d Details) {
-	same := d.Version == v.told.Version && d.Settings == v.told.Settings
-	v.told.Version, v.told.Settings, v.told.Rate, v.told.Zone = d.Version, d.Settings, d.Rate, d.Zone
-	if every := max(2*time.Second, time.Duration(v.of)*time.Second/10); v.own.Details.Seq == 0 || !same || v.now-v.toldAt >= every {
-		v.renew()
+// SetDetails sets the details that this router publishes about itself; Seq and DuplicateNumber are set by the view. Unless
+// the version or the settings change, new details are published no more often than the fleet has capacity for: a router
+// passes on about twenty details per second, so that each of n routers may publish new ones every n/10 seconds, and at
+// most every 2 seconds.
+func (v *View) SetDetails(d Details) {
+	same := d.Version == v.ownDetails.Version && d.Settings == v.ownDetails.Settings
+	v.ownDetails.Version, v.ownDetails.Settings, v.ownDetails.Rate, v.ownDetails.Zone = d.Version, d.Settings, d.Rate, d.Zone
+	if interval := max(2*time.Second, time.Duration(v.routerCount)*time.Second/10); v.own.Details.Seq == 0 || !same ||
+		v.now-v.detailsPublishedAt >= interval {
+		v.publishDetails()
 	}
 }
 
-func (v *View) renew() {
-	v.toldAt = v.now
-	v.told.Seq = v.own.Details.Seq + 1
-	if v.told.Seq == 0 {
-		v.told.Seq = 1
+// publishDetails queues this router's details under a new sequence number.
+func (v *View) publishDetails() {
+	v.detailsPublishedAt = v.now
+	v.ownDetails.Seq = v.own.Details.Seq + 1
+	if v.ownDetails.Seq == 0 {
+		v.ownDetails.Seq = 1
 	}
-	v.learn(v.self, v.told)
+	v.storeDetails(v.self, v.ownDetails)
 }
 
-func (v *View) learn(who int, d Details) {
-	m := &v.members[who]
+// storeDetails stores a router's new details and queues them to be sent.
+func (v *View) storeDetails(router int, d Details) {
+	m := &v.members[router]
 	if !m.detailsQueued {
-		v.details = append(v.details, uint16(who))
+		v.detailQueue = append(v.detailQueue, uint16(router))
 	}
-	m.Details, m.detailsSent, m.detailsQueued = d, 0, true
+	m.Details, m.detailsSentCount, m.detailsQueued = d, 0, true
 }
 
-func (v *View) hearDetail(d *detail) {
-	if int(d.who) >= v.of || int(d.who) == v.self {
+// handleDetail stores the details of another router if they are newer than the known ones.
+func (v *View) handleDetail(d *detail) {
+	if int(d.router) >= v.routerCount || int(d.router) == v.self {
 		return
 	}
-	m := &v.members[d.who]
-	// The life must be known: what a former one told is not this one's.
+	m := &v.members[d.router]
+	// The details must come from the process that this view knows: those of a former process don't describe the present one.
 	if m.Known() && m.Inc.Start == d.start && (m.Details.Seq == 0 || int16(d.Seq-m.Details.Seq) > 0) {
-		v.learn(int(d.who), d.Details)
+		v.storeDetails(int(d.router), d.Details)
 	}
 }
 
-// appendDetails adds details up to a length of the whole: those that wait longest.
+// appendDetails appends the details that have waited longest, as many as fit into a datagram of length end.
 func (v *View) appendDetails(b []byte, end int) []byte {
-	n := min((end-len(b)-sectionBytes)/detailBytes, len(v.details))
+	n := min((end-len(b)-sectionHeadBytes)/detailBytes, len(v.detailQueue))
 	if n <= 0 {
 		return b
 	}
-	at := len(b)
+	section := len(b)
 	b = append(b, byte(tagDetails), 0)
 	for range n {
-		who := v.details[0]
-		v.details = v.details[1:]
-		m := &v.members[who]
-		if m.detailsQueued = m.Details.Seq != 0; !m.detailsQueued { // of a life that has ended
+		router := v.detailQueue[0]
+		v.detailQueue = v.detailQueue[1:]
+		m := &v.members[router]
+		if m.detailsQueued = m.Details.Seq != 0; !m.detailsQueued { // the process that published them has ended
 			continue
 		}
-		d := detail{who: who, start: m.Inc.Start, Details: m.Details}
+		d := detail{router: router, start: m.Inc.Start, Details: m.Details}
 		b = appendDetail(b, &d)
-		b[at+1]++
-		m.detailsSent++
-		if m.detailsQueued = m.detailsSent < v.news.most; m.detailsQueued {
-			v.details = append(v.details, who)
+		b[section+1]++
+		m.detailsSentCount++
+		if m.detailsQueued = m.detailsSentCount < v.updates.maxSends; m.detailsQueued {
+			v.detailQueue = append(v.detailQueue, router)
 		}
 	}
-	if b[at+1] == 0 {
-		b = b[:at]
+	if b[section+1] == 0 {
+		b = b[:section]
 	}
 	return b
 }
--- a/internal/fleet/view/probe.go
+++ b/internal/fleet/view/probe.go
@@ -6,103 +6,114 @@
 )
 
 const (
-	// Period is the time between two probes of one router.
+	// Period is the time between two probes that a router starts.
 	Period = 300 * time.Millisecond
 
-	// A probe asks by itself, and by two others, three times, and ends after 1.2 s: at 10% loss it fails by chance once in
-	// 100,000, so that a fleet of 1,000 is not kept busy with contradictions; SWIM's single round would fail 25 times a second
-	// there. And a router that stands still for a second is not even suspected.
-	helpers = 2
+	// indirectProbers is the number of other routers that are asked to ping a target on behalf of a probe. A probe pings
+	// the target itself and through two others, three times, and ends after 1.2 s. At 10% loss it fails by chance once in
+	// 100,000, so that a fleet of 1,000 is not kept busy with refutations; SWIM's single round would fail 25 times a
+	// second there. A router that pauses for a second doesn't even become a suspect.
+	indirectProbers = 2
 
-	lookupTime = 400 * time.Millisecond // for one that is not taken to live, and for others' sake
-	lookupTurn = 4                      // one probe in so many goes to a router that is not taken to live
+	// A lookup is a probe of a router that is not assumed to be alive. One probe in lookupInterval is a lookup. The timeout
+	// applies to lookups and to pings on behalf of other routers.
+	lookupTimeout  = 400 * time.Millisecond
+	lookupInterval = 4
 
-	joinContacts = 3 // routers that one that knows of nobody asks at a time: some of them may be down
+	joinContacts = 3 // number of routers that a router without known peers contacts at a time; some of them may be down
 
-	// A suspect has so long to contradict, the less the more have found it silent (Lifeguard, section IV.B). It is not
-	// shorter than what the word takes to come to it and its answer to come to all.
-	suspectLeast = 4 * time.Second
-	suspectMost  = 9 * time.Second
-	enough       = 3 // accusers at which it is shortest, as far as they can be told apart
+	// A suspect is declared dead if it does not refute the suspicion within a time between these two. The time is shorter
+	// the more routers accuse the suspect (Lifeguard, section IV.B). Even the shortest one leaves enough time for the
+	// suspicion to reach the suspect and for its refutation to reach all routers.
+	minSuspicionTime = 4 * time.Second
+	maxSuspicionTime = 9 * time.Second
+	enoughAccusers   = 3 // number of distinguishable accusers at which the time is shortest
 
-	mostHealth = 4 // at which all times are twice as long
-	stallLeast = 500 * time.Millisecond
+	maxHealthScore = 4                      // at this score all timeouts are twice as long
+	minStall       = 500 * time.Millisecond // a longer delay of Tick is a stall
 )
 
-// steps are the times between what a probe does: asks by itself; has others ask; does both; both again; and fails.
-var steps = [...]time.Duration{200 * time.Millisecond, 300 * time.Millisecond, 300 * time.Millisecond, 400 * time.Millisecond}
+// probeSteps are the durations of the steps of a probe. The first step pings the target, the second one asks other routers to
+// ping it, the third and the fourth do both. Then the probe fails.
+var probeSteps = [...]time.Duration{
+	200 * time.Millisecond, 300 * time.Millisecond, 300 * time.Millisecond, 400 * time.Millisecond,
+}
 
+// Values of probe.requester for probes that no other router has requested.
 const (
-	forNobody = -1 // a probe of this router's own
-	forLookup = -2 // nothing follows from silence
+	ownProbe    = -1 // the target becomes a suspect if it doesn't answer
+	lookupProbe = -2 // a missing answer has no consequences
 )
 
-// probe is a question that is open.
+// probe is a ping whose answer is outstanding.
 type probe struct {
-	target int
-	seq    uint32
-	due    time.Duration // of the next step
-	step   int
-	asker  int    // for whom, or forNobody or forLookup
-	itsSeq uint32 // the asker's
+	target       int
+	seq          uint32
+	dueAt        time.Duration // time of the next step, or of the end of a probe without steps
+	step         int
+	requester    int    // the router that requested the probe, or ownProbe or lookupProbe
+	requesterSeq uint32 // sequence number of the request
 }
 
-// scaled lengthens a time for a router that reaches few: it may be its own fault (Lifeguard, section IV.A).
-func (v *View) scaled(d time.Duration) time.Duration {
-	return d + d*time.Duration(v.health)/mostHealth
+// scaledByHealth lengthens a timeout when this router gets few answers, because that may be its own fault (Lifeguard,
+// section IV.A).
+func (v *View) scaledByHealth(d time.Duration) time.Duration {
+	return d + d*time.Duration(v.healthScore)/maxHealthScore
 }
 
-func (v *View) worse() { v.health = min(mostHealth, v.health+1) }
+func (v *View) raiseHealthScore() { v.healthScore = min(maxHealthScore, v.healthScore+1) }
 
-// clock takes the time. Where it went on without this router, all that waits was waited for by nobody: what others did
-// in between is not known, and silence shows nothing.
-func (v *View) clock(now time.Duration) {
-	if gap := now - v.Next(); gap > stallLeast {
+// advanceClock sets the current time. If Tick is overdue by more than minStall, this process has stalled: it knows nothing
+// of what the others did meanwhile, and a missing answer proves nothing. The view then drops all probes and extends the time of
+// all suspects by the length of the stall.
+func (v *View) advanceClock(now time.Duration) {
+	if gap := now - v.Next(); gap > minStall {
 		v.counts.Stalls++
-		v.worse()
+		v.raiseHealthScore()
 		v.probes = v.probes[:0]
 		for i := range v.members {
 			if m := &v.members[i]; m.State == Suspect {
 				m.suspectedAt += gap
 			}
 		}
-		v.next = now
+		v.nextProbeAt = now
 	}
 	v.now = now
 }
 
-// Tick does what is due.
+// Tick advances the clock and does everything that is due. It is to be called at the time that Next returns.
 func (v *View) Tick(now time.Duration) {
-	v.clock(now)
+	v.advanceClock(now)
 	if v.leaving {
-		v.next = now + Period
+		v.nextProbeAt = now + Period
 		return
 	}
-	v.step()
-	if now < v.next {
+	v.advanceProbes()
+	if now < v.nextProbeAt {
 		return
 	}
-	v.next = max(v.next+Period, now)
-	v.repairs, v.churn = mostRepairs, v.churn*churnKept
-	v.forgetSights()
-	if v.suspects > 0 {
-		v.judge()
+	v.nextProbeAt = max(v.nextProbeAt+Period, now)
+	v.repairBudget, v.recentChanges = maxRepairs, v.recentChanges*recentChangesDecay
+	v.dropExpiredObservations()
+	if v.suspectCount > 0 {
+		v.declareDead()
 	}
 	if v.isAlone() {
-		for _, to := range v.some(joinContacts, func(int) bool { return true }) {
-			v.ask(to, false)
+		for _, to := range v.pickOthers(joinContacts, func(int) bool { return true }) {
+			v.startProbe(to, false)
 		}
-	} else if to, mine, ok := v.target(); ok {
-		v.ask(to, mine)
+	} else if to, assumedAlive, ok := v.nextTarget(); ok {
+		v.startProbe(to, assumedAlive)
 	}
-	if v.news.hasEager() > fullNews { // more than the probes carry: a third of the fleet comes, half of it goes
-		for _, to := range v.some(extraNews, func(i int) bool { return v.members[i].Here() }) {
-			v.send(news, to, 0, 0)
+	// The probes can't carry all eager updates when, for example, a third of the fleet joins or half of it fails.
+	if v.updates.eagerCount() > claimsPerDatagram {
+		for _, to := range v.pickOthers(extraUpdates, func(i int) bool { return v.members[i].Here() }) {
+			v.send(kindUpdate, to, 0, 0)
 		}
 	}
 }
 
-// isAlone tells whether this router takes no other one to live, as at its start.
+// isAlone reports whether this router assumes no other router to be alive, as at its start.
 func (v *View) isAlone() bool {
 	for i := range v.members {
 		if i != v.self && v.members[i].Here() {
@@ -112,40 +123,43 @@
 	return true
 }
 
-// judge takes those for dead that have not contradicted in time.
-func (v *View) judge() {
-	here := 0
+// declareDead declares those suspects dead that have not refuted the suspicion in time.
+func (v *View) declareDead() {
+	assumedAlive := 0
 	for i := range v.members {
 		if v.members[i].Here() {
-			here++
+			assumedAlive++
 		}
 	}
-	// As many accusers as there can be, the suspect and the first accuser aside, make the time shortest.
-	need := min(enough-1, here-2)
+	// The suspicion time is shortest once this many routers accuse the suspect besides the first accuser. In a small fleet these
+	// are all routers but the suspect and the first accuser.
+	needed := min(enoughAccusers-1, assumedAlive-2)
 	for i := range v.members {
 		m := &v.members[i]
 		if !m.Known() || m.State != Suspect || i == v.self {
 			continue
 		}
-		wait := suspectLeast
-		if more := bits.OnesCount8(m.accusers) - 1; more < need {
-			wait = suspectMost - (suspectMost-suspectLeast)*time.Duration(more)/time.Duration(need)
+		suspicionTime := minSuspicionTime
+		if further := bits.OnesCount8(m.accusers) - 1; further < needed {
+			suspicionTime = maxSuspicionTime - (maxSuspicionTime-minSuspicionTime)*time.Duration(further)/time.Duration(needed)
 		}
-		if v.now-m.suspectedAt >= v.scaled(wait) {
-			v.set(i, Member{State: Dead, Phase: m.Phase, Inc: m.Inc})
+		if v.now-m.suspectedAt >= v.scaledByHealth(suspicionTime) {
+			v.setMember(i, Member{State: Dead, Phase: m.Phase, Inc: m.Inc})
 		}
 	}
 }
 
-// target draws whom to probe next: all that are taken to live in an order drawn anew each time, so that each comes
-// once in a round (SWIM, section 4.3), and one in lookupTurn of the others, so that halves find each other again.
-func (v *View) target() (to int, mine, ok bool) {
-	v.turn++
-	if v.turn%lookupTurn != 0 {
+// nextTarget returns the router to probe next and whether that router is assumed to be alive. Routers that are assumed to
+// be alive come once per round, in an order that is drawn anew for each round (SWIM, section 4.3). One probe in
+// lookupInterval goes to a random one of the other routers, so that the halves of a partitioned fleet find each other
+// again.
+func (v *View) nextTarget() (to int, assumedAlive, ok bool) {
+	v.probeCount++
+	if v.probeCount%lookupInterval != 0 {
 		for refilled := false; ; {
-			for len(v.order) > 0 {
-				i := int(v.order[len(v.order)-1])
-				v.order = v.order[:len(v.order)-1]
+			for len(v.probeOrder) > 0 {
+				i := int(v.probeOrder[len(v.probeOrder)-1])
+				v.probeOrder = v.probeOrder[:len(v.probeOrder)-1]
 				if v.members[i].Here() {
 					return i, true, true
 				}
@@ -156,152 +170,157 @@
 			refilled = true
 			for i := range v.members {
 				if i != v.self && v.members[i].Here() {
-					v.order = append(v.order, uint16(i))
+					v.probeOrder = append(v.probeOrder, uint16(i))
 				}
 			}
-			for i := len(v.order) - 1; i > 0; i-- {
-				j := v.intn(i + 1)
-				v.order[i], v.order[j] = v.order[j], v.order[i]
+			for i := len(v.probeOrder) - 1; i > 0; i-- {
+				j := v.randomInt(i + 1)
+				v.probeOrder[i], v.probeOrder[j] = v.probeOrder[j], v.probeOrder[i]
 			}
 		}
 	}
-	if gone := v.some(1, func(i int) bool { return !v.members[i].Here() }); len(gone) > 0 {
-		return gone[0], false, true
+	if absent := v.pickOthers(1, func(i int) bool { return !v.members[i].Here() }); len(absent) > 0 {
+		return absent[0], false, true
 	}
-	if v.turn%lookupTurn == 0 && v.of > 1 {
-		return v.target()
+	if v.probeCount%lookupInterval == 0 && v.routerCount > 1 {
+		return v.nextTarget()
 	}
 	return 0, false, false
 }
 
-// ask begins a probe.
-func (v *View) ask(to int, mine bool) {
-	p := probe{target: to, asker: forLookup, due: v.now + v.scaled(lookupTime)}
-	if mine {
-		p.asker, p.due = forNobody, v.now+v.scaled(steps[0])
+// startProbe starts a probe of a router, or a lookup if the router is not assumed to be alive.
+func (v *View) startProbe(to int, assumedAlive bool) {
+	p := probe{target: to, requester: lookupProbe, dueAt: v.now + v.scaledByHealth(lookupTimeout)}
+	if assumedAlive {
+		p.requester, p.dueAt = ownProbe, v.now+v.scaledByHealth(probeSteps[0])
 	}
-	v.seq++
-	p.seq = v.seq
+	v.lastSeq++
+	p.seq = v.lastSeq
 	v.ping(&p)
 	v.probes = append(v.probes, p)
 }
 
 func (v *View) ping(p *probe) {
-	about := p.target
-	if p.asker >= 0 {
-		about = p.asker
+	subject := p.target
+	if p.requester >= 0 {
+		subject = p.requester
 	}
 	if m := &v.members[p.target]; m.State != Alive {
-		v.send(ping, p.target, p.seq, about, p.target) // so that it can contradict at once (Lifeguard's buddy system)
+		// The ping carries the claim about its target, so that the target can refute it at once (Lifeguard's buddy system).
+		v.send(kindPing, p.target, p.seq, subject, p.target)
 		return
 	}
-	v.send(ping, p.target, p.seq, about)
+	v.send(kindPing, p.target, p.seq, subject)
 }
 
-// step takes open probes on.
-func (v *View) step() {
-	var silent []int
-	kept := v.probes[:0]
+// advanceProbes starts the next step of each probe for which it is due, and ends the probes that have no further step.
+func (v *View) advanceProbes() {
+	var failed []int
+	remaining := v.probes[:0]
 	for _, p := range v.probes {
-		if v.now >= p.due {
-			if p.asker != forNobody {
+		if v.now >= p.dueAt {
+			if p.requester != ownProbe {
 				continue
 			}
-			if p.step++; p.step == len(steps) {
-				silent = append(silent, p.target)
+			if p.step++; p.step == len(probeSteps) {
+				failed = append(failed, p.target)
 				continue
 			}
 			if p.step > 1 {
 				v.ping(&p)
 			}
-			for _, by := range v.some(helpers, func(i int) bool { return i != p.target && v.members[i].Here() && v.members[i].State == Alive }) {
-				v.send(ask, by, p.seq, p.target)
+			for _, prober := range v.pickOthers(indirectProbers, func(i int) bool {
+				return i != p.target && v.members[i].Here() && v.members[i].State == Alive
+			}) {
+				v.send(kindPingRequest, prober, p.seq, p.target)
 			}
-			p.due = v.now + v.scaled(steps[p.step])
+			p.dueAt = v.now + v.scaledByHealth(probeSteps[p.step])
 		}
-		kept = append(kept, p)
+		remaining = append(remaining, p)
 	}
-	v.probes = kept
-	for _, who := range silent {
-		v.failed(who)
+	v.probes = remaining
+	for _, router := range failed {
+		v.suspect(router)
 	}
 }
 
-// failed accuses a router that nobody has reached.
-func (v *View) failed(who int) {
+// suspect handles a failed probe of a router. The router becomes a suspect; if it is one already, this router joins its
+// accusers.
+func (v *View) suspect(router int) {
 	v.counts.ProbesFailed++
-	v.worse()
-	m := &v.members[who]
+	v.raiseHealthScore()
+	m := &v.members[router]
 	switch {
 	case !m.Here():
 	case m.State == Alive:
-		after := Member{State: Suspect, Phase: m.Phase, Inc: m.Inc, accusers: v.mark(), suspectedAt: v.now}
-		v.set(who, after)
+		after := Member{State: Suspect, Phase: m.Phase, Inc: m.Inc, accusers: v.accuserBit(), suspectedAt: v.now}
+		v.setMember(router, after)
 	default:
-		v.accuse(m, uint16(who), v.mark())
+		v.addAccusers(m, uint16(router), v.accuserBit())
 	}
 }
 
-// mark is what this router sets among a suspect's accusers. Four can be told apart at the most: what is set by several counts
-// once, so that the number of marks is never more than that of accusers, in whatever order and however often it is told.
-func (v *View) mark() uint8 { return 1 << (v.self % 4) }
+// accuserBit returns the bit that stands for this router among the accusers of a suspect. There are four bits. Routers
+// that share a bit count as one accuser, so that the number of bits is never greater than the number of accusers,
+// regardless of the order in which accusations arrive and how often they are repeated.
+func (v *View) accuserBit() uint8 { return 1 << (v.self % 4) }
 
-// accuse adds accusers of a suspect.
-func (v *View) accuse(m *Member, who uint16, accusers uint8) {
+// addAccusers adds accusers to a suspect, and queues an update if any of them is new.
+func (v *View) addAccusers(m *Member, router uint16, accusers uint8) {
 	if m.accusers|accusers == m.accusers {
 		return
 	}
 	m.accusers |= accusers
-	m.gen++
-	v.news.push(who, m)
+	m.generation++
+	v.updates.push(router, m)
 }
 
-// join takes what another one says of a suspect that this router suspects as well.
-func (v *View) join(m *Member, c *claim) {
-	m.suspectedAt = min(m.suspectedAt, v.now-c.age)
-	v.accuse(m, c.who, c.accusers)
+// mergeSuspicion merges another router's claim about a suspect into what this router knows about the same suspicion.
+func (v *View) mergeSuspicion(m *Member, c *claim) {
+	m.suspectedAt = min(m.suspectedAt, v.now-c.suspicionAge)
+	v.addAccusers(m, c.router, c.accusers)
 }
 
-// answer does what a datagram asks for, after all that it says was taken in.
-func (v *View) answer(m *message) {
+// respond does what a datagram asks for, after its contents have been handled.
+func (v *View) respond(m *message) {
 	from := int(m.from)
 	switch m.kind {
-	case ping:
-		var needs []int
+	case kindPing:
+		var required []int
 		if !v.members[from].Here() || v.members[from].State == Suspect {
-			needs = []int{from}
+			required = []int{from}
 		}
-		v.write(ack, from, m.seq, v.self, v.differs(m), needs)
-		v.tellJoining(from)
-	case ask:
-		if about := int(m.about); about < v.of && about != v.self && about != from {
-			v.seq++
-			p := probe{target: about, seq: v.seq, asker: from, itsSeq: m.seq, due: v.now + lookupTime}
+		v.sendDatagram(kindAck, from, m.seq, v.self, v.wantsComparison(m), required)
+		v.sendRecentObservations(from)
+	case kindPingRequest:
+		if target := int(m.subject); target < v.routerCount && target != v.self && target != from {
+			v.lastSeq++
+			p := probe{target: target, seq: v.lastSeq, requester: from, requesterSeq: m.seq, dueAt: v.now + lookupTimeout}
 			v.ping(&p)
 			v.probes = append(v.probes, p)
 		}
-	case ack:
-		v.acknowledged(m)
-		if len(m.bits) > 0 && int(m.of) == v.of {
-			v.repair(from, m.seq, m.bits)
+	case kindAck:
+		v.handleAck(m)
+		if len(m.comparison) > 0 && int(m.routerCount) == v.routerCount {
+			v.sendRepairs(from, m.seq, m.comparison)
 		}
 	}
-	v.payDebts()
+	v.sendCorrections()
 }
 
-// acknowledged ends the probe that an answer is for.
-func (v *View) acknowledged(m *message) {
+// handleAck ends the probe that an ack answers, and passes the ack on if another router requested the probe.
+func (v *View) handleAck(m *message) {
 	for i := range v.probes {
 		p := v.probes[i]
-		if p.seq != m.seq || p.target != int(m.about) {
+		if p.seq != m.seq || p.target != int(m.subject) {
 			continue
 		}
 		v.probes = append(v.probes[:i], v.probes[i+1:]...)
 		switch {
-		case p.asker >= 0:
-			v.send(ack, p.asker, p.itsSeq, p.target)
-		case p.asker == forNobody:
-			v.health = max(0, v.health-1)
+		case p.requester >= 0:
+			v.send(kindAck, p.requester, p.requesterSeq, p.target)
+		case p.requester == ownProbe:
+			v.healthScore = max(0, v.healthScore-1)
 		}
 		return
 	}
--- a/internal/fleet/view/repair.go
+++ b/internal/fleet/view/repair.go
@@ -2,85 +2,88 @@
 
 import "time"
 
-// These bound what a router sends in a period, however large its fleet is: what does not fit waits for the next period.
+// These limit what a router sends per period, regardless of the size of its fleet. What doesn't fit waits for the next period.
 const (
-	mostRepairs = 8  // datagrams of repair
-	fullNews    = 18 // claims that a datagram has room for
-	extraNews   = 3  // datagrams beside the probes where more is new
+	maxRepairs        = 8  // datagrams with repairs, corrections or observations for a joining router
+	claimsPerDatagram = 18 // claims that fit into a datagram
+	extraUpdates      = 3  // datagrams sent besides the probes when more updates are queued than the probes carry
 )
 
-// differs tells whether another view is to be compared with this one. A single change settles by itself; it is worth a
-// comparison where much changes, or where nothing does and the views still differ.
-func (v *View) differs(m *message) bool {
-	return m.sum != v.sum && int(m.of) == v.of &&
-		(v.churn > mass || v.now-v.changed > settle || v.differing > 0 && v.now-v.differing > 2*settle)
+// wantsComparison reports whether the answer to a datagram is to contain a comparison, because the sender's view differs.
+// A single change spreads without it. A comparison is worthwhile when many members change, or when nothing changes and the
+// views still differ.
+func (v *View) wantsComparison(m *message) bool {
+	return m.viewChecksum != v.checksum && int(m.routerCount) == v.routerCount &&
+		(v.recentChanges > manyChanges || v.now-v.lastChangeAt > settleTime ||
+			v.differingSince > 0 && v.now-v.differingSince > 2*settleTime)
 }
 
 const (
-	churnKept = 0.8 // of the changes of one period in the next
-	mass      = 16
-	settle    = 1500 * time.Millisecond
+	recentChangesDecay = 0.8 // factor by which View.recentChanges decreases each period
+	manyChanges        = 16  // value of View.recentChanges above which views are compared at once
+	settleTime         = 1500 * time.Millisecond
 )
 
-// width is how many bits of each member's print a comparison has, so that it fits into a datagram beside claims. Of more than
-// 1,008 members it has a part, another one each time.
-func width(of int) int {
-	for _, w := range []int{8, 4, 2} {
-		if of*w <= mostBits*8 {
-			return w
+// bitsPerMember returns how many bits of each member's fingerprint a comparison contains, so that it fits into a datagram
+// besides claims. In a fleet of more than 1,008 members a comparison covers only some of them, different ones each time.
+func bitsPerMember(routerCount int) int {
+	for _, width := range []int{8, 4, 2} {
+		if routerCount*width <= maxComparisonBytes*8 {
+			return width
 		}
 	}
 	return 1
 }
 
-// part are the bits of a member's print in the comparison of a number: others in each, so that what is overlooked in one is
-// found in the next.
-func part(print uint64, seq uint32, w int) byte {
-	x := (print ^ uint64(seq)*0x9e3779b97f4a7c15) * 0xd6e8feb86659fd93
-	return byte(x >> (64 - w))
+// fingerprintBits returns the bits of a member's fingerprint for the comparison in the datagram with the sequence number
+// seq. They differ from comparison to comparison, so that a difference that one comparison misses is found by the next.
+func fingerprintBits(fingerprint uint64, seq uint32, width int) byte {
+	mixed := (fingerprint ^ uint64(seq)*0x9e3779b97f4a7c15) * 0xd6e8feb86659fd93
+	return byte(mixed >> (64 - width))
 }
 
-// appendBits adds some bits of each member's print. Whoever has others knows something else of it.
-func (v *View) appendBits(b []byte, seq uint32) []byte {
-	w := width(v.of)
-	n := min(v.of, mostBits*8/w)
-	from := 0
-	if n < v.of {
-		from = v.intn(v.of)
+// appendComparison appends some bits of each member's fingerprint. A receiver that has other bits for a member knows
+// something else about that member.
+func (v *View) appendComparison(b []byte, seq uint32) []byte {
+	width := bitsPerMember(v.routerCount)
+	n := min(v.routerCount, maxComparisonBytes*8/width)
+	first := 0
+	if n < v.routerCount {
+		first = v.randomInt(v.routerCount)
 	}
-	b = append(b, byte(tagBits), byte(2+(n*w+7)/8), byte(from>>8), byte(from))
-	at := len(b)
-	b = append(b, make([]byte, (n*w+7)/8)...)
+	b = append(b, byte(tagComparison), byte(2+(n*width+7)/8), byte(first>>8), byte(first))
+	section := len(b)
+	b = append(b, make([]byte, (n*width+7)/8)...)
 	for k := range n {
-		x := part(v.members[(from+k)%v.of].print, seq, w)
-		b[at+k*w/8] |= x << (k * w % 8)
+		bits := fingerprintBits(v.members[(first+k)%v.routerCount].fingerprint, seq, width)
+		b[section+k*width/8] |= bits << (k * width % 8)
 	}
 	return b
 }
 
-// repair sends a neighbour this router's claims of those members of whom it knows something else. It sends back what it
-// knows better.
-func (v *View) repair(to int, seq uint32, bits []byte) {
-	from, bits := int(bits[0])<<8|int(bits[1]), bits[2:]
-	w := width(v.of)
-	n := min(v.of, len(bits)*8/w)
-	begin := v.intn(n)
-	var needs []int
+// sendRepairs sends a neighbour this router's claims about those members for which the neighbour's comparison differs. The
+// neighbour replies with the claims for which its own knowledge is newer.
+func (v *View) sendRepairs(to int, seq uint32, comparison []byte) {
+	first, comparison := int(comparison[0])<<8|int(comparison[1]), comparison[2:]
+	width := bitsPerMember(v.routerCount)
+	n := min(v.routerCount, len(comparison)*8/width)
+	begin := v.randomInt(n)
+	var required []int
 	flush := func() {
-		if len(needs) > 0 && v.repairs > 0 {
-			v.repairs--
-			v.write(trade, to, 0, 0, false, needs)
+		if len(required) > 0 && v.repairBudget > 0 {
+			v.repairBudget--
+			v.sendDatagram(kindExchange, to, 0, 0, false, required)
 		}
-		needs = needs[:0]
+		required = required[:0]
 	}
 	for i := range n {
 		k := (begin + i) % n
-		who := (from + k) % v.of
-		if who == v.self || who == to || v.repairs == 0 { // the heads say these
+		router := (first + k) % v.routerCount
+		if router == v.self || router == to || v.repairBudget == 0 { // datagram heads carry the claims about these two routers
 			continue
 		}
-		if byte(bits[k*w/8]>>(k*w%8))&byte(1<<w-1) != part(v.members[who].print, seq, w) {
-			if needs = append(needs, who); len(needs) == fullNews {
+		if byte(comparison[k*width/8]>>(k*width%8))&byte(1<<width-1) != fingerprintBits(v.members[router].fingerprint, seq, width) {
+			if required = append(required, router); len(required) == claimsPerDatagram {
 				flush()
 			}
 		}
@@ -88,22 +91,23 @@
 	flush()
 }
 
-// payDebts sends neighbours what they were found to know worse.
-func (v *View) payDebts() {
-	for len(v.news.debts) > 0 && v.repairs > 0 {
-		to := v.news.debts[0].to
-		var needs []int
-		left := v.news.debts[:0]
-		for _, d := range v.news.debts {
-			if d.to == to && len(needs) < fullNews {
-				needs = append(needs, int(d.who))
+// sendCorrections sends the queued corrections, in one datagram or more for each neighbour, and drops those beyond the
+// budget of the period.
+func (v *View) sendCorrections() {
+	for len(v.updates.corrections) > 0 && v.repairBudget > 0 {
+		to := v.updates.corrections[0].to
+		var required []int
+		remaining := v.updates.corrections[:0]
+		for _, c := range v.updates.corrections {
+			if c.to == to && len(required) < claimsPerDatagram {
+				required = append(required, int(c.router))
 				continue
 			}
-			left = append(left, d)
+			remaining = append(remaining, c)
 		}
-		v.news.debts = left
-		v.repairs--
-		v.write(news, int(to), 0, 0, false, needs)
+		v.updates.corrections = remaining
+		v.repairBudget--
+		v.sendDatagram(kindUpdate, int(to), 0, 0, false, required)
 	}
-	v.news.debts = v.news.debts[:0]
+	v.updates.corrections = v.updates.corrections[:0]
 }
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -8,154 +8,160 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Config says whose view it is.
+// Config holds the parameters of a view.
 type Config struct {
-	Self  int           // number of this router
-	Of    int           // routers that the configuration tells of, this one included; at most 65,535
-	Start time.Time     // of this process, by the wall clock
-	Seed  uint64        // for chance
-	Now   time.Duration // by the viewer's own clock, which never steps
+	Self  int           // number of the router whose view it is
+	Of    int           // number of routers in the configuration, this one included; at most 65,535
+	Start time.Time     // start of this process by the wall clock
+	Seed  uint64        // seed of the random source
+	Now   time.Duration // current time by the view's own clock, which never steps
 }
 
-// Datagram is one that is to be sent.
+// Datagram is a datagram that is to be sent to a router.
 type Datagram struct {
 	To   int
 	Body []byte
 }
 
-// Counts are what has happened since the start.
+// Counts are numbers of events since the start.
 type Counts struct {
 	Sent, SentBytes         uint64
 	Received, ReceivedBytes uint64
-	Bad                     uint64 // not read: spoilt, of another version, not understood
-	Strange                 uint64 // whole, and not from or for whom it should be
+	Undecodable             uint64 // received datagrams that are corrupt, malformed or of another version
+	Misaddressed            uint64 // intact received datagrams whose sender or receiver is not the expected router
 	ProbesFailed            uint64
-	Contradicted            uint64 // said of this router by others, and not so
-	Stalls                  uint64 // of this router: its clock went on without it
+	Refutations             uint64 // false claims about this router that it has refuted
+	Stalls                  uint64 // pauses of this process that were longer than minStall
 }
 
-// View is one router's view. It is not safe for use by several goroutines at once.
+// View is one router's view of its fleet. It is not safe for concurrent use.
 type View struct {
-	self, of int
-	now      time.Duration
-	rng      rand.PCG
-	members  []Member
-	own      *Member
-	twice    int           // how often another router spoke in this one's name while it lived
-	outbid   time.Duration // when that was last contradicted
-
-	sum uint32
-
-	news    queue
-	details []uint16 // of whom they are told next, in order
-	sights  []sighting
-
-	newSights []Sight // since they were last asked for
-
-	probes    []probe
-	order     []uint16 // of the members that are probed next
-	next      time.Duration
-	turn      uint32
-	seq       uint32
-	health    int           // 0 is best, see mostHealth
-	repairs   int           // datagrams that may still be sent in repair in this period
-	churn     float64       // changes, the older the less
-	changed   time.Duration // when the last one was
-	alike     int           // neighbours in a row that have said the same
-	differing time.Duration // since when neighbours have said otherwise; 0: the last one said the same
-	suspects  int
-	toldAt    time.Duration // when own details were last renewed
-	told      Details
-	events    []Event
-	out       []Datagram
-	in        message
-	counts    Counts
-	leaving   bool
+	self, routerCount int
+	now               time.Duration
+	rng               rand.PCG
+	members           []Member
+	own               *Member       // this router's entry in members
+	duplicateCount    int           // see DuplicateCount
+	lastOverrideAt    time.Duration // when this router last overrode a claim that was made under its number
+
+	checksum uint32
+
+	updates      updateQueue
+	detailQueue  []uint16 // routers whose details are sent next, in this order
+	observations []storedObservation
+
+	newObservations []Sight // observations since the last call of NewObservations
+
+	probes             []probe
+	probeOrder         []uint16 // the rest of the current round of probes, which is taken from the end
+	nextProbeAt        time.Duration
+	probeCount         uint32        // probes started, lookups included
+	lastSeq            uint32        // sequence number of the last probe
+	healthScore        int           // from 0, the best, to maxHealthScore
+	repairBudget       int           // remainder of maxRepairs in this period
+	recentChanges      float64       // number of changes, in which older ones count less
+	lastChangeAt       time.Duration // time of the last change
+	agreeing           int           // datagrams in a row with the same view checksum as this view's
+	differingSince     time.Duration // since when datagrams have had another view checksum; 0 if the last one had the same
+	suspectCount       int
+	detailsPublishedAt time.Duration // when this router's details were last published
+	ownDetails         Details       // this router's details to publish next
+	events             []Event
+	outgoing           []Datagram
+	received           message // the last datagram, whose memory is used again
+	counts             Counts
+	leaving            bool
 }
 
-// Event is a change of the view.
+// Event is a change of a member of the view.
 type Event struct {
-	Who    int
+	Who    int // number of the router that has changed
 	Before Member
 	After  Member
 }
 
-// New makes the view of a router that knows of nobody but itself.
+// New returns the view of a router that knows only itself.
 func New(c Config) *View {
-	v := &View{self: c.Self, of: c.Of, now: c.Now, rng: *rand.NewPCG(c.Seed, uint64(c.Self)), members: make([]Member, c.Of), next: c.Now}
+	v := &View{self: c.Self, routerCount: c.Of, now: c.Now, rng: *rand.NewPCG(c.Seed, uint64(c.Self)), members: make([]Member, c.Of),
+		nextProbeAt: c.Now}
 	v.own = &v.members[c.Self]
-	v.seq = uint32(v.rng.Uint64())
-	v.set(c.Self, Member{Inc: Incarnation{Start: max(1, c.Start.UnixMilli())}, Phase: Starting})
-	v.news.limit(c.Of)
+	v.lastSeq = uint32(v.rng.Uint64())
+	v.setMember(c.Self, Member{Inc: Incarnation{Start: max(1, c.Start.UnixMilli())}, Phase: Starting})
+	v.updates.setRouterCount(c.Of)
 	return v
 }
 
-// Members are all routers of the configuration, by number. The caller must not change them.
+// Members returns all routers of the configuration, by number. The caller must not change them.
 func (v *View) Members() []Member { return v.members }
 
-// Counts are the figures since the start.
+// Counts returns the numbers of events since the start.
 func (v *View) Counts() Counts { return v.counts }
 
-// Health is 0 for a router that reaches whom it asks, and grows up to 4 with what it fails at.
-func (v *View) Health() int { return v.health }
+// HealthScore returns a score from 0 to 4. It is 0 if the routers that this one probes answer, and increases with failed
+// probes, stalls of this process and suspicions against it.
+func (v *View) HealthScore() int { return v.healthScore }
 
-// Sum is the same for two views that say the same of all routers, up to suspicions.
-func (v *View) Sum() uint32 { return v.sum }
+// Sum returns a checksum of the view. It is equal for two views that agree on all routers, suspicions aside.
+func (v *View) Sum() uint32 { return v.checksum }
 
-// Twice tells how often another router has spoken in this one's name.
-func (v *View) Twice() int { return v.twice }
+// DuplicateCount returns how often a claim with a later incarnation than this router's was made under this router's
+// number. One or two such claims may come from a former process, further ones come from another router with the same
+// number.
+func (v *View) DuplicateCount() int { return v.duplicateCount }
 
-// Events gives what has changed since it was last asked.
+// Events returns the changes since the last call.
 func (v *View) Events() []Event {
-	e := v.events
+	events := v.events
 	v.events = nil
-	return e
+	return events
 }
 
-// Out gives what is to be sent since it was last asked.
+// Out returns the datagrams that are to be sent and were not returned by an earlier call.
 func (v *View) Out() []Datagram {
-	o := v.out
-	v.out = nil
-	return o
+	outgoing := v.outgoing
+	v.outgoing = nil
+	return outgoing
 }
 
-// Next is when Tick is due.
+// Next returns the time at which Tick is due.
 func (v *View) Next() time.Duration {
-	due := v.next
+	due := v.nextProbeAt
 	for i := range v.probes {
-		due = min(due, v.probes[i].due)
+		due = min(due, v.probes[i].dueAt)
 	}
 	return due
 }
 
-func (v *View) intn(n int) int { return int(v.rng.Uint64() % uint64(n)) }
+func (v *View) randomInt(n int) int { return int(v.rng.Uint64() % uint64(n)) }
 
-// set gives a member another state, incarnation or phase.
-func (v *View) set(who int, m Member) {
-	old := v.members[who]
-	m.Details, m.detailsSent, m.detailsQueued, m.gen = old.Details, old.detailsSent, old.detailsQueued, old.gen+1
-	if m.Inc.Start != old.Inc.Start { // another life tells anew
+// setMember sets the state, incarnation and phase of a router, and queues the change as an update and an event.
+func (v *View) setMember(router int, m Member) {
+	old := v.members[router]
+	m.Details, m.detailsSentCount, m.detailsQueued, m.generation =
+		old.Details, old.detailsSentCount, old.detailsQueued, old.generation+1
+	if m.Inc.Start != old.Inc.Start { // the details describe the former process
 		m.Details = Details{}
 	}
 	if m.Since = old.Since; m.State != old.State || m.Inc.Start != old.Inc.Start {
 		m.Since = v.now
 	}
-	m.print = fingerprint(who, &m)
-	h := old.print ^ m.print
-	v.sum ^= uint32(h)
-	v.churn, v.changed, v.alike = v.churn+1, v.now, 0
-	if was, is := old.Known() && old.State == Suspect, m.State == Suspect; was != is {
-		if v.suspects--; is {
-			v.suspects += 2
+	m.fingerprint = fingerprint(router, &m)
+	difference := old.fingerprint ^ m.fingerprint
+	v.checksum ^= uint32(difference)
+	v.recentChanges, v.lastChangeAt, v.agreeing = v.recentChanges+1, v.now, 0
+	if wasSuspect, isSuspect := old.Known() && old.State == Suspect, m.State == Suspect; wasSuspect != isSuspect {
+		if v.suspectCount--; isSuspect {
+			v.suspectCount += 2
 		}
 	}
-	v.members[who] = m
-	v.news.push(uint16(who), &v.members[who])
-	v.events = append(v.events, Event{who, old, m})
+	v.members[router] = m
+	v.updates.push(uint16(router), &v.members[router])
+	v.events = append(v.events, Event{router, old, m})
 }
 
-// fingerprint is what a member adds to the sum of a view. A suspicion passes; it is not in it.
-func fingerprint(who int, m *Member) uint64 {
+// fingerprint returns a member's contribution to the checksum of a view. It does not cover suspicions, because they are
+// temporary.
+func fingerprint(router int, m *Member) uint64 {
 	if !m.Known() {
 		return 0
 	}
@@ -164,26 +170,26 @@
 		state = Alive
 	}
 	var b [12]byte
-	binary.BigEndian.PutUint16(b[:], uint16(who))
+	binary.BigEndian.PutUint16(b[:], uint16(router))
 	binary.BigEndian.PutUint64(b[2:], uint64(m.Inc.Start)<<16|uint64(m.Inc.Count))
 	b[10], b[11] = byte(state), byte(m.Phase)
 	return xxhash.Sum64(b[:])
 }
 
-// SetPhase says what this router does for clients from now on.
+// SetPhase sets what this router does for clients.
 func (v *View) SetPhase(p Phase) {
 	if v.own.Phase == p || v.leaving {
 		return
 	}
 	m := *v.own
 	m.Phase, m.Inc = p, m.Inc.next()
-	v.set(v.self, m)
+	v.setMember(v.self, m)
 }
 
-// farewells is to how many a router that ends says so by itself; they pass it on.
-const farewells = 8
+// leaveNotices is the number of routers to which a leaving router announces that it leaves. They pass the announcement on.
+const leaveNotices = 8
 
-// Leave says that this router ends. What it gives to be sent is the last.
+// Leave announces that this router shuts down. The view queues no datagrams after these announcements.
 func (v *View) Leave(now time.Duration) {
 	if v.leaving {
 		return
@@ -191,22 +197,22 @@
 	v.now, v.leaving = now, true
 	m := *v.own
 	m.State, m.Phase, m.Inc = Left, Stopping, m.Inc.next()
-	v.set(v.self, m)
+	v.setMember(v.self, m)
 	v.probes = nil
-	for _, to := range v.some(farewells, func(i int) bool { return v.members[i].Here() }) {
-		v.send(news, to, 0, 0)
+	for _, to := range v.pickOthers(leaveNotices, func(i int) bool { return v.members[i].Here() }) {
+		v.send(kindUpdate, to, 0, 0)
 	}
 }
 
-// some draws up to n others that a test finds good.
-func (v *View) some(n int, good func(i int) bool) (list []int) {
-	from := v.intn(v.of)
-	step := 1 + 2*v.intn(max(1, v.of/2))
-	for gcd(step, v.of) != 1 {
+// pickOthers returns up to n random routers, other than this one, that are eligible.
+func (v *View) pickOthers(n int, eligible func(i int) bool) (list []int) {
+	first := v.randomInt(v.routerCount)
+	step := 1 + 2*v.randomInt(max(1, v.routerCount/2))
+	for gcd(step, v.routerCount) != 1 {
 		step++
 	}
-	for k := range v.of {
-		if i := (from + k*step) % v.of; i != v.self && good(i) {
+	for k := range v.routerCount {
+		if i := (first + k*step) % v.routerCount; i != v.self && eligible(i) {
 			if list = append(list, i); len(list) == n {
 				break
 			}
@@ -222,115 +228,122 @@
 	return a
 }
 
-// Receive takes a datagram that came from the address of a router. A negative number is an address that is none of
-// the routers'.
+// Receive handles a datagram that came from the address of the router with the number from. The number is negative if no
+// router has the address.
 func (v *View) Receive(now time.Duration, from int, b []byte) {
-	v.clock(now)
+	v.advanceClock(now)
 	v.counts.Received++
 	v.counts.ReceivedBytes += uint64(len(b))
-	m := &v.in
+	m := &v.received
 	if err := parse(b, m); err != nil {
-		v.counts.Bad++
+		v.counts.Undecodable++
 		return
 	}
-	// A list of peers that is partly wrong must not make one router stand for another.
-	if from != int(m.from) || int(m.to) != v.self || from >= v.of || from == v.self || from < 0 {
-		v.counts.Strange++
+	// The sender must be the router that has the address in this router's configuration. An error in the configuration must not
+	// make one router act as another.
+	if from != int(m.from) || int(m.to) != v.self || from >= v.routerCount || from == v.self || from < 0 {
+		v.counts.Misaddressed++
 		return
 	}
 	if v.leaving {
 		return
 	}
-	v.hear(&claim{who: m.from, state: m.state, phase: m.phase, inc: m.inc})
-	if m.inc.Compare(v.members[from].Inc) < 0 { // late, or of a life whose clock was set back: it must outbid its former one
-		v.news.owe(m.from, m.from)
+	v.handleClaim(&claim{router: m.from, state: m.state, phase: m.phase, inc: m.inc})
+	// The datagram was delayed, or its sender restarted after its clock was set back. In the second case the sender must
+	// learn of the incarnation of its former process, so that it can take a later one.
+	if m.inc.Compare(v.members[from].Inc) < 0 {
+		v.updates.addCorrection(m.from, m.from)
 	}
 	for i := range m.claims {
-		if c := &m.claims[i]; int(c.who) < v.of {
-			if isNew := v.hear(c); !isNew && m.kind == trade && c.inc.Compare(v.members[c.who].Inc) < 0 {
-				v.news.owe(m.from, c.who)
+		if c := &m.claims[i]; int(c.router) < v.routerCount {
+			if isNew := v.handleClaim(c); !isNew && m.kind == kindExchange && c.inc.Compare(v.members[c.router].Inc) < 0 {
+				v.updates.addCorrection(m.from, c.router)
 			}
 		}
 	}
 	for i := range m.details {
-		v.hearDetail(&m.details[i])
+		v.handleDetail(&m.details[i])
 	}
-	for i := range m.sights {
-		v.hearSight(&m.sights[i])
+	for i := range m.observations {
+		v.storeObservation(&m.observations[i])
 	}
 	switch {
-	case int(m.of) != v.of:
-	case m.sum == v.sum:
-		v.differing = 0
-		if v.alike++; v.alike == enoughAlike { // as far as can be told all know what is told here
-			v.news.settle(v.members)
+	case int(m.routerCount) != v.routerCount:
+	case m.viewChecksum == v.checksum:
+		v.differingSince = 0
+		if v.agreeing++; v.agreeing == enoughAgreeing { // all routers probably know the queued updates
+			v.updates.keepSuspicionsOnly(v.members)
 		}
 	default:
-		if v.alike = 0; v.differing == 0 {
-			v.differing = v.now
+		if v.agreeing = 0; v.differingSince == 0 {
+			v.differingSince = v.now
 		}
 	}
-	v.answer(m)
+	v.respond(m)
 }
 
-// hear takes what is said of a router, by itself or by another one, and tells whether it was new.
-func (v *View) hear(c *claim) (isNew bool) {
-	if int(c.who) == v.self {
-		return v.hearOfSelf(c)
+// handleClaim handles a claim that a router makes about itself or about another one, and reports whether it was new.
+func (v *View) handleClaim(c *claim) (isNew bool) {
+	if int(c.router) == v.self {
+		return v.handleClaimAboutSelf(c)
 	}
-	m := &v.members[c.who]
+	m := &v.members[c.router]
 	if c.inc.Start == 0 {
 		return false
 	}
-	if !c.beats(m) {
+	if !c.supersedes(m) {
 		if c.state == Suspect && m.State == Suspect && c.inc == m.Inc {
-			v.join(m, c)
+			v.mergeSuspicion(m, c)
 		}
-		if c.inc == m.Inc && c.state == m.State && m.heard < 255 {
-			m.heard++
+		if c.inc == m.Inc && c.state == m.State && m.heardCount < 255 {
+			m.heardCount++
 		}
 		return false
 	}
 	after := Member{State: c.state, Phase: c.phase, Inc: c.inc}
 	if c.state == Suspect {
-		after.accusers, after.suspectedAt = c.accusers, v.now-c.age
+		after.accusers, after.suspectedAt = c.accusers, v.now-c.suspicionAge
 	}
-	v.set(int(c.who), after)
+	v.setMember(int(c.router), after)
 	return true
 }
 
-// outbidEvery bounds what two routers of one number, which contradict each other for ever, cost the fleet.
-const outbidEvery = 10 * time.Second
+// minOverrideInterval limits the load that two routers with the same number cause, because they override each other's
+// claims for ever.
+const minOverrideInterval = 10 * time.Second
 
-// hearOfSelf contradicts what is not so, and outbids what was said in this router's name: by a former life, whose
-// clock may have been ahead of this one's, or by another router that was given the same number.
-func (v *View) hearOfSelf(c *claim) bool {
-	d := c.inc.Compare(v.own.Inc)
-	if d < 0 || d == 0 && c.state == Alive && c.phase == v.own.Phase {
+// handleClaimAboutSelf refutes false claims about this router. It also overrides claims that were made under this router's
+// number, either by a former process whose clock may have been ahead of this one's, or by another router with the same
+// number. In both cases this router takes a later incarnation than that of the claim.
+func (v *View) handleClaimAboutSelf(c *claim) bool {
+	order := c.inc.Compare(v.own.Inc)
+	if order < 0 || order == 0 && c.state == Alive && c.phase == v.own.Phase {
 		return false
 	}
-	if d > 0 && c.state <= Suspect {
-		if v.told.Twice && v.now-v.outbid < outbidEvery {
+	if order > 0 && c.state <= Suspect {
+		if v.ownDetails.DuplicateNumber && v.now-v.lastOverrideAt < minOverrideInterval {
 			return false
 		}
-		v.outbid = v.now
-		if v.twice++; v.twice >= 3 && !v.told.Twice { // a former life speaks no more: its word is outbid once, or twice if late
-			v.told.Twice = true
-			defer v.renew()
+		v.lastOverrideAt = v.now
+		// A former process sends no more claims: it is overridden once, or twice if a claim of it arrives late. From the third time
+		// on, another router must be using this number.
+		if v.duplicateCount++; v.duplicateCount >= 3 && !v.ownDetails.DuplicateNumber {
+			v.ownDetails.DuplicateNumber = true
+			defer v.publishDetails()
 		}
 	}
-	v.counts.Contradicted++
+	v.counts.Refutations++
 	if c.state == Suspect {
-		v.worse()
+		v.raiseHealthScore()
 	}
 	m := *v.own
 	m.Inc = c.inc.next()
 	if c.inc.Start != v.own.Inc.Start {
-		m.Inc = c.inc.nextLife()
+		m.Inc = c.inc.nextStart()
 	}
-	v.set(v.self, m)
-	if v.told.Seq != 0 && v.own.Details.Seq == 0 { // told in a life that others take for another one now
-		v.renew()
+	v.setMember(v.self, m)
+	if v.ownDetails.Seq != 0 && v.own.Details.Seq == 0 { // to the other routers this is a new process, so its details are sent again
+		v.publishDetails()
 	}
 	return true
 }
