--- a/internal/buffer/arrival.go
+++ b/internal/buffer/arrival.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// arrivalStep is how far apart in time two parts of what is left over must have come to be told apart: whoever sends byte by byte
-// must not make the list of parts longer than what it sends.
+// arrivalStep is the minimum time between the arrivals of two pieces of leftover bytes that are recorded separately.
+// Without it, a peer that sends byte by byte would make the list of arrivals longer than its data.
 const arrivalStep = 10 * time.Millisecond
 
-// arrival says by when the bytes up to an offset had come at the earliest.
+// arrival is the earliest time at which the bytes up to an offset can have arrived.
 type arrival struct {
-	end int // offset behind the last of them
+	end int // offset behind the last of the bytes
 	at  time.Time
 }
 
-// arrivals are the parts of what a Reader has left over, in order.
+// arrivals are the arrival times of a Reader's leftover bytes, ordered by offset.
 type arrivals []arrival
 
-// add tells that there are bytes up to end, and that those which are new came at a time. Of parts that came close together the
-// earlier time holds for all.
+// add records that there are bytes up to end, and that the new ones among them arrived at the given time. If they
+// arrived less than arrivalStep after the piece before, they count as arrived with it.
 func (a *arrivals) add(end int, at time.Time) {
 	if last := len(*a) - 1; last >= 0 && at.Sub((*a)[last].at) < arrivalStep {
 		(*a)[last].end = end
@@ -25,7 +25,7 @@
 	*a = append(*a, arrival{end, at})
 }
 
-// drop takes the first n bytes off.
+// drop removes the first n bytes.
 func (a *arrivals) drop(n int) {
 	kept := (*a)[:0]
 	for _, part := range *a {
@@ -38,8 +38,8 @@
 	}
 }
 
-// before is when the byte in front of an offset had come.
-func (a arrivals) before(offset int) (at time.Time, known bool) {
+// timeOf returns when the byte in front of an offset arrived, and whether that is known.
+func (a arrivals) timeOf(offset int) (at time.Time, known bool) {
 	for _, part := range a {
 		if offset <= part.end {
 			return part.at, true
--- a/internal/buffer/awaitend_test.go
+++ b/internal/buffer/awaitend_test.go
@@ -10,7 +10,8 @@
 	"hoptiller/internal/testprog"
 )
 
-// Whoever waits for the other side's end reads nothing of what comes before it, and is told of the end where nothing does.
+// AwaitEnd consumes none of the bytes that arrive before the peer's end, and returns at that end if no bytes precede
+// it.
 func TestAwaitEndReadsNothing(t *testing.T) {
 	for name, sent := range map[string]string{"silent": "", "speaks": "hello"} {
 		t.Run(name, func(t *testing.T) {
@@ -34,19 +35,19 @@
 			}
 			conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 			if err := r.AwaitEnd(); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("the wait for an end that does not come ends with %v", err)
+				t.Errorf("waiting for an end that does not come returned %v", err)
 			}
 			conn.SetReadDeadline(time.Now().Add(testprog.Patience))
 			conn.(*net.TCPConn).CloseWrite()
 			peer.(*net.TCPConn).CloseWrite()
 			if err := r.AwaitEnd(); err != nil {
-				t.Errorf("the wait for an end that comes ends with %v", err)
+				t.Errorf("waiting for an end that comes returned %v", err)
 			}
 			conn.SetReadDeadline(time.Now().Add(testprog.Patience))
 			got := ""
 			r.Next(func(b []byte) int { got = string(b); return len(b) })
 			if got != sent {
-				t.Errorf("%q is left of %q", got, sent)
+				t.Errorf("%q of %q was still readable", got, sent)
 			}
 		})
 	}
--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,9 +1,10 @@
-// Package buffer keeps the program's buffers, all of one size, for use again.
+// Package buffer pools the program's read buffers, which all have one size, and reads connections through them.
 package buffer
 
 import "sync"
 
-// Size holds most of what comes at once. What is longer goes through in pieces, or is kept at its own size.
+// Size is the size of a buffer in bytes. It fits most of what arrives at once. Longer data is read in pieces or kept
+// in memory of its own size.
 const Size = 16 << 10
 
 // Buffer is one buffer of the pool.
@@ -11,26 +12,26 @@
 
 var pool = sync.Pool{New: func() any { return new(Buffer) }}
 
-// Get takes a buffer; its content is whatever was in it last.
+// Get takes a buffer from the pool. The buffer may contain old data.
 func Get() *Buffer { return pool.Get().(*Buffer) }
 
-// Put gives a buffer back. Nothing may use it any more. Put(nil) does nothing.
+// Put returns a buffer to the pool. The buffer must not be used afterwards. Put(nil) does nothing.
 func Put(b *Buffer) {
 	if b != nil {
 		pool.Put(b)
 	}
 }
 
-// Chain is a long value in buffers of the pool.
+// Chain holds a long value in buffers of the pool.
 type Chain struct {
 	bufs []*Buffer
-	n    int
+	n    int // length of the value in bytes
 }
 
-// Len is how much is in it.
+// Len returns the length of the value in bytes.
 func (c *Chain) Len() int { return c.n }
 
-// Append copies more to its end.
+// Append copies b to the end of the value.
 func (c *Chain) Append(b []byte) {
 	for len(b) > 0 {
 		at := c.n % Size
@@ -43,7 +44,7 @@
 	}
 }
 
-// Parts appends what is in it to some slices, which hold until Free.
+// Parts appends the parts of the value to a list of slices. They are valid until Free.
 func (c *Chain) Parts(to [][]byte) [][]byte {
 	for i, b := range c.bufs {
 		to = append(to, b[:min(Size, c.n-i*Size)])
@@ -51,7 +52,7 @@
 	return to
 }
 
-// Free gives its buffers back.
+// Free returns the buffers to the pool.
 func (c *Chain) Free() {
 	for _, b := range c.bufs {
 		Put(b)
--- a/internal/buffer/handled_test.go
+++ b/internal/buffer/handled_test.go
@@ -7,9 +7,9 @@
 	"hoptiller/internal/testprog"
 )
 
-// What a read has taken from the system, and nobody has handled yet, keeps a connection from counting as at rest, though nothing is left
-// to be read.
-func TestReadBytesAreSeenUntilHandled(t *testing.T) {
+// While bytes that were read from the operating system are not handled yet, the connection is not quiet, although
+// nothing is left to read.
+func TestReadBytesAreNotQuietUntilHandled(t *testing.T) {
 	l := testprog.Listen(t)
 	peer, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -25,22 +25,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Resting() {
-		t.Error("a connection on which nothing has come does not rest")
+	if !r.Quiet() {
+		t.Error("a connection on which nothing has arrived is not quiet")
 	}
 	if _, err := peer.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	if err := r.Next(func(b []byte) int {
-		if r.Resting() {
-			t.Error("a connection rests whose bytes are being handled")
+		if r.Quiet() {
+			t.Error("a connection is quiet while its bytes are being handled")
 		}
-		r.Handled()
+		r.MarkHandled()
 		return len(b)
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if !r.Resting() {
-		t.Error("a connection does not rest though all is handled")
+	if !r.Quiet() {
+		t.Error("a connection is not quiet although everything is handled")
 	}
 }
--- a/internal/buffer/reader.go
+++ b/internal/buffer/reader.go
@@ -9,65 +9,70 @@
 	"time"
 )
 
-// step is how much is read at first of what may be without end. More is read at once of what has proved long.
-const step = 4 << 10
+// minReadSize is the size in bytes of the first read of a message, whose length is unknown. Later reads of a message
+// that proves to be long are larger.
+const minReadSize = 4 << 10
 
-// Most is how much is kept of one message that is not whole: the largest that any protocol here allows, with
-// the lines and headers that come with it. What is so long has memory of its own for as long as it is needed.
-const Most = 96 << 10
+// MaxUnread is the maximum number of bytes that are kept of one incomplete message. It fits the largest message that
+// any protocol here allows, with its lines and headers. A message of that length has memory of its own for as long as
+// it is needed.
+const MaxUnread = 96 << 10
 
-// Reader reads a connection and holds a buffer only while something is there to be read: of hundreds of
-// connections nearly all wait at any time. What is left over between reads is kept at its own size.
+// Reader reads a connection and holds a buffer only while there is something to read, because nearly all of hundreds
+// of connections are idle at any time. Bytes that are left over between reads are kept in memory of their own size.
 type Reader struct {
-	Long bool      // much is to come: as much is read at once as a buffer holds
-	At   time.Time // when something was read last
+	Long     bool      // much data is expected: each read fills a whole buffer
+	LastRead time.Time // when the connection was read last
 
-	raw      syscall.RawConn
-	rest     []byte
-	arrivals arrivals  // of rest
-	since    time.Time // what was read last had not come before this
-	drained  bool      // and nothing more was there then
+	raw       syscall.RawConn
+	leftover  []byte    // bytes that were read and not consumed
+	arrivals  arrivals  // arrival times of the leftover bytes
+	notBefore time.Time // the bytes of the last read did not arrive before this time
+	drained   bool      // the last read left nothing unread
 
-	// A read and a look at what is unread exclude each other: else what a read has just taken would be seen by neither.
-	reading   sync.Mutex
-	unhandled bool // something was read, and whoever reads has not said that it is handled
+	// mu excludes a read while the socket is checked for unread bytes. Otherwise bytes that a read has just taken
+	// would be seen neither in the socket nor as unhandled.
+	mu        sync.Mutex
+	unhandled bool // something was read for which MarkHandled has not been called yet
 }
 
-// NewReader returns a Reader of a connection that the system has a descriptor for.
+// NewReader returns a Reader of a connection that has a file descriptor.
 func NewReader(conn net.Conn) (*Reader, error) {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("not a connection of the system's")
+		return nil, errors.New("connection has no file descriptor")
 	}
 	raw, err := c.SyscallConn()
-	return &Reader{raw: raw, since: time.Now()}, err
+	return &Reader{raw: raw, notBefore: time.Now()}, err
 }
 
-// Raw is the connection without the runtime's reads and writes, for whoever has to look at something right before a system call.
-func (r *Reader) Raw() syscall.RawConn { return r.raw }
+// RawConn returns the raw connection, for a caller that must check something right before a system call.
+func (r *Reader) RawConn() syscall.RawConn { return r.raw }
 
-// Arrived is when the byte in front of an offset in what is handed over had come at the earliest: what came while nobody read
-// may have waited since the read before. It is for take, which gets those bytes from Next or Again.
+// Arrived returns the earliest time at which the byte in front of an offset in the delivered bytes can have arrived.
+// Bytes that arrived while nobody read may have waited since the read before. Arrived is meant for the callback that
+// gets the bytes from Next or Again.
 func (r *Reader) Arrived(offset int) time.Time {
-	if at, known := r.arrivals.before(offset); known {
+	if at, known := r.arrivals.timeOf(offset); known {
 		return at
 	}
-	return r.since
+	return r.notBefore
 }
 
-// Unread tells how much has come that was not taken.
-func (r *Reader) Unread() int { return len(r.rest) }
+// Unread returns the number of bytes that were read and not consumed.
+func (r *Reader) Unread() int { return len(r.leftover) }
 
-// Waiting tells whether more has come that was not read. It does not wait.
+// Waiting reports whether more bytes have arrived that were not read. It does not block.
 func (r *Reader) Waiting() (more bool) {
 	n, err := r.peek()
 	return err == nil && n > 0
 }
 
-// Resting tells whether nothing has come that was not handled, not even the connection's end. It does not wait for more to come.
-func (r *Reader) Resting() bool {
-	r.reading.Lock()
-	defer r.reading.Unlock()
+// Quiet reports whether everything that arrived was handled and nothing more has arrived, not even the end of the
+// connection. It does not block.
+func (r *Reader) Quiet() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if r.unhandled {
 		return false
 	}
@@ -75,17 +80,18 @@
 	return err == syscall.EAGAIN
 }
 
-// Handled is told by take that it has handled all that was handed over to it. Until then the connection does not rest.
-func (r *Reader) Handled() {
-	r.reading.Lock()
-	defer r.reading.Unlock()
+// MarkHandled records that all delivered bytes have been handled; the callback of Next or Again calls it. Until then
+// the connection is not quiet.
+func (r *Reader) MarkHandled() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	r.unhandled = false
 }
 
-// read reads once, without waiting.
-func (r *Reader) read(fd uintptr, b []byte) (n int, err error) {
-	r.reading.Lock()
-	defer r.reading.Unlock()
+// readOnce reads once, without waiting.
+func (r *Reader) readOnce(fd uintptr, b []byte) (n int, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for err = syscall.EINTR; err == syscall.EINTR; {
 		n, err = syscall.Read(int(fd), b)
 	}
@@ -93,131 +99,136 @@
 	return n, err
 }
 
-// Gone tells whether the other side has ended or reset the connection, and nothing more has come before that. It does not wait.
+// Gone reports whether the peer has closed or reset the connection and no unread bytes precede that. It does not
+// block.
 func (r *Reader) Gone() bool {
 	n, err := r.peek()
 	return err == nil && n == 0 || err != nil && err != syscall.EAGAIN
 }
 
+// peek returns how many bytes, at most 1, can be read, without reading them.
 func (r *Reader) peek() (n int, err error) {
-	closed := r.raw.Control(func(fd uintptr) {
+	controlErr := r.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		for err = syscall.EINTR; err == syscall.EINTR; {
 			n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		}
 	})
-	if closed != nil {
-		return 0, closed
+	if controlErr != nil {
+		return 0, controlErr
 	}
 	return n, err
 }
 
-// AwaitEnd waits until the other side has ended or broken a connection whose own sending has ended, or its read deadline has passed.
-// Nothing is read: what comes meanwhile stays with the system. An end that lies behind it is seen where the system tells the
-// connection's state.
+// AwaitEnd waits until the peer has closed or broken a connection on which this side has stopped sending, or until
+// the read deadline passes. It reads nothing: bytes that arrive meanwhile stay with the operating system. If unread
+// bytes precede the end, AwaitEnd sees the end where the operating system reports the connection's state.
 func (r *Reader) AwaitEnd() error {
 	return r.raw.Read(func(fd uintptr) (ended bool) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		waiting := err == syscall.EAGAIN || err == syscall.EINTR
-		return !waiting && (err != nil || n == 0 || otherEnded(fd))
+		return !waiting && (err != nil || n == 0 || peerEnded(fd))
 	})
 }
 
-// The states of TCP, by Linux's numbers, in which the other side has not ended a connection.
+// The TCP states, by Linux's numbers, in which the peer has not closed a connection.
 const (
 	tcpEstablished = 1
 	tcpFinWait1    = 4
 	tcpFinWait2    = 5
 )
 
-// otherEnded tells whether the system says that a connection's other side has ended or broken it.
-func otherEnded(fd uintptr) bool {
+// peerEnded reports whether the operating system knows that the peer has closed or broken a connection.
+func peerEnded(fd uintptr) bool {
 	info, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	if err != nil {
 		return false
 	}
-	switch info & 0xff { // its first byte is the state
+	switch info & 0xff { // the first byte is the state
 	case tcpEstablished, tcpFinWait1, tcpFinWait2:
 		return false
 	}
 	return true
 }
 
-// Next waits for more and hands over all that has come and was not taken. take tells how much it has used
-// up, and must not keep it. What it leaves is handed over again, with more behind it. The error is that
-// of the connection: io.EOF at its end, and io.ErrShortBuffer if too much is left.
+// Next waits for more bytes and passes all unconsumed bytes to take. take returns how many it has consumed, and must
+// not retain the slice. The rest is passed again later, followed by newer bytes. Next returns the error of the
+// connection: io.EOF at its end, and io.ErrShortBuffer if too many bytes are left unconsumed.
 func (r *Reader) Next(take func(b []byte) (used int)) error {
-	if len(r.rest) >= Most {
+	if len(r.leftover) >= MaxUnread {
 		return io.ErrShortBuffer
 	}
 	var buf *Buffer
 	var n int
-	var failed error
+	var readErr error
 	var waited bool
-	most := r.most()
+	size := r.readSize()
 	err := r.raw.Read(func(fd uintptr) bool {
 		buf = Get()
-		if n, failed = r.read(fd, buf[:most]); failed == syscall.EAGAIN {
+		if n, readErr = r.readOnce(fd, buf[:size]); readErr == syscall.EAGAIN {
 			Put(buf)
 			buf, waited = nil, true
 			return false
 		}
 		return true
 	})
-	if err == nil || waited { // else it did not even look whether something is there
-		r.readAt(time.Now(), waited, n < most)
+	if err == nil || waited { // otherwise the socket was not read at all
+		r.recordRead(time.Now(), waited, n < size)
 	}
 	defer func() { Put(buf) }()
 	switch {
 	case err != nil:
 		return err
-	case failed != nil:
-		return failed
+	case readErr != nil:
+		return readErr
 	case n == 0:
 		return io.EOF
 	}
-	// Not while the descriptor is in use above: a close waits for that, and take may wait for whoever closes.
-	if len(r.rest) > 0 {
-		r.rest = append(r.rest, buf[:n]...)
-		r.arrivals.add(len(r.rest), r.since)
+	// take must not run inside the raw read above: closing the connection waits for that read, and take may wait for
+	// the goroutine that closes it.
+	if len(r.leftover) > 0 {
+		r.leftover = append(r.leftover, buf[:n]...)
+		r.arrivals.add(len(r.leftover), r.notBefore)
 		return r.Again(take)
 	}
 	if used := take(buf[:n]); used < n {
 		r.keep(buf[used:n])
-		r.arrivals.add(n-used, r.since)
+		r.arrivals.add(n-used, r.notBefore)
 	}
 	return nil
 }
 
-// readAt notes a read: whether it had to wait, and whether it left nothing unread.
-func (r *Reader) readAt(now time.Time, waited, drained bool) {
+// recordRead records the time of a read, whether the read had to wait, and whether it left nothing unread.
+func (r *Reader) recordRead(now time.Time, waited, drained bool) {
 	switch {
 	case waited:
-		r.since = now
+		r.notBefore = now
 	case r.drained:
-		r.since = r.At
+		r.notBefore = r.LastRead
 	}
-	r.At, r.drained = now, drained
+	r.LastRead, r.drained = now, drained
 }
 
-func (r *Reader) most() int {
+// readSize returns how many bytes the next read asks for.
+func (r *Reader) readSize() int {
 	if r.Long {
 		return Size
 	}
-	return min(Size, max(step, len(r.rest)))
+	return min(Size, max(minReadSize, len(r.leftover)))
 }
 
-// Again hands over what is left without reading more.
+// Again passes the leftover bytes to take without reading more.
 func (r *Reader) Again(take func(b []byte) (used int)) error {
-	used := take(r.rest)
-	r.keep(r.rest[used:])
+	used := take(r.leftover)
+	r.keep(r.leftover[used:])
 	r.arrivals.drop(used)
 	return nil
 }
 
-func (r *Reader) keep(rest []byte) {
-	if r.rest = append(r.rest[:0], rest...); len(rest) == 0 {
-		r.rest = nil
+// keep stores the bytes that take has not consumed.
+func (r *Reader) keep(unconsumed []byte) {
+	if r.leftover = append(r.leftover[:0], unconsumed...); len(unconsumed) == 0 {
+		r.leftover = nil
 	}
 }
--- a/internal/buffer/reader_test.go
+++ b/internal/buffer/reader_test.go
@@ -10,7 +10,8 @@
 	"hoptiller/internal/testprog"
 )
 
-// What is left of one read comes again before the next, and the end of the stream is told.
+// Bytes that one read leaves unconsumed are delivered again before the next read, and the end of the stream is
+// reported.
 func TestReader(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,16 +44,16 @@
 			return len(b)
 		})
 	}
-	rest := string(r.rest)
-	if err != io.EOF || got.String()+rest != text || r.Unread() != len(rest) {
-		t.Errorf("%v after %d bytes and %d, want the end after %d", err, got.Len(), len(rest), len(text))
+	leftover := string(r.leftover)
+	if err != io.EOF || got.String()+leftover != text || r.Unread() != len(leftover) {
+		t.Errorf("%v after %d consumed and %d leftover bytes, want io.EOF after %d", err, got.Len(), len(leftover), len(text))
 	}
-	if err := (&Reader{rest: make([]byte, Most)}).Next(nil); err != io.ErrShortBuffer {
-		t.Errorf("too much: %v", err)
+	if err := (&Reader{leftover: make([]byte, MaxUnread)}).Next(nil); err != io.ErrShortBuffer {
+		t.Errorf("too many leftover bytes: %v", err)
 	}
 }
 
-// What has come is told of and stays to be read; of what has not nothing is told.
+// Waiting reports bytes that have arrived, leaves them readable, and reports nothing before they arrive.
 func TestWaiting(t *testing.T) {
 	conns := make(chan net.Conn, 1)
 	client := testprog.Serve(t, func(_ context.Context, l net.Listener) error {
@@ -62,7 +63,7 @@
 	})()
 	r, err := NewReader(testprog.Await(t, conns, "connection"))
 	if err != nil || r.Waiting() {
-		t.Fatal("something waits on a new connection", err)
+		t.Fatal("bytes are waiting on a new connection", err)
 	}
 	io.WriteString(client, "x")
 	testprog.Until(t, "a byte waits", r.Waiting)
--- a/internal/http1/chunk.go
+++ b/internal/http1/chunk.go
@@ -5,33 +5,34 @@
 	"strconv"
 )
 
-const maxSize = 64 // of the line that tells a chunk's size
+const maxSizeLine = 64 // maximum length in bytes of the line that states a chunk's size
 
-// chunkSize reads the line before a chunk and tells how many bytes it takes up: 0 without an error means that it is
-// not whole yet.
-func chunkSize(b []byte) (size, n int, err error) {
-	end := bytes.Index(b[:min(len(b), maxSize)], []byte("\r\n"))
+// parseChunkSize reads the line before a chunk. n is the length of that line: 0 without an error means that the line
+// is incomplete.
+func parseChunkSize(b []byte) (size, n int, err error) {
+	end := bytes.Index(b[:min(len(b), maxSizeLine)], []byte("\r\n"))
 	if end < 0 {
-		if len(b) >= maxSize {
-			return 0, 0, ErrFormat
+		if len(b) >= maxSizeLine {
+			return 0, 0, ErrMalformedResponse
 		}
 		return 0, 0, nil
 	}
 	digits, _, _ := bytes.Cut(b[:end], []byte(";"))
-	x, bad := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
-	if bad != nil {
-		return 0, 0, ErrFormat
+	value, parseErr := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
+	if parseErr != nil {
+		return 0, 0, ErrMalformedResponse
 	}
-	return int(x), end + 2, nil
+	return int(value), end + 2, nil
 }
 
-// trailers passes over what follows the last chunk: it is of no use here.
-func trailers(b []byte) (n int, err error) {
+// skipTrailers returns the length of the skipTrailers behind the last chunk, which are not used: 0 without an error means
+// that they are incomplete.
+func skipTrailers(b []byte) (n int, err error) {
 	for {
 		next := bytes.Index(b[n:], []byte("\r\n"))
 		switch {
 		case next < 0 && len(b)-n > MaxHead:
-			return 0, ErrFormat
+			return 0, ErrMalformedResponse
 		case next < 0:
 			return 0, nil
 		case next == 0:
@@ -41,59 +42,60 @@
 	}
 }
 
-// ParseChunk reads one chunk and tells how many bytes it takes up: 0 without
-// an error means that it is not whole yet. The last chunk has no data.
+// ParseChunk reads one chunk. n is the number of bytes that the chunk takes up: 0 without an error means that it is
+// incomplete. The last chunk has no data.
 func ParseChunk(b []byte) (data []byte, n int, err error) {
-	size, from, err := chunkSize(b)
-	if err != nil || from == 0 {
+	size, start, err := parseChunkSize(b)
+	if err != nil || start == 0 {
 		return nil, 0, err
 	}
 	if size == 0 {
-		if n, err = trailers(b[from:]); n > 0 {
-			n += from
+		if n, err = skipTrailers(b[start:]); n > 0 {
+			n += start
 		}
 		return nil, n, err
 	}
-	to := from + size
-	if len(b) < to+2 {
+	end := start + size
+	if len(b) < end+2 {
 		return nil, 0, nil
 	}
-	if b[to] != '\r' || b[to+1] != '\n' {
-		return nil, 0, ErrFormat
+	if b[end] != '\r' || b[end+1] != '\n' {
+		return nil, 0, ErrMalformedResponse
 	}
-	return b[from:to], to + 2, nil
+	return b[start:end], end + 2, nil
 }
 
-// Chunks reads a body in chunks as it comes, chunks that are not whole yet too.
-type Chunks struct {
-	left int // of the chunk that has begun, with its line's end
+// ChunkDecoder reads a chunked body as it arrives, including chunks that are still incomplete. It implements
+// upstream.Decoder.
+type ChunkDecoder struct {
+	remaining int // bytes of the current chunk that are still to come, with the line end behind it
 }
 
-// Take gives the next data in b, which is part of it, and tells how many bytes are used up with it, and whether that
-// was all. If none are, more must come first.
-func (c *Chunks) Take(b []byte) (data []byte, used int, done bool, err error) {
+// Decode returns the next data in b, as a part of b, how many bytes it has consumed, and whether the body is
+// complete. If it consumes none, it needs more bytes.
+func (c *ChunkDecoder) Decode(b []byte) (data []byte, used int, done bool, err error) {
 	switch {
-	case c.left > 2:
-		used = min(c.left-2, len(b))
-		c.left -= used
+	case c.remaining > 2:
+		used = min(c.remaining-2, len(b))
+		c.remaining -= used
 		return b[:used], used, false, nil
-	case c.left > 0 && len(b) < 2:
+	case c.remaining > 0 && len(b) < 2:
 		return nil, 0, false, nil
-	case c.left > 0 && (b[0] != '\r' || b[1] != '\n'):
-		return nil, 0, false, ErrFormat
-	case c.left > 0:
-		c.left = 0
+	case c.remaining > 0 && (b[0] != '\r' || b[1] != '\n'):
+		return nil, 0, false, ErrMalformedResponse
+	case c.remaining > 0:
+		c.remaining = 0
 		return nil, 2, false, nil
 	}
-	size, n, err := chunkSize(b)
+	size, n, err := parseChunkSize(b)
 	if err != nil || n == 0 {
 		return nil, 0, false, err
 	}
 	if size > 0 {
-		c.left = size + 2
+		c.remaining = size + 2
 		return nil, n, false, nil
 	}
-	end, err := trailers(b[n:])
+	end, err := skipTrailers(b[n:])
 	if err != nil || end == 0 {
 		return nil, 0, false, err
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
-// Package http1 is the little of HTTP/1.1 that a router needs as a client:
-// writing a request, and reading answers whose length is stated or that come
-// in chunks. It does no I/O: it works on the bytes that have come so far.
+// Package http1 implements the small part of HTTP/1.1 that the router needs: it writes requests, and reads responses
+// whose length is stated or that are chunked. It also reads request heads and writes responses. The package does no
+// I/O: it works on the bytes that have arrived so far.
 package http1
 
 import (
@@ -9,21 +9,21 @@
 	"strconv"
 )
 
-// The limits of what is read.
+// Limits of what is read, in bytes.
 const (
-	MaxHead = 8 << 10  // of a status line and its headers
-	MaxBody = 64 << 10 // that ParseAnswer reads as a whole
-	MaxLong = 4 << 20  // a longer one is not read
+	MaxHead      = 8 << 10  // a status line or request line with its headers
+	MaxShortBody = 64 << 10 // a body that ParseResponse reads as a whole
+	MaxLongBody  = 4 << 20  // a longer body is rejected
 )
 
-// ErrFormat is the fault of an answer that can't be read.
-var ErrFormat = errors.New("malformed HTTP answer")
+// ErrMalformedResponse reports a response that cannot be parsed.
+var ErrMalformedResponse = errors.New("malformed HTTP response")
 
-// Header is one header of a request.
+// Header is one header of a request or response.
 type Header struct{ Name, Value string }
 
-// AppendRequest writes a request's head. The path must be escaped already; a body is the caller's to write, length is
-// that of it, or less than 0 where there is none.
+// AppendRequest appends the head of a request. The path must be escaped already. The caller writes the body, whose
+// length is given in bytes; a negative length means that there is no body.
 func AppendRequest(b []byte, method, path, host string, length int, headers ...Header) []byte {
 	b = append(append(append(append(b, method...), ' '), path...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\n"...)
@@ -37,7 +37,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendPath writes a key as one part of a path.
+// AppendPath appends a key as one escaped path segment.
 func AppendPath(b, key []byte) []byte {
 	const hex = "0123456789ABCDEF"
 	b = append(b, '/')
@@ -51,44 +51,43 @@
 	return b
 }
 
-// Head is the status line and the headers of an answer, as far as they matter.
+// Head holds the used parts of a response's status line and headers.
 type Head struct {
 	Status  int
-	Length  int // of the body; -1 if not stated
+	Length  int // length of the body in bytes; -1 if not stated
 	Chunked bool
-	Close   bool              // the connection ends with this answer
-	Extra   map[string]string // the headers that the caller asked for, by the name it gave
+	Close   bool              // the connection ends after this response
+	Extra   map[string]string // the headers that the caller asked for, by the names that it gave
 }
 
-// ParseHead reads a head and tells how many bytes it takes up: 0 without an
-// error means that it is not whole yet. Names are matched without regard to
-// case.
+// ParseHead reads the head of a response. n is the number of bytes that the head takes up: 0 without an error means
+// that it is incomplete. Header names are matched case-insensitively; extra names further headers to keep.
 func ParseHead(b []byte, extra ...string) (h Head, n int, err error) {
-	const begin = "HTTP/1."
+	const prefix = "HTTP/1."
 	end := bytes.Index(b[:min(len(b), MaxHead)], []byte("\r\n\r\n"))
 	if end < 0 {
-		// What begins otherwise is not waited for to its end: it may have none.
-		if n := min(len(b), len(begin)); len(b) >= MaxHead || string(b[:n]) != begin[:n] {
-			return h, 0, ErrFormat
+		// A head that begins differently is rejected at once, since it may never end.
+		if n := min(len(b), len(prefix)); len(b) >= MaxHead || string(b[:n]) != prefix[:n] {
+			return h, 0, ErrMalformedResponse
 		}
 		return h, 0, nil
 	}
 	lines := bytes.Split(b[:end], []byte("\r\n"))
 	status := bytes.SplitN(lines[0], []byte(" "), 3)
-	if len(status) < 2 || !bytes.HasPrefix(status[0], []byte(begin)) || len(status[1]) != 3 {
-		return h, 0, ErrFormat
+	if len(status) < 2 || !bytes.HasPrefix(status[0], []byte(prefix)) || len(status[1]) != 3 {
+		return h, 0, ErrMalformedResponse
 	}
-	code, bad := strconv.ParseUint(string(status[1]), 10, 16)
-	if bad != nil || code < 100 {
-		return h, 0, ErrFormat
+	code, parseErr := strconv.ParseUint(string(status[1]), 10, 16)
+	if parseErr != nil || code < 100 {
+		return h, 0, ErrMalformedResponse
 	}
 	h = Head{Status: int(code), Length: -1, Close: string(status[0]) == "HTTP/1.0"}
 	for _, l := range lines[1:] {
 		name, value, ok := bytes.Cut(l, []byte(":"))
 		if !ok {
-			return h, 0, ErrFormat
+			return h, 0, ErrMalformedResponse
 		}
-		if err := h.take(string(name), string(bytes.TrimSpace(value)), extra); err != nil {
+		if err := h.addHeader(string(name), string(bytes.TrimSpace(value)), extra); err != nil {
 			return h, 0, err
 		}
 	}
@@ -98,18 +97,19 @@
 	return h, end + 4, nil
 }
 
-func (h *Head) take(name, value string, extra []string) error {
+// addHeader records a header if it is a used one.
+func (h *Head) addHeader(name, value string, extra []string) error {
 	is := func(s string) bool { return bytes.EqualFold([]byte(name), []byte(s)) }
 	switch {
 	case is("Content-Length"):
 		length, err := strconv.ParseUint(value, 10, 31)
 		if err != nil || h.Length >= 0 && h.Length != int(length) {
-			return ErrFormat
+			return ErrMalformedResponse
 		}
 		h.Length = int(length)
 	case is("Transfer-Encoding"):
 		if !bytes.EqualFold([]byte(value), []byte("chunked")) {
-			return ErrFormat
+			return ErrMalformedResponse
 		}
 		h.Chunked = true
 	case is("Connection"):
@@ -126,10 +126,11 @@
 	return nil
 }
 
-// ParseAnswer reads a whole answer with its body and tells how many bytes it
-// takes up: 0 without an error means that it is not whole yet. Interim answers
-// (1xx) ahead of it are passed over. Of one whose body is long, over MaxBody, or ends only with the connection, that is its head.
-func ParseAnswer(b []byte, extra ...string) (h Head, body []byte, n int, long bool, err error) {
+// ParseResponse reads a complete response with its body. n is the number of bytes that the response takes up: 0
+// without an error means that it is incomplete. Interim responses (1xx) before it are skipped. long reports that the
+// body is longer than MaxShortBody or ends only with the connection; then n covers the head alone, and the body is
+// not read.
+func ParseResponse(b []byte, extra ...string) (h Head, body []byte, n int, long bool, err error) {
 	for h.Status < 200 {
 		var used int
 		if h, used, err = ParseHead(b[n:], extra...); err != nil || used == 0 {
@@ -144,7 +145,7 @@
 			switch {
 			case err != nil:
 				return h, nil, 0, false, err
-			case used == 0 && len(b)-n > MaxBody, end+used-n > MaxBody:
+			case used == 0 && len(b)-n > MaxShortBody, end+used-n > MaxShortBody:
 				return h, nil, n, true, nil
 			case used == 0:
 				return h, nil, 0, false, nil
@@ -154,9 +155,9 @@
 			}
 			body = append(body, data...)
 		}
-	case h.Length > MaxLong:
-		return h, nil, 0, false, ErrFormat
-	case h.Length < 0 || h.Length > MaxBody:
+	case h.Length > MaxLongBody:
+		return h, nil, 0, false, ErrMalformedResponse
+	case h.Length < 0 || h.Length > MaxShortBody:
 		return h, nil, n, true, nil
 	case len(b)-n < h.Length:
 		return h, nil, 0, false, nil
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,12 +14,12 @@
 		"HTTP/1.1 103 Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 100 Go\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na": "a",
 		"HTTP/1.1 200 OK\r\nX-Backend-Load: \xff=,=;\x01\r\nContent-Length: 1\r\n\r\na":                                "a",
 	} {
-		h, body, n, _, err := ParseAnswer([]byte(in))
+		h, body, n, _, err := ParseResponse([]byte(in))
 		if err != nil || n != len(in) || string(body) != want || h.Status/100 != 2 {
 			t.Errorf("%q: %+v, body %q, %d bytes, %v", in, h, body, n, err)
 		}
 		for cut := range in {
-			if _, _, n, _, err := ParseAnswer([]byte(in[:cut])); n != 0 || err != nil {
+			if _, _, n, _, err := ParseResponse([]byte(in[:cut])); n != 0 || err != nil {
 				t.Errorf("%q cut to %d bytes: %d used, %v", in, cut, n, err)
 			}
 		}
@@ -31,15 +31,15 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc"} {
-		if _, _, _, _, err := ParseAnswer([]byte(in)); err == nil {
+		if _, _, _, _, err := ParseResponse([]byte(in)); err == nil {
 			t.Errorf("%.60q was taken", in)
 		}
 	}
-	// Without a length it ends with the connection, so nothing of the body is an answer yet.
-	if h, body, n, long, err := ParseAnswer([]byte("HTTP/1.1 200 OK\r\n\r\nabc")); err != nil || !long || n != 19 || body != nil || h.Length != -1 || h.Chunked {
+	// Without a length the body ends with the connection, so none of it is part of the parsed response.
+	if h, body, n, long, err := ParseResponse([]byte("HTTP/1.1 200 OK\r\n\r\nabc")); err != nil || !long || n != 19 || body != nil || h.Length != -1 || h.Chunked {
 		t.Errorf("%+v, body %q, %d bytes, long %v, %v", h, body, n, long, err)
 	}
-	h, _, _, _, err := ParseAnswer([]byte("HTTP/1.1 503 No\r\nx-unprocessed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), "X-Unprocessed")
+	h, _, _, _, err := ParseResponse([]byte("HTTP/1.1 503 No\r\nx-unprocessed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), "X-Unprocessed")
 	if err != nil || h.Extra["X-Unprocessed"] != "1" || !h.Close {
 		t.Errorf("%+v, %v", h, err)
 	}
@@ -60,11 +60,11 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\nab"))
 	f.Add([]byte("2\r\nab\r\n1;x=y\r\nc\r\n0\r\nT: 1\r\n\r\nmore"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		_, body, n, _, err := ParseAnswer(b, "X-Unprocessed")
+		_, body, n, _, err := ParseResponse(b, "X-Unprocessed")
 		if n < 0 || n > len(b) || len(body) > len(b) {
 			t.Errorf("%d bytes, body of %d, %v", n, len(body), err)
 		}
-		// Read as it comes, byte by byte, a body in chunks is what it is as a whole.
+		// A chunked body that is read byte by byte, as it arrives, is equal to the same body read at once.
 		var whole, pieces []byte
 		for rest := b; ; {
 			data, n, err := ParseChunk(rest)
@@ -76,15 +76,15 @@
 				break
 			}
 		}
-		c, from := Chunks{}, 0
-		for to := range b {
+		c, start := ChunkDecoder{}, 0
+		for last := range b {
 			for n, done := -1, false; n != 0; {
 				var data []byte
-				if data, n, done, err = c.Take(b[from : to+1]); err != nil || done != (from+n == len(b)) {
-					t.Fatalf("%q at %d to %d: %d, done %v, %v", b, from, to, n, done, err)
+				if data, n, done, err = c.Decode(b[start : last+1]); err != nil || done != (start+n == len(b)) {
+					t.Fatalf("%q at %d to %d: %d, done %v, %v", b, start, last, n, done, err)
 				}
 				pieces = append(pieces, data...)
-				if from += n; done {
+				if start += n; done {
 					n = 0
 				}
 			}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -6,29 +6,29 @@
 	"strconv"
 )
 
-// ErrLarge is the fault of a request's head that is longer than MaxHead.
+// ErrLarge reports a request head that is longer than MaxHead.
 var ErrLarge = errors.New("HTTP head too long")
 
-// ErrRequest is the fault of a request that can't be read.
-var ErrRequest = errors.New("malformed HTTP request")
+// ErrMalformedRequest reports a request that cannot be parsed.
+var ErrMalformedRequest = errors.New("malformed HTTP request")
 
-// Request is the head of a request, as far as it matters. Its slices are parts of what was parsed.
+// Request holds the used parts of a request's head. Its slices are parts of the parsed bytes.
 type Request struct {
 	Method, Path []byte // the path without the query
-	Query        []byte // behind the question mark, as it is
+	Query        []byte // the unparsed text behind the question mark
 }
 
-// ParseRequest reads a request's head and tells how many bytes it takes up: 0 without an error means that
-// it is not whole yet. A body behind it is the caller's to pass over.
+// ParseRequest reads the head of a request. n is the number of bytes that the head takes up: 0 without an error means
+// that it is incomplete. The caller skips a body that follows.
 func ParseRequest(b []byte) (q Request, n int, err error) {
 	head := b[:min(len(b), MaxHead)]
 	end := bytes.Index(head, []byte("\r\n\r\n"))
-	if first := bytes.IndexByte(head, '\n'); first >= 0 { // what is no request is not waited for to its end
-		if q, err = requestLine(head[:first]); err != nil {
+	if first := bytes.IndexByte(head, '\n'); first >= 0 { // a malformed request line is rejected before the head is complete
+		if q, err = parseRequestLine(head[:first]); err != nil {
 			return Request{}, 0, err
 		}
 	} else if i := bytes.IndexFunc(head, func(r rune) bool { return r < ' ' && r != '\r' }); i >= 0 {
-		return Request{}, 0, ErrRequest
+		return Request{}, 0, ErrMalformedRequest
 	}
 	switch {
 	case end < 0 && len(b) >= MaxHead:
@@ -41,25 +41,26 @@
 		name, _, ok := bytes.Cut(l, []byte(":"))
 		if !ok || len(name) == 0 || bytes.ContainsFunc(l, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) ||
 			bytes.ContainsAny(name, " \t") {
-			return Request{}, 0, ErrRequest
+			return Request{}, 0, ErrMalformedRequest
 		}
 	}
 	return q, end + 4, nil
 }
 
-func requestLine(line []byte) (q Request, err error) {
+// parseRequestLine reads the first line of a request.
+func parseRequestLine(line []byte) (q Request, err error) {
 	line, ended := bytes.CutSuffix(line, []byte("\r"))
-	part := bytes.Split(line, []byte(" "))
-	if !ended || len(part) != 3 || len(part[0]) == 0 || !bytes.HasPrefix(part[1], []byte("/")) ||
-		!bytes.HasPrefix(part[2], []byte("HTTP/1.")) || len(part[2]) != len("HTTP/1.1") ||
+	parts := bytes.Split(line, []byte(" "))
+	if !ended || len(parts) != 3 || len(parts[0]) == 0 || !bytes.HasPrefix(parts[1], []byte("/")) ||
+		!bytes.HasPrefix(parts[2], []byte("HTTP/1.")) || len(parts[2]) != len("HTTP/1.1") ||
 		bytes.ContainsFunc(line, func(r rune) bool { return r < ' ' || r == 0x7f }) {
-		return Request{}, ErrRequest
+		return Request{}, ErrMalformedRequest
 	}
-	path, query, _ := bytes.Cut(part[1], []byte("?"))
-	return Request{Method: part[0], Path: path, Query: query}, nil
+	path, query, _ := bytes.Cut(parts[1], []byte("?"))
+	return Request{Method: parts[0], Path: path, Query: query}, nil
 }
 
-// AppendAnswer writes an answer, after which the connection ends.
+// AppendAnswer appends a complete response with a body. It announces that the connection ends afterwards.
 func AppendAnswer(b []byte, status int, reason string, body []byte, headers ...Header) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10)
 	b = append(append(append(b, ' '), reason...), "\r\nConnection: close\r\n"...)
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A head is read alike however it comes, and nothing behind it is touched.
+// A head is parsed the same way however it arrives, and nothing behind it is consumed.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte("GET /v1/metrics HTTP/1.1\r\nHost: a\r\nX: y\r\n\r\nGET /"))
 	f.Add([]byte("POST / HTTP/1.1\r\n\r\n"))
@@ -15,10 +15,10 @@
 		if n > len(in) || n > MaxHead || n > 0 && err != nil {
 			t.Fatalf("%d of %d bytes, %v", n, len(in), err)
 		}
-		for i := range in { // what is whole is so at once and no earlier; what is wrong stays so
-			_, m, bad := ParseRequest(in[:i])
-			if n > 0 && (bad != nil || m != 0 && m != n || i < n && m != 0) || bad != nil && err == nil {
-				t.Fatalf("the first %d bytes: %d, %v; all: %d, %v", i, m, bad, n, err)
+		for i := range in { // a complete head is complete at its last byte and not earlier; a malformed one stays malformed
+			_, cutN, cutErr := ParseRequest(in[:i])
+			if n > 0 && (cutErr != nil || cutN != 0 && cutN != n || i < n && cutN != 0) || cutErr != nil && err == nil {
+				t.Fatalf("the first %d bytes: %d, %v; all: %d, %v", i, cutN, cutErr, n, err)
 			}
 		}
 	})
--- a/internal/meta/meta.go
+++ b/internal/meta/meta.go
@@ -1,6 +1,5 @@
-// Package meta reads and writes the meta commands of the memcache text
-// protocol, as far as routers and providers speak them. It does no I/O: it
-// works on the bytes that have come so far.
+// Package meta reads and writes the meta commands of the memcache text protocol, as far as routers and cache servers
+// use them. It does no I/O: it works on the bytes that have arrived so far.
 package meta
 
 import (
@@ -10,18 +9,18 @@
 	"time"
 )
 
-// The limits of what is read.
+// Limits of what is read, in bytes.
 const (
-	MaxLine  = 2048
-	MaxKey   = 250
-	MaxValue = 64 << 10 // that is read as a whole
-	MaxLong  = 4 << 20  // a longer one is not read
+	MaxLine       = 2048
+	MaxKey        = 250
+	MaxShortValue = 64 << 10 // a value that is read as a whole
+	MaxLong       = 4 << 20  // a longer value is rejected
 )
 
-// Verb is what a command asks for.
+// Verb is the kind of a command.
 type Verb uint8
 
-// The commands that are known.
+// The known commands.
 const (
 	Get     Verb = iota // mg
 	Set                 // ms
@@ -31,48 +30,48 @@
 	Unknown
 )
 
-// Command is one command of a client. Its slices are parts of what was parsed.
+// Command is one command of a client. Its slices are parts of the parsed bytes.
 type Command struct {
 	Verb  Verb
 	Key   []byte
-	ID    []byte // the O flag
-	Facts []byte // the P flag: a list of names and values
-	Value []byte // of Set
-	Long  int    // the length of a value over MaxValue, which follows the line, and a line's end follows that
+	ID    []byte // the O flag: the request ID
+	Facts []byte // the P flag: a list of name=value pairs, separated by commas
+	Value []byte // the value of Set; empty if the value is long
+	Long  int    // length of a value longer than MaxShortValue; the value and a line end follow the command line
 }
 
-// The faults of a command. After those of Fatal the stream can't be read on.
+// The faults of a command. After a fault for which Fatal returns true the stream cannot be read on.
 var (
-	ErrLine   = errors.New("CLIENT_ERROR line too long")
-	ErrFormat = errors.New("CLIENT_ERROR bad command line format")
-	ErrKey    = errors.New("CLIENT_ERROR bad key")
-	ErrID     = errors.New("CLIENT_ERROR missing request id")
-	ErrLength = errors.New("CLIENT_ERROR bad data length")
-	ErrLarge  = errors.New("CLIENT_ERROR object too large")
-	ErrChunk  = errors.New("CLIENT_ERROR bad data chunk")
+	ErrLineTooLong = errors.New("CLIENT_ERROR line too long")
+	ErrBadFormat   = errors.New("CLIENT_ERROR bad command line format")
+	ErrBadKey      = errors.New("CLIENT_ERROR bad key")
+	ErrBadID       = errors.New("CLIENT_ERROR missing request id")
+	ErrBadLength   = errors.New("CLIENT_ERROR bad data length")
+	ErrTooLarge    = errors.New("CLIENT_ERROR object too large")
+	ErrChunk       = errors.New("CLIENT_ERROR bad data chunk")
 )
 
-// Fatal tells whether nothing after a command with this fault can be trusted.
+// Fatal reports whether nothing after a command with this fault can be trusted.
 func Fatal(err error) bool {
-	return errors.Is(err, ErrLine) || errors.Is(err, ErrLarge) || errors.Is(err, ErrChunk) ||
-		errors.Is(err, ErrLength)
+	return errors.Is(err, ErrLineTooLong) || errors.Is(err, ErrTooLarge) || errors.Is(err, ErrChunk) ||
+		errors.Is(err, ErrBadLength)
 }
 
-// line finds the first line of b. n is what it takes up with its end, 0 if
-// the end has not come yet.
-func line(b []byte) (text []byte, n int, err error) {
+// cutLine finds the first cutLine of b. n is the length of the cutLine with its end: 0 without an error means that the end
+// has not arrived.
+func cutLine(b []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), MaxLine)], '\n')
 	if end < 0 {
 		if len(b) >= MaxLine {
-			return nil, 0, ErrLine
+			return nil, 0, ErrLineTooLong
 		}
 		return nil, 0, nil
 	}
 	return bytes.TrimSuffix(b[:end], []byte("\r")), end + 1, nil
 }
 
-// word cuts the first word off a line.
-func word(s []byte) (first, rest []byte) {
+// cutWord cuts the first cutWord off a line.
+func cutWord(s []byte) (first, rest []byte) {
 	s = bytes.TrimLeft(s, " ")
 	if i := bytes.IndexByte(s, ' '); i >= 0 {
 		return s[:i], s[i+1:]
@@ -80,15 +79,15 @@
 	return s, nil
 }
 
-// ParseCommand reads the command at the start of b and tells how many bytes it
-// takes up: 0 without an error means that it is not whole yet. Of one with a long value that is its line, and where
-// it has a fault as well nothing after the line can be trusted.
+// ParseCommand reads the command at the start of b. n is the number of bytes that the command takes up: 0 without an
+// error means that it is incomplete. For a command with a long value, n covers the command line alone. If such a
+// command is faulty as well, nothing after its line can be trusted.
 func ParseCommand(b []byte) (c Command, n int, err error) {
-	text, n, err := line(b)
+	text, n, err := cutLine(b)
 	if n == 0 || err != nil {
 		return c, 0, err
 	}
-	name, rest := word(text)
+	name, rest := cutWord(text)
 	switch string(name) {
 	case "mg":
 		c.Verb = Get
@@ -103,17 +102,17 @@
 	default:
 		return Command{Verb: Unknown}, n, nil
 	}
-	c.Key, rest = word(rest)
+	c.Key, rest = cutWord(rest)
 	if c.Verb == Set {
 		var length []byte
-		length, rest = word(rest)
-		size, bad := strconv.ParseUint(string(length), 10, 31)
+		length, rest = cutWord(rest)
+		size, parseErr := strconv.ParseUint(string(length), 10, 31)
 		switch end := n + int(size); {
-		case bad != nil: // how much data follows is not known
-			return c, n, ErrLength
+		case parseErr != nil: // it is unknown how much data follows
+			return c, n, ErrBadLength
 		case size > MaxLong:
-			return c, n, ErrLarge
-		case size > MaxValue:
+			return c, n, ErrTooLarge
+		case size > MaxShortValue:
 			c.Long = int(size)
 		case len(b) < end+2:
 			return c, 0, nil
@@ -124,14 +123,15 @@
 		}
 	}
 	if !validKey(c.Key) {
-		return c, n, ErrKey
+		return c, n, ErrBadKey
 	}
-	return c, n, c.flags(rest)
+	return c, n, c.parseFlags(rest)
 }
 
-func (c *Command) flags(rest []byte) error {
+// parseFlags reads the parseFlags of a command.
+func (c *Command) parseFlags(rest []byte) error {
 	var flag []byte
-	for flag, rest = word(rest); len(flag) > 0; flag, rest = word(rest) {
+	for flag, rest = cutWord(rest); len(flag) > 0; flag, rest = cutWord(rest) {
 		switch flag[0] {
 		case 'O':
 			c.ID = flag[1:]
@@ -140,21 +140,21 @@
 		}
 	}
 	if len(c.ID) == 0 {
-		return ErrID
+		return ErrBadID
 	}
-	if len(c.ID) > MaxKey || bytes.IndexFunc(c.ID, control) >= 0 || bytes.IndexFunc(c.Facts, control) >= 0 {
-		return ErrFormat
+	if len(c.ID) > MaxKey || bytes.IndexFunc(c.ID, isControl) >= 0 || bytes.IndexFunc(c.Facts, isControl) >= 0 {
+		return ErrBadFormat
 	}
 	return nil
 }
 
-func control(r rune) bool { return r < ' ' || r == 0x7f }
+func isControl(r rune) bool { return r < ' ' || r == 0x7f }
 
 func validKey(key []byte) bool {
-	return len(key) > 0 && len(key) <= MaxKey && bytes.IndexFunc(key, control) < 0
+	return len(key) > 0 && len(key) <= MaxKey && bytes.IndexFunc(key, isControl) < 0
 }
 
-// Fact looks a name up in a list of names and values.
+// Fact looks up a name in a list of name=value pairs.
 func Fact(facts []byte, name string) (value []byte, ok bool) {
 	for len(facts) > 0 {
 		var item []byte
@@ -166,26 +166,27 @@
 	return nil, false
 }
 
-// deadlineFact is the name of how long, in milliseconds, whoever sent a list of names and values waits for the answer.
+// deadlineFact is the name of the pair that states how long the sender of the list waits for the answer, in
+// milliseconds.
 const deadlineFact = "d"
 
-// MaxDeadline is the longest time that a list can be taken to state.
+// MaxDeadline is the longest waiting time that a list may state.
 const MaxDeadline = time.Hour
 
-// ErrDeadline is the fault of a list whose d is no whole number of milliseconds from 1 to MaxDeadline.
-var ErrDeadline = errors.New("bad deadline")
+// ErrBadDeadline reports a list whose d is not a whole number of milliseconds from 1 to MaxDeadline.
+var ErrBadDeadline = errors.New("bad deadline")
 
-// Deadline reads how long the sender of a list of names and values waits for the answer. Where it is stated more than once the
-// shortest counts. Without any it tells that none is stated.
+// Deadline returns how long the sender of a list of name=value pairs waits for the answer. If the list states several
+// times, the shortest counts. stated is false if the list states none.
 func Deadline(facts []byte) (wait time.Duration, stated bool, err error) {
 	for item := range bytes.SplitSeq(facts, []byte(",")) {
 		name, value, ok := bytes.Cut(item, []byte("="))
 		if !ok || string(name) != deadlineFact {
 			continue
 		}
-		milliseconds, bad := strconv.ParseInt(string(value), 10, 64)
-		if bad != nil || milliseconds <= 0 || milliseconds > MaxDeadline.Milliseconds() {
-			return 0, true, ErrDeadline
+		milliseconds, parseErr := strconv.ParseInt(string(value), 10, 64)
+		if parseErr != nil || milliseconds <= 0 || milliseconds > MaxDeadline.Milliseconds() {
+			return 0, true, ErrBadDeadline
 		}
 		if next := time.Duration(milliseconds) * time.Millisecond; !stated || next < wait {
 			wait, stated = next, true
@@ -194,9 +195,9 @@
 	return wait, stated, nil
 }
 
-// AppendFacts writes a list of names and values as it came, but for each time d that it states, which becomes left in whole
-// milliseconds. It is rounded down: nobody is told of more time than there is.
-func AppendFacts(b, facts []byte, left time.Duration) []byte {
+// AppendFacts appends a list of name=value pairs, unchanged except that the value of each d becomes the time that is
+// left, in milliseconds. It is rounded down, so that it never states more time than is left.
+func AppendFacts(b, facts []byte, timeLeft time.Duration) []byte {
 	for i, rest := 0, facts; len(rest) > 0; i++ {
 		var item []byte
 		item, rest, _ = bytes.Cut(rest, []byte(","))
@@ -205,7 +206,7 @@
 		}
 		if name, _, ok := bytes.Cut(item, []byte("=")); ok && string(name) == deadlineFact {
 			b = append(append(b, deadlineFact...), '=')
-			b = strconv.AppendInt(b, left.Milliseconds(), 10)
+			b = strconv.AppendInt(b, timeLeft.Milliseconds(), 10)
 		} else {
 			b = append(b, item...)
 		}
@@ -213,7 +214,8 @@
 	return b
 }
 
-// AppendCommand writes a command for a cache server. A value is the caller's to write, with a line's end.
+// AppendCommand appends a command for a cache server. The caller writes the value, if any, and the line end behind
+// it.
 func AppendCommand(b []byte, c *Command) []byte {
 	if c.Verb == Set {
 		b = append(append(b, "ms "...), c.Key...)
@@ -228,37 +230,37 @@
 	return append(b, "\r\n"...)
 }
 
-// AnswerKind is what an answer says.
+// AnswerKind is the kind of an answer.
 type AnswerKind uint8
 
-// The answers of a provider.
+// The answers of a cache server.
 const (
 	Value  AnswerKind = iota // VA: the value
 	Stored                   // HD: a receipt
 	Miss                     // EN
-	Failed                   // SERVER_ERROR failed, and whatever else tells of an error
+	Failed                   // SERVER_ERROR failed, and all other errors
 	Busy                     // SERVER_ERROR busy
 )
 
-// Answer is one answer of a provider. Its slices are parts of what was parsed.
+// Answer is one answer of a cache server. Its slices are parts of the parsed bytes.
 type Answer struct {
-	Kind   AnswerKind
-	Report []byte // what the server tells of its load, if it does
-	ID     []byte // empty where the answer carries none
-	Data   []byte // the value or the receipt
-	Long   int    // the length of a value over MaxValue, which follows the line, and a line's end follows that
+	Kind         AnswerKind
+	Report       []byte // the load report of the server (the L flag); nil if there is none
+	ID           []byte // the request ID; empty if the answer has none
+	Data         []byte // the value or the receipt; empty if the value is long
+	LongValueLen int    // length of a value longer than MaxShortValue; the value and a line end follow the answer line
 }
 
-// ErrAnswer is the fault of an answer that is none of the protocol.
-var ErrAnswer = errors.New("no answer of the protocol")
+// ErrNotAnswer reports bytes that are not an answer of the protocol.
+var ErrNotAnswer = errors.New("not an answer of the meta protocol")
 
-// names are the first words of answers.
-var names = []string{"VA", "HD", "EN", "SERVER_ERROR", "CLIENT_ERROR", "ERROR"}
+// answerWords are the words with which an answer can begin.
+var answerWords = []string{"VA", "HD", "EN", "SERVER_ERROR", "CLIENT_ERROR", "ERROR"}
 
-// begins tells whether b can be the beginning of an answer. What can't be is not waited for to its end:
-// it may have none.
-func begins(b []byte) bool {
-	for _, name := range names {
+// mayBeAnswer reports whether b can be the beginning of an answer. Other bytes are rejected at once, since they may
+// never end.
+func mayBeAnswer(b []byte) bool {
+	for _, name := range answerWords {
 		n := min(len(name), len(b))
 		if string(b[:n]) == name[:n] && (n == len(b) || b[n] == ' ' || b[n] == '\r' || b[n] == '\n') {
 			return true
@@ -267,32 +269,32 @@
 	return false
 }
 
-// ParseAnswer reads the answer to the request with an id at the start of b and tells how many bytes it
-// takes up: 0 without an error means that it is not whole yet. After an error the stream can't be read on.
-// Whose answer it is shows in its first line, before a value that may be long.
+// ParseAnswer reads the answer to the request with the given ID at the start of b. n is the number of bytes that the
+// answer takes up: 0 without an error means that it is incomplete. After an error the stream cannot be read on. The
+// ID is checked in the first line, before a value that may be long has arrived.
 func ParseAnswer(b []byte, id string) (a Answer, n int, err error) {
-	if !begins(b) {
-		return a, 0, ErrAnswer
+	if !mayBeAnswer(b) {
+		return a, 0, ErrNotAnswer
 	}
-	text, n, err := line(b)
+	text, n, err := cutLine(b)
 	if n == 0 || err != nil {
 		return a, 0, err
 	}
-	name, rest := word(text)
+	name, rest := cutWord(text)
 	if i := bytes.LastIndexByte(text, ' '); i >= 0 && i+1 < len(text) && text[i+1] == 'L' {
 		a.Report = text[i+2:]
 	}
 	var length []byte
 	switch string(name) {
 	case "VA":
-		length, rest = word(rest)
+		length, rest = cutWord(rest)
 	case "HD":
 		a.Kind = Stored
 	case "EN":
 		a.Kind = Miss
 	case "SERVER_ERROR":
 		a.Kind = Failed
-		if why, _ := word(rest); string(why) == "busy" {
+		if reason, _ := cutWord(rest); string(reason) == "busy" {
 			a.Kind = Busy
 		}
 		return a, n, nil
@@ -301,7 +303,7 @@
 		return a, n, nil
 	}
 	var flag []byte
-	for flag, rest = word(rest); len(flag) > 0; flag, rest = word(rest) {
+	for flag, rest = cutWord(rest); len(flag) > 0; flag, rest = cutWord(rest) {
 		switch {
 		case flag[0] == 'O':
 			a.ID = flag[1:]
@@ -309,20 +311,20 @@
 			a.Data = flag[1:]
 		}
 	}
-	if string(a.ID) != id { // another's, or nobody's
-		return a, 0, ErrID
+	if string(a.ID) != id { // the answer belongs to another request, or to none
+		return a, 0, ErrBadID
 	}
 	if a.Kind != Value {
 		return a, n, nil
 	}
-	size, bad := strconv.ParseUint(string(length), 10, 31)
+	size, parseErr := strconv.ParseUint(string(length), 10, 31)
 	switch end := n + int(size); {
-	case bad != nil:
-		return a, 0, ErrLength
+	case parseErr != nil:
+		return a, 0, ErrBadLength
 	case size > MaxLong:
-		return a, 0, ErrLarge
-	case size > MaxValue:
-		a.Long = int(size)
+		return a, 0, ErrTooLarge
+	case size > MaxShortValue:
+		a.LongValueLen = int(size)
 	case len(b) < end+2:
 		return a, 0, nil
 	case b[end] != '\r' || b[end+1] != '\n':
@@ -333,19 +335,20 @@
 	return a, n, nil
 }
 
-// AppendValueHead writes the first line of the answer that serves a read. The value and a line's end follow.
+// AppendValueHead appends the first line of the answer to a served read. The caller writes the value and a line end
+// behind it.
 func AppendValueHead(b []byte, id string, length int) []byte {
 	b = strconv.AppendInt(append(b, "VA "...), int64(length), 10)
 	return append(append(append(b, " O"...), id...), "\r\n"...)
 }
 
-// AppendStored writes the answer that serves a write.
+// AppendStored appends the answer to a served write.
 func AppendStored(b []byte, id string, receipt []byte) []byte {
 	b = append(append(b, "HD O"...), id...)
 	return append(append(append(b, " c"...), receipt...), "\r\n"...)
 }
 
-// AppendBusy writes a rejection; wait is in milliseconds, 0 says nothing.
+// AppendBusy appends a rejection. wait is the time in milliseconds after which the client may retry; 0 states none.
 func AppendBusy(b []byte, wait int64) []byte {
 	b = append(b, "SERVER_ERROR busy"...)
 	if wait > 0 {
@@ -354,5 +357,5 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendFailed writes a failure.
+// AppendFailed appends the answer to a failed request.
 func AppendFailed(b []byte) []byte { return append(b, "SERVER_ERROR failed\r\n"...) }
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-func TestAppendCommandChangesOnlyTheWait(t *testing.T) {
+// AppendCommand and AppendFacts pass a command on with no change but that of its deadline.
+func TestAppendCommandChangesOnlyTheDeadline(t *testing.T) {
 	for in, want := range map[string]string{
 		"mg k1 v O9b1f Pc=read,d=480\r\n":                   "mg k1 v O9b1f Pc=read,d=77\r\n",
 		"mg k1 v O9b1f Pd=480,c=read,size=9\r\n":            "mg k1 v O9b1f Pd=77,c=read,size=9\r\n",
@@ -22,10 +23,10 @@
 		if err != nil || n == 0 {
 			t.Fatalf("%q: %d bytes, %v", in, n, err)
 		}
-		if got := whole(&c, 77*time.Millisecond+999*time.Microsecond); string(got) != want {
+		if got := encode(&c, 77*time.Millisecond+999*time.Microsecond); string(got) != want {
 			t.Errorf("%q is passed on as %q, want %q", in, got, want)
 		}
-		for cut := range n { // nothing is a command before it is whole
+		for cut := range n { // a command is not parsed before it is complete
 			if _, used, err := ParseCommand([]byte(in[:cut])); used != 0 || err != nil {
 				t.Errorf("%q cut to %d bytes: %d used, %v", in, cut, used, err)
 			}
@@ -33,11 +34,11 @@
 	}
 }
 
-// whole writes a command with its value.
-func whole(c *Command, left time.Duration) []byte {
-	passed := *c
-	passed.Facts = AppendFacts(nil, c.Facts, left)
-	b := AppendCommand(nil, &passed)
+// encode returns a command with its value, with the given time left.
+func encode(c *Command, timeLeft time.Duration) []byte {
+	command := *c
+	command.Facts = AppendFacts(nil, c.Facts, timeLeft)
+	b := AppendCommand(nil, &command)
 	if c.Verb == Set && c.Long == 0 {
 		b = append(append(b, c.Value...), "\r\n"...)
 	}
@@ -60,12 +61,12 @@
 			t.Errorf("%q: %+v, %d bytes, %v", in, a, n, err)
 		}
 	}
-	for in, want := range map[string]error{ // each is told as soon as it shows
-		"VA x O9b\r\n": ErrLength, "VA 3 O9b\r\nabcdef": ErrChunk, "VA 4194305 O9b\r\n": ErrLarge,
-		"VA 3000000000 O9b\r\n": ErrLength, "VA -1 O9b\r\n": ErrLength, "VA 3\r\n": ErrID, "EN\r\n": ErrID,
-		"VA 3 O9c\r\n": ErrID, "HD O9bb c5\r\n": ErrID, // told before the value has come
-		"\r\n": ErrAnswer, "VALUE": ErrAnswer, "x": ErrAnswer, "ENO9b\r\n": ErrAnswer, "EN\x00": ErrAnswer,
-		"EN O9b " + strings.Repeat("a", MaxLine): ErrLine,
+	for in, want := range map[string]error{ // each error is reported as soon as it shows
+		"VA x O9b\r\n": ErrBadLength, "VA 3 O9b\r\nabcdef": ErrChunk, "VA 4194305 O9b\r\n": ErrTooLarge,
+		"VA 3000000000 O9b\r\n": ErrBadLength, "VA -1 O9b\r\n": ErrBadLength, "VA 3\r\n": ErrBadID, "EN\r\n": ErrBadID,
+		"VA 3 O9c\r\n": ErrBadID, "HD O9bb c5\r\n": ErrBadID, // reported before the value has arrived
+		"\r\n": ErrNotAnswer, "VALUE": ErrNotAnswer, "x": ErrNotAnswer, "ENO9b\r\n": ErrNotAnswer, "EN\x00": ErrNotAnswer,
+		"EN O9b " + strings.Repeat("a", MaxLine): ErrLineTooLong,
 	} {
 		if _, _, err := ParseAnswer([]byte(in), "9b"); !errors.Is(err, want) {
 			t.Errorf("%.20q: %v, want %v", in, err, want)
@@ -79,22 +80,23 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if c, n, err := ParseCommand(b); n < 0 || n > len(b) || len(c.Value) > MaxValue {
+		if c, n, err := ParseCommand(b); n < 0 || n > len(b) || len(c.Value) > MaxShortValue {
 			t.Errorf("command of %d bytes: %v", n, err)
 		} else if err == nil && n > 0 && (c.Verb == Get || c.Verb == Set) {
-			again, used, err := ParseCommand(whole(&c, 5*time.Millisecond))
+			again, used, err := ParseCommand(encode(&c, 5*time.Millisecond))
 			if err != nil || used == 0 || !bytes.Equal(again.Key, c.Key) || !bytes.Equal(again.Value, c.Value) ||
 				!bytes.Equal(again.ID, c.ID) {
 				t.Errorf("%q is passed on as %+v, %v", b, again, err)
 			}
 		}
-		if a, n, err := ParseAnswer(b, "1"); n < 0 || n > len(b) || len(a.Data) > MaxValue {
+		if a, n, err := ParseAnswer(b, "1"); n < 0 || n > len(b) || len(a.Data) > MaxShortValue {
 			t.Errorf("answer of %d bytes: %v", n, err)
 		}
 	})
 }
 
-// How long a client waits is what it states; where it states several times the shortest, and what is no time is told.
+// A client waits for as long as it states. If it states several times, the shortest counts; an invalid time is an
+// error.
 func TestDeadline(t *testing.T) {
 	for facts, want := range map[string]struct {
 		wait   time.Duration
@@ -109,13 +111,13 @@
 		"d=480,c=read,d=90":   {90 * time.Millisecond, true, nil},
 		"d=90,c=read,d=480":   {90 * time.Millisecond, true, nil},
 		"d=3600000":           {time.Hour, true, nil},
-		"d=3600001":           {0, true, ErrDeadline},
-		"d=0":                 {0, true, ErrDeadline},
-		"d=-1":                {0, true, ErrDeadline},
-		"d=":                  {0, true, ErrDeadline},
-		"d=4e2":               {0, true, ErrDeadline},
-		"d=480,d=soon":        {0, true, ErrDeadline},
-		"d=99999999999999999": {0, true, ErrDeadline},
+		"d=3600001":           {0, true, ErrBadDeadline},
+		"d=0":                 {0, true, ErrBadDeadline},
+		"d=-1":                {0, true, ErrBadDeadline},
+		"d=":                  {0, true, ErrBadDeadline},
+		"d=4e2":               {0, true, ErrBadDeadline},
+		"d=480,d=soon":        {0, true, ErrBadDeadline},
+		"d=99999999999999999": {0, true, ErrBadDeadline},
 	} {
 		if wait, stated, err := Deadline([]byte(facts)); wait != want.wait || stated != want.stated || !errors.Is(err, want.err) {
 			t.Errorf("%q: %v, %v, %v", facts, wait, stated, err)
--- a/internal/meta/report.go
+++ b/internal/meta/report.go
@@ -6,13 +6,14 @@
 	"strconv"
 )
 
-// mostReported bounds the figures of a load report: no queue, time or share is larger.
-const mostReported = 1e9
+// maxFigure limits the figures of a load report: no queue, time or share is larger.
+const maxFigure = 1e9
 
-// ParseReport reads the load report of an answer (the flag L, without that letter): names and values, of which the
-// settings tell the names. They may come in any order, and some may be missing: those are NaN in figures, which has
-// room for one of each name. A report that is torn, names something else or a name twice, or has a figure that is no
-// number, negative or beyond all bounds, tells nothing: then ok is false.
+// ParseReport reads the load report of an answer (the L flag, without that letter), which is a list of name=value
+// pairs. names are the names that the settings allow. The pairs may come in any order, and figures gets the value of
+// each name, or NaN if the name is missing. figures has the length of names. ok is false if the report is malformed,
+// has an unknown name or a name twice, or has a figure that is not a number, negative or larger than maxFigure. Such
+// a report must be ignored.
 func ParseReport(report []byte, names []string, figures []float64) (ok bool) {
 	for i := range figures {
 		figures[i] = math.NaN()
@@ -22,20 +23,20 @@
 		var more bool
 		item, report, more = bytes.Cut(report, []byte(","))
 		name, value, eq := bytes.Cut(item, []byte("="))
-		at := -1
+		index := -1
 		for i, n := range names {
 			if string(name) == n {
-				at = i
+				index = i
 			}
 		}
-		x, err := strconv.ParseFloat(string(value), 64)
-		if bytes.ContainsAny(value, "xX_") { // no decimal number
+		figure, err := strconv.ParseFloat(string(value), 64)
+		if bytes.ContainsAny(value, "xX_") { // not a decimal number
 			return false
 		}
-		if !eq || at < 0 || err != nil || !(x >= 0 && x <= mostReported) || !math.IsNaN(figures[at]) || more && len(report) == 0 {
+		if !eq || index < 0 || err != nil || !(figure >= 0 && figure <= maxFigure) || !math.IsNaN(figures[index]) || more && len(report) == 0 {
 			return false
 		}
-		figures[at] = x
+		figures[index] = figure
 		ok = true
 	}
 	return ok
--- a/internal/origin/endless_test.go
+++ b/internal/origin/endless_test.go
@@ -14,23 +14,23 @@
 	"hoptiller/internal/testprog"
 )
 
-// An answer in chunks never ends: it trickles, or comes as fast as it is read. The call ends with its time or at the longest value that
-// is taken, and all the room that was taken for the value is given back.
+// A chunked answer never ends: it trickles, or arrives as fast as it is read. The call ends at its deadline or when
+// the value exceeds the longest allowed value, and all the memory that was acquired for the value is released.
 func TestAnswerWithoutEnd(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		first  string // part of the value
+		first  string // first chunk of the value
 		chunk  string
 		pause  time.Duration
 		within time.Duration
 		status hoptiller.Status
 	}{
-		"trickles": {strings.Repeat("x", 2*meta.MaxValue), "x", 10 * time.Millisecond, 200 * time.Millisecond, hoptiller.Timeout},
-		"floods":   {"x", strings.Repeat("x", meta.MaxValue), time.Nanosecond, time.Minute, hoptiller.ServerError},
+		"trickles": {strings.Repeat("x", 2*meta.MaxShortValue), "x", 10 * time.Millisecond, 200 * time.Millisecond, hoptiller.Timeout},
+		"floods":   {"x", strings.Repeat("x", meta.MaxShortValue), time.Nanosecond, time.Minute, hoptiller.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, room := serve(t, 0, func(conn *net.TCPConn, _ string) bool {
+			p, memory := serve(t, 0, func(conn *net.TCPConn, _ string) bool {
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(c.first), c.first)
 				pause := time.NewTicker(c.pause)
 				defer pause.Stop()
@@ -48,8 +48,8 @@
 			if r := testprog.Await(t, ended, "end of the call"); r.Status != c.status {
 				t.Errorf("status %d, not %d", r.Status, c.status)
 			}
-			if !room.TryAcquire(meta.MaxLong) {
-				t.Error("room is still taken")
+			if !memory.TryAcquire(meta.MaxLong) {
+				t.Error("memory for the value is still acquired")
 			}
 		})
 	}
--- a/internal/origin/origin_test.go
+++ b/internal/origin/origin_test.go
@@ -7,7 +7,8 @@
 	"hoptiller/internal/relay"
 )
 
-// What the origin says, as PROTOCOL's table has it. What can't be read may have run.
+// The status of an attempt follows from the origin's response, as the protocol defines it. After an unreadable
+// response the attempt may have run.
 func TestOutcomes(t *testing.T) {
 	read, write := &relay.Request{}, &relay.Request{Write: true}
 	for in, want := range map[string]struct {
@@ -18,7 +19,7 @@
 	}{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\na b":                                    {read, hoptiller.OK, "a b", false},
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr7":                                     {write, hoptiller.OK, "r7", false},
-		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nr\r\n7":                                 {write, 0, "", true}, // would break the client's line
+		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nr\r\n7":                                 {write, 0, "", true}, // would break the line to the client
 		"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n":                                       {write, hoptiller.ServerError, "", false},
 		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n":                                       {write, hoptiller.ServerError, "", false},
 		"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n":                   {write, hoptiller.Full, "", false},
@@ -27,8 +28,8 @@
 		"ICY 200 OK\r\nContent-Length: 3\r\n\r\na b":                                         {read, 0, "", true},
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n": {read, 0, "", true},
 	} {
-		r, err := Protocol{}.Parse([]byte(in), want.req)
-		if (err != nil) != want.fault || err == nil && (r.Status != want.status || string(r.Data) != want.data || r.N != len(in)) {
+		r, err := Protocol{}.ParseReply([]byte(in), want.req)
+		if (err != nil) != want.fault || err == nil && (r.Status != want.status || string(r.Data) != want.data || r.Size != len(in)) {
 			t.Errorf("%q: %+v, %v", in, r, err)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay carries requests from a front to cache servers and origin, and the answers back.
-// What is to be done it asks of the hoptiller.Facade; how it is done is the
-// Upstreams' affair. It knows neither the clients' protocol nor the servers'.
+// Package relay carries requests from the client-facing front end to cache servers and the origin, and returns their
+// answers. The hoptiller.Facade decides which attempts are made; an Upstream carries out each attempt. The package
+// knows neither the clients' protocol nor the servers'.
 package relay
 
 import (
@@ -19,134 +19,138 @@
 
 // Request is one client request.
 type Request struct {
-	Key     []byte
-	ID      []byte        // as the client named it
-	Facts   []byte        // names and values that came with it
-	Value   []byte        // of a write
-	Long    *buffer.Chain // the same where it is long; nothing may use it once the final answer is known
-	Write   bool
-	Class   int
-	Tenant  int // the customer by number; -1: none that is known
-	Retry   bool
-	Arrived time.Time     // when its last byte came
-	Wait    time.Duration // that the client waits for the answer, from then on
-
-	Client netip.Addr          // not valid where it is not known
-	Gone   func() bool         // looks whether the client has left, which may not have been heard yet; nil: nobody can tell
-	Narrow hoptiller.Narrowing // what an operator forbids it; nil: nothing
+	Key     []byte        // the cache key
+	ID      []byte        // the request ID that the client chose
+	Facts   []byte        // name=value pairs that the client sent with the request
+	Value   []byte        // the value to write; empty for a read or a long value
+	Long    *buffer.Chain // the value to write if it is long; must not be used once the final answer is known
+	Write   bool          // a write rather than a read
+	Class   int           // index of the request's class in the settings
+	Tenant  int           // number of the tenant; -1 if unknown
+	Retry   bool          // the client marked the request as its own retry
+	Arrived time.Time     // when the last byte of the request arrived
+	Wait    time.Duration // how long the client waits for the answer, counted from Arrived
+
+	Client netip.Addr          // the client's address; invalid if unknown
+	Gone   func() bool         // checks whether the client has disconnected, which may not have been noticed yet; nil: cannot be checked
+	Narrow hoptiller.Narrowing // what an operator forbids for the request; nil: nothing
 }
 
-// Deadline is when the client gives up.
+// Deadline returns the time at which the client stops waiting.
 func (req *Request) Deadline() time.Time { return req.Arrived.Add(req.Wait) }
 
-// ClientGone looks whether the client has left. The request's context tells so later: somebody has to hear of it first.
-func (req *Request) ClientGone() bool { return req.Gone != nil && req.Gone() }
+// ClientDisconnected checks whether the client has disconnected. The request's context reports that later, because
+// the disconnect must be noticed first.
+func (req *Request) ClientDisconnected() bool { return req.Gone != nil && req.Gone() }
 
-// decisionInput is what the module is told of it.
-func (req *Request) decisionInput(id uint32, now time.Time) hoptiller.Request {
+// routerRequest returns the request in the form that the decision module takes.
+func (req *Request) routerRequest(id uint32, now time.Time) hoptiller.Request {
 	return hoptiller.Request{
 		ID: id, Class: req.Class, Tenant: req.Tenant, Key: keyNumber(req.Key), Write: req.Write, Retry: req.Retry,
 		Remaining: max(0, req.Deadline().Sub(now)), Narrow: req.Narrow,
 	}
 }
 
-// Length is that of its value.
-func (req *Request) Length() int {
+// ValueLen returns the length in bytes of the value to write.
+func (req *Request) ValueLen() int {
 	if req.Long != nil {
 		return req.Long.Len()
 	}
 	return len(req.Value)
 }
 
-// Result is how an attempt ended.
+// Result is the outcome of one attempt.
 type Result struct {
 	Status hoptiller.Status
-	Data   []byte // the value or the receipt
-	Body   Body   // the value, if it is long
-	// If End is set, the call is still out until this is called. It may be that this can't be: that another's long
-	// value would be cut off.
-	End func() (ended bool)
+	Data   []byte // the value of a read or the receipt of a write
+	Body   Body   // the value of a read, if it is long
+	// If Abort is set, the attempt is still in flight until Abort has returned true. Abort returns false and does
+	// nothing if it would cut off another request's long value.
+	Abort func() (aborted bool)
 }
 
-// Body is a long value that is still coming. Whoever has it either copies or closes it.
+// Body is a long value that is still arriving. Its receiver must either copy or close it.
 type Body interface {
-	// Len is the length that the value is said to have.
+	// Len returns the announced length of the value in bytes.
 	Len() int
-	// Copy hands over the value in pieces, no faster than write takes them. After an error it is not whole.
+	// Copy passes the value to write in pieces, reading no faster than write accepts them. If it returns an error,
+	// the value is incomplete.
 	Copy(write func(piece []byte) error) error
-	// Close gives up what has not come yet; it may be called while Copy runs, and as often as one likes.
+	// Close abandons the rest of the value. It may be called while Copy runs, and more than once.
 	Close()
 }
 
 // Answer is the final answer to a request.
 type Answer struct {
-	Kind       hoptiller.StepKind // anything but StepCall
+	Kind       hoptiller.StepKind // any kind except StepCall
 	Data       []byte
-	Body       Body // instead of Data, if the value is long
-	RetryAfter time.Duration
+	Body       Body          // used instead of Data if the value is long
+	RetryAfter time.Duration // StepReject: when the client may retry
 }
 
-// Upstream makes attempts to one kind of server.
+// Upstream makes attempts at one kind of server.
 type Upstream interface {
-	// Call makes one call and returns when it has ended, or ctx has, which is not to outlast the client's deadline. All of it is written while begin lasts, which ends with
-	// ctx at the latest, or nothing is sent.
-	Call(begin, ctx context.Context, server uint32, req *Request) Result
-	// Update tells what is now known of a server; moved tells that it runs
-	// elsewhere or anew, so that its old connections lead nowhere.
+	// Call makes one attempt and returns when the attempt has ended or ctx is done. ctx must not outlast the client's
+	// deadline. sendCtx is done no later than ctx: the request is written completely before that, or nothing is sent.
+	Call(sendCtx, ctx context.Context, server uint32, req *Request) Result
+	// Update records what is known now about a server. moved reports that the server has restarted or has another
+	// address, so that connections to the old process are useless.
 	Update(s Server, moved bool)
-	// Forget drops what is known of a server, and tells whether it could:
-	// not while there are connections to it.
+	// Forget drops everything that is known about a server and reports whether it did. It does not while there are
+	// connections to the server.
 	Forget(server uint32) bool
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(server uint32)
 }
 
-// Server is one entry of the directory.
+// Server is one entry of the server list.
 type Server struct {
 	hoptiller.Server
-	Name   string
-	Addr   string
-	Origin bool
-	Since  time.Time // when its process started at the earliest, by this machine's monotonic clock; set by the Relay
+	Name          string
+	Addr          string
+	Origin        bool
+	EarliestStart time.Time // when the server's process can have started at the earliest, by the local monotonic clock; set by the Relay
 }
 
-// Directory is told what to ask of the directory. Its calls return at once.
+// Directory takes the Relay's requests to service discovery. Its methods return at once.
 type Directory interface {
-	Watch(on bool)
-	List()
+	Watch(on bool) // starts or ends the subscription to changes of the list
+	List()         // requests the complete list
 }
 
 // Relay carries the requests of one router.
 type Relay struct {
-	AttemptEnded func(hoptiller.Status) // told how each attempt ended; nil: nobody is. It is set before the first request
+	// AttemptEnded is called with the status of each attempt that has ended. It may be nil, and must be set before
+	// the first request.
+	AttemptEnded func(hoptiller.Status)
 
-	core    *hoptiller.Facade
+	facade  *hoptiller.Facade
 	caches  Upstream
 	origins Upstream
-	start   time.Time
-	wake    chan struct{}
+	created time.Time
+	wake    chan struct{} // signals Run to call Tick of the decision module
 
-	mu       sync.RWMutex
-	servers  map[uint32]Server
-	listedAt time.Duration // when the list was told or changed last; 0: not yet
+	mu          sync.RWMutex
+	servers     map[uint32]Server
+	listUpdated time.Duration // when the list was received or changed last, in the time of now(); 0: never
 
-	liveMu sync.Mutex
-	live   map[uint32]*live
+	activeMu sync.Mutex
+	active   map[uint32]*activeRequest
 }
 
-// live is a request that is being carried.
-type live struct {
-	withdrawn int // calls that were cancelled, up to this number
-	cancel    context.CancelFunc
+// activeRequest is a request that is being served.
+type activeRequest struct {
+	cancelledBelow int                // attempts with a lower number are cancelled
+	cancel         context.CancelFunc // cancels the newest attempt; nil before the first
 }
 
-// New returns a Relay that decides by set.
-func New(set hoptiller.Settings, seed uint64, caches, origins Upstream) *Relay {
+// New returns a Relay whose decisions follow the given settings.
+func New(settings hoptiller.Settings, seed uint64, caches, origins Upstream) *Relay {
 	r := &Relay{
-		caches: caches, origins: origins, start: time.Now(), wake: make(chan struct{}, 1),
-		servers: map[uint32]Server{}, live: map[uint32]*live{},
+		caches: caches, origins: origins, created: time.Now(), wake: make(chan struct{}, 1),
+		servers: map[uint32]Server{}, active: map[uint32]*activeRequest{},
 	}
-	r.core = hoptiller.NewFacade(r.now(), set, seed, func() {
+	r.facade = hoptiller.NewFacade(r.now(), settings, seed, func() {
 		select {
 		case r.wake <- struct{}{}:
 		default:
@@ -155,23 +159,23 @@
 	return r
 }
 
-// now is the time since 1970, so that the directory's start times can be set
-// against it, but never goes back.
+// now returns the time since 1970, so that it can be compared with the start times that discovery lists. Unlike the
+// wall clock it never goes back.
 func (r *Relay) now() time.Duration {
-	return time.Duration(r.start.UnixNano()) + time.Since(r.start)
+	return time.Duration(r.created.UnixNano()) + time.Since(r.created)
 }
 
-// Members tells how many cache servers are listed, and how many of them are avoided now.
-func (r *Relay) Members() (listed, avoided int) { return r.core.Members() }
+// Members returns how many cache servers are listed, and how many of them the decision module avoids now.
+func (r *Relay) Members() (listed, avoided int) { return r.facade.Members() }
 
-// Caches are the cache servers that are listed, as they are seen here.
-func (r *Relay) Caches() []hoptiller.CacheState { return r.core.Caches() }
+// Caches returns the listed cache servers as this router sees them.
+func (r *Relay) Caches() []hoptiller.CacheState { return r.facade.Caches() }
 
-// Sighted tells what some router saw of a cache server before the list told it.
-func (r *Relay) Sighted(seen hoptiller.Sighting) { r.core.Sighted(r.now(), seen) }
+// Sighted passes on that some router observed a cache server to be down or up before the list reported it.
+func (r *Relay) Sighted(observation hoptiller.Sighting) { r.facade.Sighted(r.now(), observation) }
 
-// Run carries out the orders that belong to no request, until ctx ends.
-func (r *Relay) Run(ctx context.Context, dir Directory) error {
+// Run carries out the orders of the decision module that belong to no single request, until ctx is done.
+func (r *Relay) Run(ctx context.Context, discovery Directory) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	due := time.Now()
@@ -181,20 +185,20 @@
 			return nil
 		case <-r.wake:
 		case <-timer.C:
-			if late := time.Since(due); late > heldUp {
-				slog.Warn("held up", "by", late.Round(time.Millisecond))
+			if late := time.Since(due); late > pauseThreshold {
+				slog.Warn("process paused", "by", late.Round(time.Millisecond))
 			}
 		}
-		orders := r.core.Tick(r.now())
-		for _, c := range orders.Cancelled {
-			r.withdraw(c)
+		orders := r.facade.Tick(r.now())
+		for _, attempt := range orders.Cancelled {
+			r.cancelAttempt(attempt)
 		}
 		r.closeIdle(orders.CloseIdle)
 		if orders.Watch || orders.Unwatch {
-			dir.Watch(orders.Watch)
+			discovery.Watch(orders.Watch)
 		}
 		if orders.List {
-			dir.List()
+			discovery.List()
 		}
 		for _, text := range orders.Logs {
 			slog.Info("module", "said", text)
@@ -207,52 +211,54 @@
 	}
 }
 
-func (r *Relay) withdraw(c hoptiller.AttemptID) {
-	r.liveMu.Lock()
-	defer r.liveMu.Unlock()
-	if l := r.live[c.Request]; l != nil {
-		l.withdrawn = max(l.withdrawn, c.Attempt+1)
-		if l.cancel != nil {
-			l.cancel()
+// cancelAttempt cancels an attempt of an active request, also an attempt that has not begun yet.
+func (r *Relay) cancelAttempt(id hoptiller.AttemptID) {
+	r.activeMu.Lock()
+	defer r.activeMu.Unlock()
+	if active := r.active[id.Request]; active != nil {
+		active.cancelledBelow = max(active.cancelledBelow, id.Attempt+1)
+		if active.cancel != nil {
+			active.cancel()
 		}
 	}
 }
 
-// Serve carries one request to its final answer. When ctx ends its client
-// has left, and the answer matters to no one; it returns when nothing is out for it.
+// Serve carries one request to its final answer. When ctx is done, the client has disconnected and the answer no
+// longer matters. Serve returns once no attempt of the request is in flight.
 func (r *Relay) Serve(ctx context.Context, req *Request) Answer {
-	id := r.core.Reserve()
-	l := &live{}
-	r.liveMu.Lock()
-	r.live[id] = l
-	r.liveMu.Unlock()
+	id := r.facade.Reserve()
+	active := &activeRequest{}
+	r.activeMu.Lock()
+	r.active[id] = active
+	r.activeMu.Unlock()
 	defer func() {
-		r.liveMu.Lock()
-		delete(r.live, id)
-		r.liveMu.Unlock()
+		r.activeMu.Lock()
+		delete(r.active, id)
+		r.activeMu.Unlock()
 	}()
 
-	step := r.core.Pick(r.now(), req.decisionInput(id, time.Now()))
-	defer context.AfterFunc(ctx, func() { r.core.Gone(r.now(), id) })()
-	course := &course{begun: time.Now()}
+	step := r.facade.Pick(r.now(), req.routerRequest(id, time.Now()))
+	defer context.AfterFunc(ctx, func() { r.facade.Gone(r.now(), id) })()
+	trace := &requestTrace{started: time.Now()}
 	for {
 		r.closeIdle(step.CloseIdle)
 		if step.Kind != hoptiller.StepCall {
-			course.unserved(req, step.Kind)
+			trace.logUnserved(req, step.Kind)
 			return Answer{Kind: step.Kind, RetryAfter: step.RetryAfter}
 		}
 		sent := r.now()
-		result := r.call(ctx, l, req, step)
+		result := r.makeAttempt(ctx, active, req, step)
 		now := r.now()
-		if ctx.Err() != nil || result.Status == hoptiller.Moot && req.ClientGone() { // whatever it comes to, no other call follows
-			r.core.Gone(now, id)
+		// Whatever the result is, no other attempt follows.
+		if ctx.Err() != nil || result.Status == hoptiller.Moot && req.ClientDisconnected() {
+			r.facade.Gone(now, id)
 		}
-		course.add(req, step.Server, result.Status, now-sent)
+		trace.addAttempt(req, step.Server, result.Status, now-sent)
 		if r.AttemptEnded != nil {
 			r.AttemptEnded(result.Status)
 		}
-		call := hoptiller.AttemptID{Request: id, Attempt: step.Attempt}
-		step = r.core.Report(now, call, step.Server, result.Status, now-sent)
+		attempt := hoptiller.AttemptID{Request: id, Attempt: step.Attempt}
+		step = r.facade.Report(now, attempt, step.Server, result.Status, now-sent)
 		if step.Kind == hoptiller.StepServed {
 			r.closeIdle(step.CloseIdle)
 			return Answer{Kind: step.Kind, Data: result.Data, Body: result.Body}
@@ -260,66 +266,71 @@
 		if result.Body != nil {
 			result.Body.Close()
 		}
-		if step.Kind == hoptiller.StepCall && result.End != nil && !result.End() {
-			// One call is out at a time, whatever else the connection carries, and this one still is.
-			call.Attempt = step.Attempt
-			r.core.Gone(r.now(), id)
-			r.core.Report(r.now(), call, step.Server, hoptiller.Moot, 0)
-			course.unserved(req, hoptiller.StepFail)
+		if step.Kind == hoptiller.StepCall && result.Abort != nil && !result.Abort() {
+			// A request has at most one attempt in flight. The previous attempt could not be aborted, so the next one
+			// is not made.
+			attempt.Attempt = step.Attempt
+			r.facade.Gone(r.now(), id)
+			r.facade.Report(r.now(), attempt, step.Server, hoptiller.Moot, 0)
+			trace.logUnserved(req, hoptiller.StepFail)
 			return Answer{Kind: hoptiller.StepFail}
 		}
 	}
 }
 
-// heldUp is how late a timer is that is logged: the process, or the machine, stood still for so long.
-const heldUp = 100 * time.Millisecond
+// pauseThreshold is the delay of a timer from which a warning is logged. So long a delay means that the process or
+// the machine was paused.
+const pauseThreshold = 100 * time.Millisecond
 
-// errWindow ends the time in which an attempt may begin before its own time is over.
-var errWindow = errors.New("the window for repeats is over")
+// errRetryWindow is the cause with which an attempt's sendCtx ends when the time in which the attempt may be sent is
+// over before the attempt's own time.
+var errRetryWindow = errors.New("the retry window is over")
 
-// call makes one call, unless it has been withdrawn before it began. It begins only while the client is there, but does not
-// end with the client's leaving: the module hears of that, and withdraws the call if it is to end.
-func (r *Relay) call(client context.Context, l *live, req *Request, step hoptiller.Step) Result {
+// makeAttempt makes one attempt, unless the attempt was cancelled before it began. The attempt begins only while the
+// client is connected, but does not end when the client disconnects: the decision module is notified of that and
+// cancels the attempt if it should end.
+func (r *Relay) makeAttempt(clientCtx context.Context, active *activeRequest, req *Request, step hoptiller.Step) Result {
 	end := time.Now().Add(step.Timeout)
 	if deadline := req.Deadline(); deadline.Before(end) {
 		end = deadline
 	}
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(client), end)
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(clientCtx), end)
 	defer cancel()
-	by, cause := end, error(nil)
+	sendBy, cause := end, error(nil)
 	if t := time.Now().Add(step.By - r.now()); step.By > 0 && t.Before(end) {
-		by, cause = t, errWindow
+		sendBy, cause = t, errRetryWindow
 	}
-	begin, cancelBegin := context.WithDeadlineCause(client, by, cause)
-	defer cancelBegin()
-	r.liveMu.Lock()
-	withdrawn := l.withdrawn > step.Attempt
-	l.cancel = func() {
-		cancelBegin()
+	sendCtx, cancelSend := context.WithDeadlineCause(clientCtx, sendBy, cause)
+	defer cancelSend()
+	r.activeMu.Lock()
+	cancelled := active.cancelledBelow > step.Attempt
+	active.cancel = func() {
+		cancelSend()
 		cancel()
 	}
-	r.liveMu.Unlock()
-	if withdrawn {
+	r.activeMu.Unlock()
+	if cancelled {
 		return Result{Status: hoptiller.Moot}
 	}
-	return r.callerOf(step.Server).Call(begin, ctx, step.Server, req)
+	return r.upstreamByID(step.Server).Call(sendCtx, ctx, step.Server, req)
 }
 
-func (r *Relay) callerOf(id uint32) Upstream {
+// upstreamByID returns the Upstream for the server with a given ID.
+func (r *Relay) upstreamByID(id uint32) Upstream {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.caller(r.servers[id])
+	return r.upstreamOf(r.servers[id])
 }
 
 func (r *Relay) closeIdle(ids []uint32) {
 	for _, id := range ids {
-		r.callerOf(id).CloseIdle(id)
+		r.upstreamByID(id).CloseIdle(id)
 	}
 }
 
-// Told takes what the directory says. Of a new server the callers hear before the Router, which might
-// pick it at once; of one that is to get nothing new they hear after it, so that what they turn away is
-// not picked again.
+// Told takes a list update from discovery. The upstreams learn of a ready server before the decision module does,
+// because the module may pick the server at once. They learn after the module of a server that must get no new
+// requests, so that the module does not pick it again after an upstream has turned a request away.
 func (r *Relay) Told(kind hoptiller.ListKind, servers []Server) {
 	r.mu.Lock()
 	listed := make(map[uint32]bool, len(servers))
@@ -329,7 +340,7 @@
 		entries[i] = s.Server
 		listed[s.ID] = true
 		if s.Phase == hoptiller.Ready {
-			r.update(s)
+			r.updateServer(s)
 		} else {
 			leaving = append(leaving, s)
 		}
@@ -342,23 +353,24 @@
 			}
 		}
 	}
-	r.core.Directory(r.now(), kind, entries)
+	r.facade.Directory(r.now(), kind, entries)
 	for _, s := range leaving {
-		r.update(s)
+		r.updateServer(s)
 	}
 	if kind == hoptiller.ListFull || kind == hoptiller.ListDelta {
-		r.listedAt = r.now()
+		r.listUpdated = r.now()
 	}
-	// On a long day servers come and go without end, and each would leave its trace.
+	// Servers come and go for as long as the process runs, and each would leave an entry behind.
 	for id, s := range r.servers {
-		if s.Phase == hoptiller.Gone && !r.core.Knows(id) && r.caller(s).Forget(id) {
+		if s.Phase == hoptiller.Gone && !r.facade.Knows(id) && r.upstreamOf(s).Forget(id) {
 			delete(r.servers, id)
 		}
 	}
 	r.mu.Unlock()
 }
 
-// Knows tells whether anything of a server is still known here. Until then its number is taken.
+// Knows reports whether anything about a server is still known here. While it is, the server's number must not be
+// reused.
 func (r *Relay) Knows(id uint32) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -366,14 +378,14 @@
 	return known
 }
 
-// update tells the callers of a server; r.mu is held.
-func (r *Relay) update(s Server) {
+// updateServer records a server and notifies its Upstream. The caller holds r.mu.
+func (r *Relay) updateServer(s Server) {
 	old, known := r.servers[s.ID]
-	if s.Phase == hoptiller.Gone && known { // an entry for what is gone may lack the rest
+	if s.Phase == hoptiller.Gone && known { // the entry of a removed server may lack the other fields
 		s.Addr, s.Started, s.Origin = old.Addr, old.Started, old.Origin
 	}
-	if s.Since = old.Since; !known || old.Started != s.Started {
-		s.Since = r.sinceStart(s.Started)
+	if s.EarliestStart = old.EarliestStart; !known || old.Started != s.Started {
+		s.EarliestStart = r.earliestStart(s.Started)
 	}
 	if !known || old.Phase != s.Phase {
 		phase := [...]string{hoptiller.Gone: "gone", hoptiller.Draining: "draining", hoptiller.Ready: "ready"}[s.Phase]
@@ -382,36 +394,38 @@
 	moved := known && (old.Addr != s.Addr || old.Started != s.Started)
 	if moved {
 		slog.Info("server moved", "server", s.Name, "id", fmt.Sprintf("%08x", s.ID), "from", old.Addr, "to", s.Addr,
-			"started_before", startTime(old.Started), "started", startTime(s.Started))
+			"started_before", formatStart(old.Started), "started", formatStart(s.Started))
 	}
 	r.servers[s.ID] = s
-	r.caller(s).Update(s, moved)
+	r.upstreamOf(s).Update(s, moved)
 }
 
-// sinceStart is when a process has started at the earliest whose start is listed now. It is compared with when connections came up, and
-// must not change with the wall clock. r.mu is held.
-func (r *Relay) sinceStart(listed time.Duration) time.Time {
-	from, _ := hoptiller.StartInterval(r.listedAt, r.now(), listed)
-	return r.start.Add(from - time.Duration(r.start.UnixNano()))
+// earliestStart returns the earliest time at which a process can have started whose start time is listed now. The
+// result is compared with the times at which connections were opened, so it must not change with the wall clock. The
+// caller holds r.mu.
+func (r *Relay) earliestStart(listedStart time.Duration) time.Time {
+	earliest, _ := hoptiller.StartInterval(r.listUpdated, r.now(), listedStart)
+	return r.created.Add(earliest - time.Duration(r.created.UnixNano()))
 }
 
-// startTime is a server's start as the log has it.
-func startTime(started time.Duration) string {
+// formatStart formats a server's start time for the log.
+func formatStart(started time.Duration) string {
 	if started == 0 {
 		return "long ago"
 	}
 	return time.Unix(0, int64(started)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-func (r *Relay) caller(s Server) Upstream {
+// upstreamOf returns the Upstream for a server.
+func (r *Relay) upstreamOf(s Server) Upstream {
 	if s.Origin {
 		return r.origins
 	}
 	return r.caches
 }
 
-// keyNumber makes the Router's number of a key: what its hexadecimal digits
-// say where it is such a number, else a hash. All routers must get the same.
+// keyNumber returns the number by which the decision module knows a key: the number that the key spells if it has 16
+// hexadecimal digits and is not 0, else a hash of the key. All routers must compute the same number.
 func keyNumber(key []byte) uint64 {
 	if len(key) == 16 {
 		if n, err := strconv.ParseUint(string(key), 16, 64); err == nil && n != 0 {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -12,54 +12,59 @@
 	"hoptiller/internal/testprog"
 )
 
-// caller answers calls by a script and keeps what it was asked.
-type caller struct {
-	mu     sync.Mutex
-	script []Result // in turn; the last one goes on
-	asked  []string
-	block  chan struct{} // if set, a call waits until its context ends, and then tells here
-	keeps  bool          // has connections, so that nothing is forgotten
-	since  time.Time     // of the server that was told last
+// fakeUpstream answers attempts from a script and records which methods were called.
+type fakeUpstream struct {
+	mu            sync.Mutex
+	results       []Result      // results in order; the last one is repeated
+	recorded      []string      // the recorded calls
+	block         chan struct{} // if set, Call sends on it, waits until its context is done and returns Cancelled
+	keepServers   bool          // Forget returns false, as while there are connections
+	earliestStart time.Time     // EarliestStart of the server that was updated last
 }
 
-func (c *caller) note(format string, args ...any) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.asked = append(c.asked, fmt.Sprintf(format, args...))
+// record appends an entry to the recorded calls.
+func (u *fakeUpstream) record(format string, args ...any) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.recorded = append(u.recorded, fmt.Sprintf(format, args...))
 }
 
-func (c *caller) Call(_, ctx context.Context, server uint32, req *Request) Result {
-	c.note("call %d", server)
-	if c.block != nil {
-		c.block <- struct{}{}
+func (u *fakeUpstream) Call(_, ctx context.Context, server uint32, req *Request) Result {
+	u.record("call %d", server)
+	if u.block != nil {
+		u.block <- struct{}{}
 		<-ctx.Done()
 		return Result{Status: hoptiller.Cancelled}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := c.script[0]
-	if len(c.script) > 1 {
-		c.script = c.script[1:]
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	r := u.results[0]
+	if len(u.results) > 1 {
+		u.results = u.results[1:]
 	}
 	return r
 }
 
-func (c *caller) Update(s Server, moved bool) {
-	c.note("update %d phase %d moved %v", s.ID, s.Phase, moved)
-	c.since = s.Since
+func (u *fakeUpstream) Update(s Server, moved bool) {
+	u.record("update %d phase %d moved %v", s.ID, s.Phase, moved)
+	u.earliestStart = s.EarliestStart
 }
-func (c *caller) Forget(server uint32) bool { c.note("forget %d", server); return !c.keeps }
-func (c *caller) CloseIdle(server uint32)   { c.note("idle %d", server) }
+func (u *fakeUpstream) Forget(server uint32) bool {
+	u.record("forget %d", server)
+	return !u.keepServers
+}
+func (u *fakeUpstream) CloseIdle(server uint32) { u.record("idle %d", server) }
 
-func (c *caller) said() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	said := c.asked
-	c.asked = nil
-	return said
+// takeCalls returns the recorded calls and clears them.
+func (u *fakeUpstream) takeCalls() []string {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	recorded := u.recorded
+	u.recorded = nil
+	return recorded
 }
 
-var set = hoptiller.Settings{Balancers: 1, Aside: true, OriginKind: 1, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
+var settings = hoptiller.Settings{Balancers: 1, Aside: true, OriginKind: 1, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
 	MaxRetryAfter: 2 * time.Second, Classes: []hoptiller.Class{
 		{Aim: 9 * time.Second, Deadline: 9 * time.Second, Worth: 1},
 		{Aim: 9 * time.Second, Deadline: 9 * time.Second, Worth: 3, Effect: hoptiller.AtMostOnce}}}
@@ -72,199 +77,206 @@
 	return s
 }
 
-func newRelay(providers, origins []Result) (*Relay, *caller, *caller) {
-	p, o := &caller{script: providers}, &caller{script: origins}
-	r := New(set, 1, p, o)
+// newRelay returns a Relay that knows one cache server, 1, and one origin, 9, and the two upstreams with their
+// scripts.
+func newRelay(cacheResults, originResults []Result) (*Relay, *fakeUpstream, *fakeUpstream) {
+	caches, origins := &fakeUpstream{results: cacheResults}, &fakeUpstream{results: originResults}
+	r := New(settings, 1, caches, origins)
 	r.Told(hoptiller.ListFull, []Server{entry(1, hoptiller.Ready, false), entry(9, hoptiller.Ready, true)})
-	p.said()
-	o.said()
-	return r, p, o
+	caches.takeCalls()
+	origins.takeCalls()
+	return r, caches, origins
 }
 
-func request(class int, write bool) *Request {
+// newRequest returns a newRequest whose client waits for 5 seconds.
+func newRequest(class int, write bool) *Request {
 	return &Request{Key: []byte("k"), ID: []byte("1"), Class: class, Write: write, Arrived: time.Now(), Wait: 5 * time.Second}
 }
 
-// A miss goes to the origin, once the call that missed has ended; the answer is the one that was made for it.
+// After a miss the request goes to the origin, once the attempt that missed has been aborted. The answer is the
+// origin's.
 func TestMissGoesToTheOrigin(t *testing.T) {
-	ended := false
-	r, p, o := newRelay([]Result{{Status: hoptiller.Miss, End: func() bool { ended = true; return true }}}, []Result{{Status: hoptiller.OK, Data: []byte("v")}})
-	a := r.Serve(context.Background(), request(0, false))
-	if a.Kind != hoptiller.StepServed || string(a.Data) != "v" || !ended {
-		t.Errorf("%+v, the first call's end %v", a, ended)
+	aborted := false
+	r, caches, origins := newRelay([]Result{{Status: hoptiller.Miss, Abort: func() bool { aborted = true; return true }}}, []Result{{Status: hoptiller.OK, Data: []byte("v")}})
+	a := r.Serve(context.Background(), newRequest(0, false))
+	if a.Kind != hoptiller.StepServed || string(a.Data) != "v" || !aborted {
+		t.Errorf("%+v, first attempt aborted %v", a, aborted)
 	}
-	if got := append(p.said(), o.said()...); !slices.Equal(got, []string{"call 1", "call 9"}) {
-		t.Errorf("asked %v", got)
+	if got := append(caches.takeCalls(), origins.takeCalls()...); !slices.Equal(got, []string{"call 1", "call 9"}) {
+		t.Errorf("calls %v", got)
 	}
-	if len(r.live) != 0 {
-		t.Error("a request that is over is held")
+	if len(r.active) != 0 {
+		t.Error("a finished request is still recorded as active")
 	}
 }
 
-// What may have run is not called again where it must not run twice, and is not called harmless.
-func TestBookIsNotRepeated(t *testing.T) {
+// A request of an at-most-once class that may have run is neither retried nor rejected as safe to retry.
+func TestAtMostOnceIsNotRetried(t *testing.T) {
 	for status, want := range map[hoptiller.Status]hoptiller.StepKind{hoptiller.Reset: hoptiller.StepFail,
 		hoptiller.ServerError: hoptiller.StepFail, hoptiller.Timeout: hoptiller.StepFail} {
-		r, _, o := newRelay([]Result{{}}, []Result{{Status: status}})
-		if a := r.Serve(context.Background(), request(1, true)); a.Kind != want {
+		r, _, origins := newRelay([]Result{{}}, []Result{{Status: status}})
+		if a := r.Serve(context.Background(), newRequest(1, true)); a.Kind != want {
 			t.Errorf("status %d: %+v", status, a)
 		}
-		if got := o.said(); len(got) != 1 {
-			t.Errorf("status %d: asked %v", status, got)
+		if got := origins.takeCalls(); len(got) != 1 {
+			t.Errorf("status %d: calls %v", status, got)
 		}
 	}
 }
 
-// Where every call is turned away the client is told that trying again is harmless, and when.
-func TestTurnedAway(t *testing.T) {
-	r, _, o := newRelay([]Result{{}}, []Result{{Status: hoptiller.Full}})
-	a := r.Serve(context.Background(), request(1, true))
-	if a.Kind != hoptiller.StepReject || a.RetryAfter != 2*time.Second || len(o.said()) > 3 {
+// If every attempt is rejected, the client is told that a retry is safe, and when.
+func TestRejectedEverywhere(t *testing.T) {
+	r, _, origins := newRelay([]Result{{}}, []Result{{Status: hoptiller.Full}})
+	a := r.Serve(context.Background(), newRequest(1, true))
+	if a.Kind != hoptiller.StepReject || a.RetryAfter != 2*time.Second || len(origins.takeCalls()) > 3 {
 		t.Errorf("%+v", a)
 	}
 }
 
-// When its client leaves, a request's call ends, and so does the request.
-func TestClientLeaves(t *testing.T) {
-	r, p, _ := newRelay([]Result{{}}, nil)
-	p.block = make(chan struct{})
-	ctx, leave := context.WithCancel(context.Background())
+// When the client disconnects, the attempt in flight ends, and so does the request.
+func TestClientDisconnects(t *testing.T) {
+	r, caches, _ := newRelay([]Result{{}}, nil)
+	caches.block = make(chan struct{})
+	ctx, disconnect := context.WithCancel(context.Background())
 	done := make(chan Answer)
-	go func() { done <- r.Serve(ctx, request(0, false)) }()
-	testprog.Await(t, p.block, "call")
-	leave()
-	if a := testprog.Await(t, done, "answer"); a.Kind == hoptiller.StepServed || len(r.live) != 0 {
-		t.Errorf("%+v, %d live", a, len(r.live))
+	go func() { done <- r.Serve(ctx, newRequest(0, false)) }()
+	testprog.Await(t, caches.block, "attempt")
+	disconnect()
+	if a := testprog.Await(t, done, "answer"); a.Kind == hoptiller.StepServed || len(r.active) != 0 {
+		t.Errorf("%+v, %d active", a, len(r.active))
 	}
 }
 
-// A call that the module has withdrawn ends; one that it withdrew before it began is never made.
-func TestWithdrawn(t *testing.T) {
-	r, p, _ := newRelay([]Result{{}}, nil)
-	p.block = make(chan struct{})
+// An attempt that the decision module has cancelled ends. One that was cancelled before it began is never made.
+func TestCancelledAttempt(t *testing.T) {
+	r, caches, _ := newRelay([]Result{{}}, nil)
+	caches.block = make(chan struct{})
 	done := make(chan Answer)
-	go func() { done <- r.Serve(context.Background(), request(0, false)) }()
-	testprog.Await(t, p.block, "call")
-	r.withdraw(hoptiller.AttemptID{Request: 1, Attempt: 0})
-	r.withdraw(hoptiller.AttemptID{Request: 1, Attempt: 1})
-	r.withdraw(hoptiller.AttemptID{Request: 1, Attempt: 2})
-	r.withdraw(hoptiller.AttemptID{Request: 77, Attempt: 0}) // over already
+	go func() { done <- r.Serve(context.Background(), newRequest(0, false)) }()
+	testprog.Await(t, caches.block, "attempt")
+	r.cancelAttempt(hoptiller.AttemptID{Request: 1, Attempt: 0})
+	r.cancelAttempt(hoptiller.AttemptID{Request: 1, Attempt: 1})
+	r.cancelAttempt(hoptiller.AttemptID{Request: 1, Attempt: 2})
+	r.cancelAttempt(hoptiller.AttemptID{Request: 77, Attempt: 0}) // not active any more
 	testprog.Await(t, done, "answer")
-	if got := p.said(); len(got) != 1 {
-		t.Errorf("asked %v", got)
+	if got := caches.takeCalls(); len(got) != 1 {
+		t.Errorf("calls %v", got)
 	}
 }
 
-// A connection that came up just before the news of a start may lead to the new process, unless the start is known to be later. By a clock
-// that is an hour off nothing is known but when the news came.
-func TestStartByAnotherClock(t *testing.T) {
+// A connection that was opened just before a new start time is listed may lead to the new process, unless the start
+// is known to be later. If the clock that made the start time is off by an hour, only the time of the list update is
+// known.
+func TestStartTimeOfAnotherClock(t *testing.T) {
 	for _, test := range []struct {
-		off  time.Duration // of the start's clock
-		kept bool
+		clockOffset time.Duration // how far the clock of the start time is ahead
+		kept        bool          // the connection may lead to the new process
 	}{{0, false}, {time.Hour, true}, {-time.Hour, true}} {
-		r, p, _ := newRelay([]Result{{Status: hoptiller.OK}}, []Result{{Status: hoptiller.OK}})
+		r, caches, _ := newRelay([]Result{{Status: hoptiller.OK}}, []Result{{Status: hoptiller.OK}})
 		opened := time.Now()
 		moved := entry(1, hoptiller.Ready, false)
-		moved.Started = r.now() + test.off
+		moved.Started = r.now() + test.clockOffset
 		r.Told(hoptiller.ListDelta, []Server{moved})
-		if kept := !opened.Before(p.since); kept != test.kept {
-			t.Errorf("clock off by %v: a connection %v before the news is kept %v", test.off, time.Since(opened), kept)
+		if kept := !opened.Before(caches.earliestStart); kept != test.kept {
+			t.Errorf("clock off by %v: a connection opened %v before the update is kept %v", test.clockOffset, time.Since(opened), kept)
 		}
-		if age := time.Since(p.since); age < 0 || age > 2*time.Minute {
-			t.Errorf("clock off by %v: started %v ago", test.off, age)
+		if age := time.Since(caches.earliestStart); age < 0 || age > 2*time.Minute {
+			t.Errorf("clock off by %v: started %v ago", test.clockOffset, age)
 		}
 	}
 }
 
-// The callers hear of a newcomer before it may be picked and of a drain after it may not; what has left is
-// forgotten as soon as nothing leads to it, and a new start time or address tells that it runs anew.
-func TestTold(t *testing.T) {
-	r, p, _ := newRelay([]Result{{Status: hoptiller.OK}}, []Result{{Status: hoptiller.Full}})
-	p.keeps = true
+// The upstream is notified of a new server before the server may be picked, and of a drain after the server may no
+// longer be picked. A removed server is forgotten as soon as there are no connections to it. A new start time or
+// address is reported as a move.
+func TestListUpdates(t *testing.T) {
+	r, caches, _ := newRelay([]Result{{Status: hoptiller.OK}}, []Result{{Status: hoptiller.Full}})
+	caches.keepServers = true
 	moved := entry(1, hoptiller.Ready, false)
 	moved.Addr = "elsewhere"
 	r.Told(hoptiller.ListDelta, []Server{moved})
 	r.Told(hoptiller.ListDelta, []Server{entry(1, hoptiller.Draining, false)})
 	r.Told(hoptiller.ListFull, []Server{entry(9, hoptiller.Ready, true)})
 	if !r.Knows(1) {
-		t.Error("forgotten while there are connections")
+		t.Error("the server was forgotten while there were connections to it")
 	}
-	p.keeps = false
+	caches.keepServers = false
 	r.Told(hoptiller.ListDelta, nil)
 	if r.Knows(1) || !r.Knows(9) {
-		t.Error("not forgotten, or the wrong one")
+		t.Error("the removed server was not forgotten, or the origin was")
 	}
 	want := []string{"update 1 phase 2 moved true", "update 1 phase 1 moved true", "update 1 phase 0 moved false", "forget 1", "forget 1"}
-	if got := p.said(); !slices.Equal(got, want) {
-		t.Errorf("told %v", got)
+	if got := caches.takeCalls(); !slices.Equal(got, want) {
+		t.Errorf("calls %v", got)
 	}
-	if a := r.Serve(context.Background(), request(0, false)); a.Kind == hoptiller.StepServed {
-		t.Error("served by a cache that has left")
+	if a := r.Serve(context.Background(), newRequest(0, false)); a.Kind == hoptiller.StepServed {
+		t.Error("a removed cache server served the request")
 	}
 }
 
-// orders is a directory that keeps what it is asked.
-type orders chan string
+// fakeDiscovery records what the Relay requests.
+type fakeDiscovery chan string
 
-func (o orders) Watch(on bool) { o <- fmt.Sprint("watch ", on) }
-func (o orders) List()         { o <- "list" }
+func (d fakeDiscovery) Watch(on bool) { d <- fmt.Sprint("watch ", on) }
+func (d fakeDiscovery) List()         { d <- "list" }
 
-// The relay opens the watch that the module wants, and asks again when it breaks.
+// The Relay opens the subscription that the decision module wants, and opens it again when it breaks.
 func TestWatch(t *testing.T) {
-	on := set
-	on.ListOnRequest = true
-	r := New(on, 1, &caller{}, &caller{})
+	watching := settings
+	watching.ListOnRequest = true
+	r := New(watching, 1, &fakeUpstream{}, &fakeUpstream{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	asked := make(orders, 10)
-	go r.Run(ctx, asked)
+	requests := make(fakeDiscovery, 10)
+	go r.Run(ctx, requests)
 	for range 2 {
-		if got := testprog.Await(t, asked, "watch"); got != "watch true" {
-			t.Errorf("asked %q", got)
+		if got := testprog.Await(t, requests, "subscription"); got != "watch true" {
+			t.Errorf("requested %q", got)
 		}
 		r.Told(hoptiller.ListFailed, nil)
 	}
 }
 
-// A key's number is what its hexadecimal digits say, else a hash, and never 0.
+// A key's number is the value of its hexadecimal digits, else a hash, and never 0.
 func TestKeyNumber(t *testing.T) {
 	if keyNumber([]byte("00000000000000ff")) != 255 || keyNumber([]byte("0000000000000000")) == 0 ||
 		keyNumber([]byte("a")) == keyNumber([]byte("b")) || keyNumber(nil) == 0 {
-		t.Error("wrong number")
+		t.Error("a key has a wrong number")
 	}
 }
 
-// The module is told all that it decides by: also whose request it is, or all would count as the first customer's.
-func TestRequest(t *testing.T) {
+// The decision module gets every field by which it decides, including the tenant: without it all requests would count
+// as those of tenant 0.
+func TestRouterRequest(t *testing.T) {
 	now := time.Now()
 	req := &Request{Key: []byte("00000000000000ff"), Class: 1, Tenant: 3, Write: true, Retry: true, Arrived: now.Add(-time.Second), Wait: 2 * time.Second}
 	want := hoptiller.Request{ID: 7, Class: 1, Tenant: 3, Key: 255, Write: true, Retry: true, Remaining: time.Second}
-	if got := req.decisionInput(7, now); got != want {
+	if got := req.routerRequest(7, now); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	if got := req.decisionInput(7, now.Add(time.Minute)); got.Remaining != 0 {
-		t.Errorf("of a request whose time is over %v remain", got.Remaining)
+	if got := req.routerRequest(7, now.Add(time.Minute)); got.Remaining != 0 {
+		t.Errorf("a request past its deadline has %v remaining", got.Remaining)
 	}
 }
 
-// An attempt ends with the client's time, also where the process stood still after it was picked, and sooner where the module or an
-// operator's policy says so.
-func TestAttemptEndsWithTheClientsTime(t *testing.T) {
-	for name, c := range map[string]struct{ step, client, want time.Duration }{
-		"the step's time is the shorter": {time.Second, time.Minute, time.Second},
-		"the client's is":                {time.Minute, time.Second, time.Second},
-		"the client's is over":           {time.Minute, -time.Second, -time.Second},
+// An attempt ends at the client's deadline, even if the process was paused after the attempt was picked. It ends
+// sooner if the decision module or an operator's policy says so.
+func TestAttemptEndsAtClientDeadline(t *testing.T) {
+	for name, c := range map[string]struct{ stepTimeout, clientTimeout, want time.Duration }{
+		"the step's timeout is shorter":    {time.Second, time.Minute, time.Second},
+		"the client's deadline is earlier": {time.Minute, time.Second, time.Second},
+		"the client's deadline has passed": {time.Minute, -time.Second, -time.Second},
 	} {
 		r, _, _ := newRelay(nil, nil)
 		ends := make(chan time.Time, 1)
-		r.caches = timing(func(_, ctx context.Context) {
+		r.caches = contextUpstream(func(_, ctx context.Context) {
 			end, _ := ctx.Deadline()
 			ends <- end
 		})
-		req := request(0, false)
+		req := newRequest(0, false)
 		before := time.Now()
-		req.Arrived, req.Wait = before.Add(c.client-time.Second), time.Second
-		r.call(t.Context(), &live{}, req, hoptiller.Step{Kind: hoptiller.StepCall, Server: 1, Timeout: c.step})
+		req.Arrived, req.Wait = before.Add(c.clientTimeout-time.Second), time.Second
+		r.makeAttempt(t.Context(), &activeRequest{}, req, hoptiller.Step{Kind: hoptiller.StepCall, Server: 1, Timeout: c.stepTimeout})
 		end := testprog.Await(t, ends, "attempt")
 		if end.Before(before.Add(c.want)) || end.After(time.Now().Add(c.want)) {
 			t.Errorf("%s: %v", name, end.Sub(before))
@@ -272,53 +284,54 @@
 	}
 }
 
-// An attempt's time to begin ends when its client leaves or when it is withdrawn, and for a repeat with the window in which
-// repeats are dropped; its time to be answered does not end with the client's leaving.
-func TestTimeToBegin(t *testing.T) {
+// An attempt's sendCtx ends when the client disconnects, when the attempt is cancelled, and, for a retry, when the
+// time ends in which servers drop repeats. Its ctx, until which it may be answered, does not end when the client
+// disconnects.
+func TestSendContext(t *testing.T) {
 	r, _, _ := newRelay(nil, nil)
-	type times struct{ begin, ctx context.Context }
-	calls := make(chan times)
-	over := make(chan bool)
-	r.caches = timing(func(begin, ctx context.Context) { calls <- times{begin, ctx}; <-over })
-	client, leave := context.WithCancel(t.Context())
-	l := &live{}
+	type contexts struct{ sendCtx, ctx context.Context }
+	attempts := make(chan contexts)
+	finish := make(chan bool)
+	r.caches = contextUpstream(func(begin, ctx context.Context) { attempts <- contexts{begin, ctx}; <-finish })
+	clientCtx, disconnect := context.WithCancel(t.Context())
+	active := &activeRequest{}
 	step := hoptiller.Step{Kind: hoptiller.StepCall, Server: 1, Timeout: 20 * time.Second}
-	go r.call(client, l, request(0, false), step)
-	c := testprog.Await(t, calls, "call")
-	leave()
-	testprog.Await(t, c.begin.Done(), "end of the time to begin when the client has left")
+	go r.makeAttempt(clientCtx, active, newRequest(0, false), step)
+	c := testprog.Await(t, attempts, "attempt")
+	disconnect()
+	testprog.Await(t, c.sendCtx.Done(), "end of sendCtx after the client disconnected")
 	if c.ctx.Err() != nil {
-		t.Error("the attempt has ended with its client's leaving")
+		t.Error("the attempt ended when its client disconnected")
 	}
-	over <- true
+	finish <- true
 
-	go r.call(t.Context(), l, request(0, false), step)
-	c = testprog.Await(t, calls, "call")
-	r.liveMu.Lock()
-	l.cancel()
-	r.liveMu.Unlock()
-	testprog.Await(t, c.begin.Done(), "end of the time to begin when it is withdrawn")
-	testprog.Await(t, c.ctx.Done(), "end of the attempt when it is withdrawn")
-	over <- true
+	go r.makeAttempt(t.Context(), active, newRequest(0, false), step)
+	c = testprog.Await(t, attempts, "attempt")
+	r.activeMu.Lock()
+	active.cancel()
+	r.activeMu.Unlock()
+	testprog.Await(t, c.sendCtx.Done(), "end of sendCtx after the attempt was cancelled")
+	testprog.Await(t, c.ctx.Done(), "end of ctx after the attempt was cancelled")
+	finish <- true
 
 	step.By = r.now() + 5*time.Second
-	go r.call(t.Context(), &live{}, request(0, false), step)
-	c = testprog.Await(t, calls, "call")
-	by, _ := c.begin.Deadline()
+	go r.makeAttempt(t.Context(), &activeRequest{}, newRequest(0, false), step)
+	c = testprog.Await(t, attempts, "attempt")
+	sendBy, _ := c.sendCtx.Deadline()
 	end, _ := c.ctx.Deadline()
-	if left := time.Until(by); left > 5*time.Second || !end.After(by) {
-		t.Errorf("a repeat has %v to begin", left)
+	if left := time.Until(sendBy); left > 5*time.Second || !end.After(sendBy) {
+		t.Errorf("sendCtx of a retry ends in %v", left)
 	}
-	over <- true
+	finish <- true
 }
 
-// timing is a Upstream that looks only at a call's times.
-type timing func(begin, ctx context.Context)
+// contextUpstream is an Upstream that passes the two contexts of each attempt to a function and never sends anything.
+type contextUpstream func(begin, ctx context.Context)
 
-func (c timing) Call(begin, ctx context.Context, _ uint32, _ *Request) Result {
-	c(begin, ctx)
+func (u contextUpstream) Call(sendCtx, ctx context.Context, _ uint32, _ *Request) Result {
+	u(sendCtx, ctx)
 	return Result{Status: hoptiller.Moot}
 }
-func (timing) Update(Server, bool) {}
-func (timing) Forget(uint32) bool  { return true }
-func (timing) CloseIdle(uint32)    {}
+func (contextUpstream) Update(Server, bool) {}
+func (contextUpstream) Forget(uint32) bool  { return true }
+func (contextUpstream) CloseIdle(uint32)    {}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -8,35 +8,35 @@
 	"hoptiller/internal/relay"
 )
 
-// leastLeft is the shortest time that a server can be told, which PROTOCOL counts in whole milliseconds. An attempt with less
-// does not begin.
-const leastLeft = time.Millisecond
+// minTimeLeft is the shortest remaining time that a server can be given, because the protocol counts it in whole
+// milliseconds. An attempt with less time left is not made.
+const minTimeLeft = time.Millisecond
 
-// Attempt is one attempt at a request, as its server is to be told of it. A Protocol gets nothing else, so that none can pass
-// on what the client said of its time, which is less by now.
+// Attempt is what a server is sent for one attempt at a request. A Protocol gets nothing else, so that it cannot pass
+// on the timeout that the client stated, of which some has passed by now.
 type Attempt struct {
-	Key    []byte
-	ID     []byte // as the client named the request
-	Facts  []byte // the names and values that came with it; d is the time that is left
-	Host   string // the server's name
-	Write  bool
-	Length int // of the value of a write, in bytes
+	Key      []byte
+	ID       []byte // the request ID that the client chose
+	Facts    []byte // the name=value pairs of the request, in which d is the time that is left
+	Host     string // the server's name
+	Write    bool
+	ValueLen int // length in bytes of the value of a write
 }
 
-// newAttempt makes an attempt that tells how much time is left. The facts go to the start of buf, and what is behind them is
-// free.
-func newAttempt(buf []byte, req *relay.Request, host string, left time.Duration) (a *Attempt, free []byte) {
-	facts := meta.AppendFacts(buf[:0], req.Facts, left)
-	a = &Attempt{Key: req.Key, ID: req.ID, Facts: facts[:len(facts):len(facts)], Host: host, Write: req.Write, Length: req.Length()}
+// newAttempt returns an attempt whose facts state the time that is left. The facts are written to the start of buf,
+// and free is the unused rest of buf.
+func newAttempt(buf []byte, req *relay.Request, host string, timeLeft time.Duration) (a *Attempt, free []byte) {
+	facts := meta.AppendFacts(buf[:0], req.Facts, timeLeft)
+	a = &Attempt{Key: req.Key, ID: req.ID, Facts: facts[:len(facts):len(facts)], Host: host, Write: req.Write, ValueLen: req.ValueLen()}
 	return a, facts[len(facts):]
 }
 
-// timeLeft is how much of an attempt's time is left, which ends with ctx: with the client's time at the latest. Where ctx has no
-// end nothing is known of it, and it is the least that can be told.
-func timeLeft(ctx context.Context) time.Duration {
+// remainingTime returns how much time is left for an attempt, which ends with ctx, no later than the client's
+// deadline. If ctx has no deadline, the time is unknown and remainingTime returns the least that can be stated.
+func remainingTime(ctx context.Context) time.Duration {
 	end, known := ctx.Deadline()
 	if !known {
-		return leastLeft
+		return minTimeLeft
 	}
 	return time.Until(end)
 }
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	pieceTime  = 6 * time.Second  // that the next piece of a long value may take
-	longLately = 10 * time.Second // after a long value calls share no connection for so long
+	pieceTimeout = 6 * time.Second  // maximum wait for the next piece of a long value
+	unsharedTime = 10 * time.Second // for this long after a long value, calls share no connection
 )
 
-var errAbandoned = errors.New("value given up")
+var errAbandoned = errors.New("value abandoned by its receiver")
 
-// body is a long value that is still coming. Until it has ended, the connection is its reader's alone. It is a
-// relay.Body.
-type body struct {
-	conn    *conn
-	out     *call
-	reader  *buffer.Reader
-	decoder Decoder
-	length  int  // -1: it shows at the end
-	keep    bool // the connection can be used after it
-	ended   chan struct{}
+// streamBody is a long value that is still arriving. Until it has ended, nothing else reads from the connection. It
+// implements relay.Body.
+type streamBody struct {
+	conn     *conn
+	call     *pendingCall
+	reader   *buffer.Reader
+	decoder  Decoder
+	length   int           // in bytes; -1: known only at the end of the value
+	keepConn bool          // the connection is usable after the value
+	ended    chan struct{} // closed when the value has ended
 }
 
 // Len implements relay.Body.
-func (b *body) Len() int { return b.length }
+func (b *streamBody) Len() int { return b.length }
 
-// Copy implements relay.Body. The connection is read no faster than write takes the pieces.
-func (b *body) Copy(write func(piece []byte) error) (err error) {
-	defer func() { b.end(err) }()
+// Copy implements relay.Body. It reads from the connection no faster than write accepts the pieces.
+func (b *streamBody) Copy(write func(piece []byte) error) (err error) {
+	defer func() { b.finish(err) }()
 	defer func() { b.reader.Long = false }()
-	next := b.reader.Again // what has come with the head
+	next := b.reader.Again // what arrived together with the head
 	for done := false; !done; {
-		var failed error
-		b.conn.SetReadDeadline(time.Now().Add(pieceTime))
+		var pieceErr error
+		b.conn.SetReadDeadline(time.Now().Add(pieceTimeout))
 		err := next(func(p []byte) (used int) {
-			for n := -1; n != 0 && !done && failed == nil && used < len(p); used += n {
-				var part []byte
-				if part, n, done, failed = b.decoder.Take(p[used:]); len(part) > 0 {
-					failed = write(part)
+			for n := -1; n != 0 && !done && pieceErr == nil && used < len(p); used += n {
+				var piece []byte
+				if piece, n, done, pieceErr = b.decoder.Decode(p[used:]); len(piece) > 0 {
+					pieceErr = write(piece)
 				}
 			}
 			return used
 		})
-		if _, toEnd := b.decoder.(ToEnd); toEnd && failed == nil && err == io.EOF { // a reset is no end
+		if _, untilClose := b.decoder.(UntilCloseDecoder); untilClose && pieceErr == nil && err == io.EOF { // a reset is not a valid end
 			return nil
 		}
-		if err = errors.Join(failed, err); err != nil {
+		if err = errors.Join(pieceErr, err); err != nil {
 			return err
 		}
 		b.reader.Long, next = true, b.reader.Next
@@ -61,40 +61,41 @@
 }
 
 // Close implements relay.Body.
-func (b *body) Close() {
-	b.end(errAbandoned)
+func (b *streamBody) Close() {
+	b.finish(errAbandoned)
 }
 
-// end gives the connection back, or ends it where the value did not come whole.
-func (b *body) end(err error) {
+// finish returns the connection to the pool, or closes it if the value is incomplete.
+func (b *streamBody) finish(err error) {
 	c := b.conn
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.body != b {
+	if c.stream != b {
 		return
 	}
-	c.body = nil
+	c.stream = nil
 	if err != nil {
-		p.closeConn(c, hoptiller.Cancelled, valueCloseReason(err)) // what waits behind it is no fault of the server's
+		p.closeConn(c, hoptiller.Cancelled, valueCloseReason(err)) // the server is not at fault for the calls queued behind the value
 	} else {
-		b.came()
+		b.finishComplete()
 	}
 	close(b.ended)
 }
 
-// came gives the connection back when the value has come whole. The pool's mu is held.
-func (b *body) came() {
+// finishComplete returns the connection to the pool after the complete value has arrived. The caller holds the pool's
+// mu.
+func (b *streamBody) finishComplete() {
 	if b.reader.Unread() == 0 {
-		b.reader.Handled()
+		b.reader.MarkHandled()
 	}
-	b.conn.leave()
-	if !b.keep {
-		b.conn.pool.drop(b.conn, CloseLastAnswer)
+	b.conn.release()
+	if !b.keepConn {
+		b.conn.pool.closeReset(b.conn, CloseLastAnswer)
 	}
 }
 
-// valueCloseReason tells why a long value did not come whole.
+// valueCloseReason returns why a connection is closed on which a long value stayed incomplete.
 func valueCloseReason(err error) CloseReason {
 	if errors.Is(err, errAbandoned) {
 		return CloseValueAbandoned
@@ -102,24 +103,24 @@
 	return CloseValueFailed
 }
 
-// hand gives the body to whoever waits for the answer, if anybody still does, and waits for its end. It tells
-// whether the connection can be read on.
-func (b *body) hand() bool {
+// deliver passes the body to the caller that waits for the answer, if there still is one, and waits until the value
+// has ended. It reports whether the connection can still be read.
+func (b *streamBody) deliver() bool {
 	p := b.conn.pool
 	p.mu.Lock()
-	if b.out.abandoned || b.conn.dead {
-		b.conn.body = nil
-		if !b.out.abandoned {
-			b.out.done <- relay.Result{Status: hoptiller.Cancelled}
+	if b.call.abandoned || b.conn.closed {
+		b.conn.stream = nil
+		if !b.call.abandoned {
+			b.call.result <- relay.Result{Status: hoptiller.Cancelled}
 		}
-		p.closeConn(b.conn, hoptiller.Cancelled, CloseWithdrawn)
+		p.closeConn(b.conn, hoptiller.Cancelled, CloseCancelled)
 		p.mu.Unlock()
 		return false
 	}
-	b.out.done <- relay.Result{Status: hoptiller.OK, Body: b}
+	b.call.result <- relay.Result{Status: hoptiller.OK, Body: b}
 	p.mu.Unlock()
 	<-b.ended
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !b.conn.dead
+	return !b.conn.closed
 }
--- a/internal/upstream/body_test.go
+++ b/internal/upstream/body_test.go
@@ -14,13 +14,15 @@
 	"hoptiller/internal/testprog"
 )
 
-func ask(p *Pool, id string) relay.Result {
+// callServer makes an attempt at server 1 for a request with the given ID.
+func callServer(p *Pool, id string) relay.Result {
 	return p.Call(context.Background(), context.Background(), 1, &relay.Request{Key: []byte("k"), ID: []byte(id), Facts: []byte("c=read")})
 }
 
-// A call behind a long value can be given up but not ended, since the value would be cut off; later calls go elsewhere.
-// A value that is closed ends its connection, and one that nobody waits for any more does at once.
-func TestCallsBehindABody(t *testing.T) {
+// A call behind a long value can be cancelled, but its connection cannot be closed, since that would cut off the
+// value. Later calls use other connections. Closing a value ends its connection at once if nobody waits for the value
+// any more.
+func TestCallsBehindLongValue(t *testing.T) {
 	ended := make(chan bool, 9)
 	begin := make(chan bool)
 	p := serve(t, func(conn net.Conn, r *bufio.Reader) {
@@ -30,35 +32,35 @@
 			io.Copy(io.Discard, r)
 			return
 		}
-		r.ReadString('\n') // the one behind it
+		r.ReadString('\n') // the call behind it
 		<-begin
 		io.WriteString(conn, "VA 70000 O01\r\nab")
 		io.Copy(io.Discard, r)
 		ended <- true
 	})
 	results := make(chan relay.Result, 1)
-	go func() { results <- ask(p, "01") }()
-	until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) > 0 && len(s.conns[0].calls) == 1 })
+	go func() { results <- callServer(p, "01") }()
+	until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) > 0 && len(s.conns[0].pending) == 1 })
 	p.mu.Lock()
-	p.servers[1].typical = time.Hour // however slow the machine is, the first call is not overdue
+	p.servers[1].typicalLatency = time.Hour // however slow the machine is, the first call is not overdue
 	p.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	behind := make(chan relay.Result, 1)
 	go func() {
 		behind <- p.Call(ctx, ctx, 1, &relay.Request{Key: []byte("k"), ID: []byte("02"), Facts: []byte("c=read")})
 	}()
-	until(t, p, "two calls on it", func(s *server) bool { return len(s.conns[0].calls) == 2 })
-	testprog.Give(t, begin, true, "the word to begin")
+	until(t, p, "two calls on it", func(s *server) bool { return len(s.conns[0].pending) == 2 })
+	testprog.Give(t, begin, true, "the signal to answer")
 	r := testprog.Await(t, results, "head of the value")
 	if r.Body == nil {
 		t.Fatalf("%+v", r)
 	}
-	if r := ask(p, "03"); r.Status != hoptiller.Miss {
-		t.Errorf("a later call: %+v", r)
+	if r := callServer(p, "03"); r.Status != hoptiller.Miss {
+		t.Errorf("a later call ended with %+v", r)
 	}
 	cancel()
-	if b := testprog.Await(t, behind, "end of the call behind"); b.Status != hoptiller.Cancelled || b.End == nil || b.End() {
-		t.Errorf("the call behind: %+v", b)
+	if b := testprog.Await(t, behind, "end of the second call"); b.Status != hoptiller.Cancelled || b.Abort == nil || b.Abort() {
+		t.Errorf("the call behind the value ended with %+v", b)
 	}
 	select {
 	case <-ended:
@@ -69,6 +71,6 @@
 	r.Body.Close()
 	testprog.Await(t, ended, "end of the connection")
 	if err := r.Body.Copy(func([]byte) error { return nil }); err == nil {
-		t.Error("a closed value came whole")
+		t.Error("a closed value was copied completely")
 	}
 }
--- a/internal/upstream/closing.go
+++ b/internal/upstream/closing.go
@@ -10,27 +10,27 @@
 	"hoptiller/internal/relay"
 )
 
-// CloseReason is why a connection to a server was closed.
+// CloseReason is the reason for which a connection to a server was closed.
 type CloseReason uint8
 
 // The reasons for which a connection to a server is closed.
 const (
-	CloseServerEnded    CloseReason = iota // the server closed or reset it
-	CloseServerMoved                       // the list told the server with another address or start
-	CloseServerLeaving                     // the server is draining or gone, and nothing is out on the connection
+	CloseServerEnded    CloseReason = iota // the server closed or reset the connection
+	CloseServerMoved                       // the server is listed with another address or start time
+	CloseServerLeaving                     // the server is draining or removed, and no call is in flight on the connection
 	CloseIdleLimit                         // it was idle for nearly as long as servers keep idle connections
-	CloseIdleSurplus                       // it was idle, and one of more than the router keeps
-	CloseIdleSuspect                       // it was idle, and idle connections were found dead
-	CloseMadeRoom                          // it was idle, and its place was needed
-	CloseNotAtRest                         // it ended, or said something unasked, before a call was written
-	CloseUnreadable                        // something came on it that can't be read, or an answer stopped in its middle
-	CloseLastAnswer                        // the server said that this was its last answer
-	CloseWithdrawn                         // its last call was given up
-	CloseOverdue                           // one of its calls was given up for another attempt
+	CloseIdleSurplus                       // it was idle, and the router had more idle connections than it keeps
+	CloseIdleSuspect                       // it was idle, and other idle connections were found dead
+	CloseEvicted                           // it was idle, and was closed to allow a new connection
+	CloseNotQuiet                          // it ended, or unsolicited bytes arrived on it, before a call was written
+	CloseUnreadable                        // unreadable bytes arrived on it, or an answer stopped before its end
+	CloseLastAnswer                        // the server announced that this was its last answer on the connection
+	CloseCancelled                         // the last call on it was cancelled
+	CloseOverdue                           // a call on it was cancelled in favour of another attempt
 	CloseWriteFailed                       // a call could not be written
-	CloseValueFailed                       // a long value stopped, could not be read, or broke
-	CloseValueAbandoned                    // a long value was given up by the client's side
-	CloseShutdown                          // the router ends
+	CloseValueFailed                       // a long value stopped, was unreadable, or its connection broke
+	CloseValueAbandoned                    // the client's side abandoned a long value
+	CloseShutdown                          // the router shuts down
 	closeReasonCount
 )
 
@@ -39,62 +39,64 @@
 	"unreadable", "last_answer", "withdrawn", "overdue", "write_failed", "value_failed", "value_abandoned", "shutdown",
 }
 
-// String returns the reason as it is written in the log and the metrics.
+// String returns the reason as the log and the metrics show it.
 func (r CloseReason) String() string { return closeReasonNames[r] }
 
-// CloseReasons returns the names of all reasons, in their order.
+// CloseReasons returns the names of all reasons, in the order of their constants.
 func CloseReasons() []string { return slices.Clone(closeReasonNames[:]) }
 
-// mostLoggedIDs bounds the request ids that one log line names.
-const mostLoggedIDs = 8
+// maxLoggedIDs limits the number of request IDs in one log line.
+const maxLoggedIDs = 8
 
-// closeConn closes a connection; what is out on it ends with a status. p.mu is held.
+// closeConn closes a connection and ends the calls in flight on it with the given status. The caller holds p.mu.
 func (p *Pool) closeConn(c *conn, status hoptiller.Status, reason CloseReason) {
-	if c.dead {
+	if c.closed {
 		return
 	}
-	c.dead = true
-	p.tellClosed(c, reason)
+	c.closed = true
+	p.reportClosed(c, reason)
 	c.Close()
-	p.total--
+	p.connCount--
 	s := c.server
-	s.conns = slices.DeleteFunc(s.conns, func(o *conn) bool { return o == c })
-	for _, out := range c.calls {
-		out.done <- relay.Result{Status: status}
+	s.conns = slices.DeleteFunc(s.conns, func(other *conn) bool { return other == c })
+	for _, call := range c.pending {
+		call.result <- relay.Result{Status: status}
 	}
-	c.calls = nil
+	c.pending = nil
 }
 
-// tellClosed counts the end of a connection and logs it where requests hang on it. p.mu is held.
-func (p *Pool) tellClosed(c *conn, reason CloseReason) {
-	if p.set.Closed != nil {
-		p.set.Closed(reason)
+// reportClosed counts a closed connection, and logs it if requests depend on it. The caller holds p.mu.
+func (p *Pool) reportClosed(c *conn, reason CloseReason) {
+	if p.settings.Closed != nil {
+		p.settings.Closed(reason)
 	}
-	value := c.valueID()
-	waiting := c.waitingIDs()
+	value := c.streamedRequestID()
+	waiting := c.waitingRequestIDs()
 	if value == "" && len(waiting) == 0 {
 		return
 	}
 	args := []any{"server", c.host, "reason", reason.String(), "waiting", strings.Join(waiting, ",")}
 	if value != "" {
-		args = append(args, "value_of", value, "value_for", time.Since(c.body.out.sent).Round(time.Millisecond))
+		args = append(args, "value_of", value, "value_for", time.Since(c.stream.call.sentAt).Round(time.Millisecond))
 	}
 	slog.Info("server connection closed", args...)
 }
 
-// valueID names the request whose long value is on its way; empty: none is, or nobody waits for it.
-func (c *conn) valueID() string {
-	if c.body == nil || c.body.out.abandoned {
+// streamedRequestID returns the ID of the request whose long value is arriving on the connection. It is empty if
+// there is none, or if nobody waits for the value any more.
+func (c *conn) streamedRequestID() string {
+	if c.stream == nil || c.stream.call.abandoned {
 		return ""
 	}
-	return string(c.body.out.req.ID)
+	return string(c.stream.call.req.ID)
 }
 
-// waitingIDs names the requests that wait for their answers on the connection, the first few of them.
-func (c *conn) waitingIDs() (ids []string) {
-	for _, out := range c.calls {
-		if !out.abandoned && len(ids) < mostLoggedIDs {
-			ids = append(ids, string(out.req.ID))
+// waitingRequestIDs returns the IDs of the first requests, at most maxLoggedIDs, that wait for their answers on the
+// connection.
+func (c *conn) waitingRequestIDs() (ids []string) {
+	for _, call := range c.pending {
+		if !call.abandoned && len(ids) < maxLoggedIDs {
+			ids = append(ids, string(call.req.ID))
 		}
 	}
 	return ids
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -11,100 +11,102 @@
 	"hoptiller/internal/relay"
 )
 
-// conn is one connection. Its calls are answered in order.
+// conn is one connection to a server. The server answers calls in the order in which they were sent.
 type conn struct {
 	net.Conn
-	pool   *Pool
-	server *server
-	host   string    // its name
-	addr   string    // to which it was opened
-	opened time.Time // when it came up
-	reader *buffer.Reader
-	idleAt time.Time
+	pool         *Pool
+	server       *server
+	host         string    // the server's name
+	addr         string    // the address to which the connection was opened
+	opened       time.Time // when the connection was established
+	reader       *buffer.Reader
+	lastReleased time.Time // when a call left the connection last
 
-	write sync.Mutex // held while a call is queued and written
+	writeMu sync.Mutex // held while a call is queued and written
 
-	// Guarded by pool.mu.
-	load   int     // calls that are on it or about to be
-	calls  []*call // those that wait for their answer
-	body   *body   // a long value is on its way: until its end nothing behind it can be
-	ending bool    // some call on it was given up: it ends when the others have their answers
-	dead   bool
-	useful bool // something was answered on it
+	// The fields below are guarded by pool.mu.
+	load            int            // number of calls that use the connection or are about to
+	pending         []*pendingCall // calls that wait for their answers, in the order in which they were sent
+	stream          *streamBody    // the long value that is arriving; the answers behind it can be read only after its end
+	closeWhenUnused bool           // a call was cancelled: the connection is closed when the other calls have their answers
+	closed          bool
+	answered        bool // the server has answered a call on the connection
 }
 
-// call is one call that waits for its answer.
-type call struct {
+// pendingCall is one pendingCall that waits for its answer.
+type pendingCall struct {
 	req       *relay.Request
-	sent      time.Time
-	done      chan relay.Result // has room for the one result
-	abandoned bool
+	sentAt    time.Time
+	result    chan relay.Result // buffered for the one result
+	abandoned bool              // the caller no longer waits
 }
 
-// drop closes a connection whose other side has ended or broken it: what is out on it is reset.
-// p.mu is held.
-func (p *Pool) drop(c *conn, reason CloseReason) { p.closeConn(c, hoptiller.Reset, reason) }
+// closeReset closes a connection that the server has closed or broken, or that is no longer used. The calls in flight
+// on it end as Reset. The caller holds p.mu.
+func (p *Pool) closeReset(c *conn, reason CloseReason) { p.closeConn(c, hoptiller.Reset, reason) }
 
-// failUnreadable ends a connection on which something has come that can't be read. The server did answer the
-// first call, which may have run. Those behind it end by this router's choice and no fault of theirs.
-// p.mu is held.
+// failUnreadable closes a connection on which unreadable bytes arrived. The server did answer the first call, which
+// may have run and ends as ServerError. The calls behind it end as Cancelled: this router closes the connection, and
+// they are not at fault. The caller holds p.mu.
 func (p *Pool) failUnreadable(c *conn) {
-	calls := c.calls
-	if len(calls) > 0 {
-		c.calls = calls[1:]
+	pending := c.pending
+	if len(pending) > 0 {
+		c.pending = pending[1:]
 	}
-	p.closeConn(c, hoptiller.Cancelled, CloseUnreadable) // first: as long as it is open, a call on it counts as out
-	if len(calls) > 0 {
-		calls[0].done <- relay.Result{Status: hoptiller.ServerError}
+	p.closeConn(c, hoptiller.Cancelled, CloseUnreadable) // comes first: while the connection is open, its calls count as in flight
+	if len(pending) > 0 {
+		pending[0].result <- relay.Result{Status: hoptiller.ServerError}
 	}
 }
 
-// abandon gives a call up, unless its answer has come meanwhile. Only the end of its connection tells the
-// server, and that ends all calls on it; so where there are others, the connection only takes no more
-// calls, and ends with the last of them. A router that wants to call again must not wait for that: until
-// then the call counts as still out.
-func (p *Pool) abandon(c *conn, out *call) (r relay.Result, ended bool) {
+// abandon cancels a call, unless its answer has arrived meanwhile. Only the end of the connection notifies the
+// server, and that ends all calls on the connection. If there are other calls, the connection therefore only takes no
+// more calls, and is closed when the last of them has ended. Until then the cancelled call counts as in flight. A
+// router that wants to make another attempt must not wait for that: it calls the result's Abort.
+func (p *Pool) abandon(c *conn, call *pendingCall) (r relay.Result, answered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case r = <-out.done:
+	case r = <-call.result:
 		return r, true
 	default:
 	}
-	// Its answer may still come, when the request's buffer has gone back to the pool.
-	req := *out.req
-	req.ID = bytes.Clone(req.ID)
-	out.req, out.abandoned = &req, true
-	c.ending = true
-	if c.dropIfUnused(); c.dead {
+	// The answer may still arrive after the buffer that holds the request has been returned to its pool.
+	request := *call.req
+	request.ID = bytes.Clone(request.ID)
+	call.req, call.abandoned = &request, true
+	c.closeWhenUnused = true
+	if c.closeIfUnused(); c.closed {
 		return r, false
 	}
-	r.End = func() bool {
+	r.Abort = func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if c.body != nil { // that one's client has begun to get it
+		if c.stream != nil { // the client of that value has begun to receive it
 			return false
 		}
-		p.closeConn(c, hoptiller.Cancelled, CloseOverdue) // the neighbours too, by no fault of the server's
+		// This also ends the other calls on the connection, for which the server is not at fault.
+		p.closeConn(c, hoptiller.Cancelled, CloseOverdue)
 		return true
 	}
 	return r, false
 }
 
-// dropIfUnused ends a connection that is to end once nobody waits for anything on it. p.mu is held.
-func (c *conn) dropIfUnused() {
-	if c.body != nil {
+// closeIfUnused closes a connection once nobody waits for anything on it, if a call on it was cancelled or its server
+// takes no new calls. The caller holds p.mu.
+func (c *conn) closeIfUnused() {
+	if c.stream != nil {
 		return
 	}
-	for _, out := range c.calls {
-		if !out.abandoned {
+	for _, call := range c.pending {
+		if !call.abandoned {
 			return
 		}
 	}
 	switch {
-	case c.ending:
-		c.pool.drop(c, CloseWithdrawn)
+	case c.closeWhenUnused:
+		c.pool.closeReset(c, CloseCancelled)
 	case c.server.Phase != hoptiller.Ready:
-		c.pool.drop(c, CloseServerLeaving)
+		c.pool.closeReset(c, CloseServerLeaving)
 	}
 }
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -14,21 +14,22 @@
 	"hoptiller/internal/testprog"
 )
 
-// lines hands over each line that comes on a listener's connections, and answers none.
-func lines(l net.Listener) <-chan string {
-	came := make(chan string, 100)
+// readLines returns the readLines that arrive on the connections of a listener, and "closed" at the end of each
+// connection. It answers none.
+func readLines(l net.Listener) <-chan string {
+	received := make(chan string, 100)
 	testprog.Accept(l, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
 		for text, err := r.ReadString('\n'); err == nil; text, err = r.ReadString('\n') {
-			came <- text
+			received <- text
 		}
-		came <- "closed"
+		received <- "closed"
 	})
-	return came
+	return received
 }
 
-// late makes a pool that knows one server, to which a connection comes up only once listen is called.
-func late(t *testing.T) (p *Pool, listen func() net.Listener) {
+// lateServer returns a pool that knows one server, to which connections are established only once listen is called.
+func lateServer(t *testing.T) (p *Pool, listen func() net.Listener) {
 	addr, listen := testprog.Late(t)
 	p = New(Settings{Share: 4, MostConns: 4, MostCalls: 100, ConnectTimeout: 20 * time.Second}, Meta{})
 	p.Update(entry(addr, hoptiller.Ready), false)
@@ -36,45 +37,46 @@
 	return p, listen
 }
 
-// named is a read that can be told from others.
-func named(id string) *relay.Request {
+// readRequest returns a read request with the given ID.
+func readRequest(id string) *relay.Request {
 	return &relay.Request{Key: []byte("k"), ID: []byte(id), Facts: []byte("c=read")}
 }
 
-// Crossing: a client leaves, or the window for its repeat closes, while the connection to the server is still coming up. The
-// call ends at once and is never written. The connection comes up all the same, and the next call goes out on it.
+// A race: the client disconnects, or the retry window closes, while the connection to the server is still being
+// opened. The call ends at once and is never written. The connection is opened all the same, and the next call uses
+// it.
 func TestDialOutlivesItsCall(t *testing.T) {
 	t.Parallel()
-	errWindow := errors.New("window")
-	for name, end := range map[string]func() (context.Context, context.CancelFunc){
-		"client leaves": func() (context.Context, context.CancelFunc) { return context.WithCancel(t.Context()) },
-		"window closes": func() (context.Context, context.CancelFunc) {
+	errRetryWindow := errors.New("window")
+	for name, newContext := range map[string]func() (context.Context, context.CancelFunc){
+		"client disconnects": func() (context.Context, context.CancelFunc) { return context.WithCancel(t.Context()) },
+		"retry window closes": func() (context.Context, context.CancelFunc) {
 			ctx, cancel := context.WithCancelCause(t.Context())
-			return ctx, func() { cancel(errWindow) }
+			return ctx, func() { cancel(errRetryWindow) }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, listen := late(t)
-			begin, leave := end()
-			given := make(chan relay.Result, 1)
-			go func() { given <- p.Call(begin, t.Context(), 1, named("01")) }()
-			until(t, p, "a connection is coming up", func(s *server) bool { return s.dialing == 1 })
-			leave()
-			if r := testprog.Await(t, given, "end of the call"); r.Status != hoptiller.Moot {
-				t.Errorf("the call ends as %d", r.Status)
+			p, listen := lateServer(t)
+			sendCtx, cancelSend := newContext()
+			result := make(chan relay.Result, 1)
+			go func() { result <- p.Call(sendCtx, t.Context(), 1, readRequest("01")) }()
+			until(t, p, "a connection is being opened", func(s *server) bool { return s.dialing == 1 })
+			cancelSend()
+			if r := testprog.Await(t, result, "end of the call"); r.Status != hoptiller.Moot {
+				t.Errorf("the call ended with status %d", r.Status)
 			}
-			came := lines(listen())
-			until(t, p, "the connection is up and idle", func(s *server) bool { return len(s.conns) == 1 && s.conns[0].load == 0 })
+			received := readLines(listen())
+			until(t, p, "the connection is open and idle", func(s *server) bool { return len(s.conns) == 1 && s.conns[0].load == 0 })
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			go p.Call(ctx, ctx, 1, named("02"))
-			for text := range came {
-				if text == "closed" { // what had filled the queue
+			go p.Call(ctx, ctx, 1, readRequest("02"))
+			for text := range received {
+				if text == "closed" { // a connection that had filled the listener's queue
 					continue
 				}
 				if text != "mg k v O02 Pc=read\r\n" {
-					t.Errorf("first came %q", text)
+					t.Errorf("the first line is %q", text)
 				}
 				break
 			}
@@ -82,9 +84,9 @@
 	}
 }
 
-// resting makes a pool with one connection on which a call has had its answer, and which nobody reads. The server's side of it
-// is handed over as well.
-func resting(t *testing.T) (p *Pool, c *conn, server net.Conn) {
+// idleConn returns a pool with one connection on which a call has been answered and that no goroutine reads, and the
+// server's side of that connection.
+func idleConn(t *testing.T) (p *Pool, c *conn, server net.Conn) {
 	l := testprog.Listen(t)
 	p = New(Settings{Share: 4, MostConns: 4, MostCalls: 100, ConnectTimeout: time.Second}, Meta{})
 	t.Cleanup(p.Close)
@@ -103,189 +105,192 @@
 		t.Fatal(err)
 	}
 	s := p.servers[1]
-	c = &conn{Conn: nc, pool: p, server: s, reader: reader, useful: true, load: 1}
-	p.total, s.conns = 1, []*conn{c}
+	c = &conn{Conn: nc, pool: p, server: s, reader: reader, answered: true, load: 1}
+	p.connCount, s.conns = 1, []*conn{c}
 	return p, c, server
 }
 
-// Crossing: the other side closes a resting connection, resets it or says half a line on it in the moment in which a call is
-// to be written. Nothing is written there, and the call may go elsewhere.
-func TestRestingConnectionEnds(t *testing.T) {
+// A race: the peer closes or resets an idle connection, or sends half a line on it, just when a call is about to be
+// written. Nothing is written, and the call may use another connection.
+func TestIdleConnectionEnds(t *testing.T) {
 	t.Parallel()
-	for name, end := range map[string]func(*net.TCPConn) error{
+	for name, disturb := range map[string]func(*net.TCPConn) error{
 		"closed":      (*net.TCPConn).CloseWrite,
 		"reset":       func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) },
 		"half a line": func(c *net.TCPConn) error { _, err := c.Write([]byte("EN O0")); return err },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, c, server := resting(t)
-			if err := end(server.(*net.TCPConn)); err != nil {
+			p, c, server := idleConn(t)
+			if err := disturb(server.(*net.TCPConn)); err != nil {
 				t.Fatal(err)
 			}
-			testprog.Until(t, "the end has come", func() bool { return !c.reader.Resting() })
-			sent, status := c.send(t.Context(), t.Context(), &call{req: named("01"), done: make(chan relay.Result, 1)})
-			if sent || status != hoptiller.OK || !c.dead || p.total != 0 {
-				t.Errorf("sent %v, status %d, dead %v, %d connections", sent, status, c.dead, p.total)
+			testprog.Until(t, "the end or the bytes have arrived", func() bool { return !c.reader.Quiet() })
+			sent, status := c.send(t.Context(), t.Context(), &pendingCall{req: readRequest("01"), result: make(chan relay.Result, 1)})
+			if sent || status != hoptiller.OK || !c.closed || p.connCount != 0 {
+				t.Errorf("sent %v, status %d, dead %v, %d connections", sent, status, c.closed, p.connCount)
 			}
 			if n, err := server.Read(make([]byte, 100)); n > 0 {
-				t.Errorf("%d bytes came after all, %v", n, err)
+				t.Errorf("the server received %d bytes, %v", n, err)
 			}
 		})
 	}
 }
 
-// Crossing: a second answer is read from a connection just before the next call is written to it. It is not that call's, which
-// may have run.
+// A race: a second answer is read from a connection just before the next call is written to it. It does not belong to
+// that call, which may have run.
 func TestAnswerReadBeforeItsCall(t *testing.T) {
 	t.Parallel()
-	p, c, server := resting(t)
+	p, c, server := idleConn(t)
 	p.mu.Lock()
-	go c.read()
+	go c.readLoop()
 	if _, err := server.Write([]byte("EN O01\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	testprog.Until(t, "the answer has been read", func() bool { // and its reader waits for the lock; until then the last look sees it
-		return !c.reader.Resting() && !c.reader.Waiting()
+	testprog.Until(t, "the answer has been read", func() bool { // readLoop then waits for p.mu; until then the final check sees the bytes
+		return !c.reader.Quiet() && !c.reader.Waiting()
 	})
-	out := &call{req: named("01"), done: make(chan relay.Result, 1), sent: time.Now()}
-	c.calls = append(c.calls, out)
+	call := &pendingCall{req: readRequest("01"), result: make(chan relay.Result, 1), sentAt: time.Now()}
+	c.pending = append(c.pending, call)
 	p.mu.Unlock()
-	if r := testprog.Await(t, out.done, "end of the call"); r.Status != hoptiller.Reset {
-		t.Errorf("the call ends as %d", r.Status)
+	if r := testprog.Await(t, call.result, "end of the call"); r.Status != hoptiller.Reset {
+		t.Errorf("the call ended with status %d", r.Status)
 	}
 }
 
-// Where all of a call's time goes by without a connection, that is the server's.
+// If all of a call's time passes without a connection, the server is to blame.
 func TestNoConnectionInTime(t *testing.T) {
 	t.Parallel()
-	p, _ := late(t)
+	p, _ := lateServer(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if r := p.Call(ctx, ctx, 1, read); r.Status != hoptiller.ConnectFailed {
-		t.Errorf("the call ends as %d", r.Status)
+	if r := p.Call(ctx, ctx, 1, exampleRead); r.Status != hoptiller.ConnectFailed {
+		t.Errorf("the call ended with status %d", r.Status)
 	}
 }
 
-// Crossing: a client leaves, or a drain is told, when its call has a connection and waits for another call to be written.
-func TestLastLook(t *testing.T) {
+// A race: the client disconnects, or discovery lists the server as draining, when the call has its connection and
+// waits there for another call to be written.
+func TestFinalCheck(t *testing.T) {
 	t.Parallel()
-	for name, drain := range map[string]bool{"client leaves": false, "drain is told": true} {
+	for name, drains := range map[string]bool{"client disconnects": false, "server drains": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := testprog.Listen(t)
-			came := lines(l)
+			received := readLines(l)
 			p := New(Settings{Share: 4, MostConns: 1, MostCalls: 100, ConnectTimeout: time.Second}, Meta{})
 			t.Cleanup(p.Close)
 			p.Update(entry(l.Addr().String(), hoptiller.Ready), false)
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			go p.Call(ctx, ctx, 1, named("01"))
-			testprog.Await(t, came, "first call")
+			go p.Call(ctx, ctx, 1, readRequest("01"))
+			testprog.Await(t, received, "first call")
 			var c *conn
-			until(t, p, "it is out", func(s *server) bool { c = s.conns[0]; return c.load == 1 })
-			c.write.Lock() // as another call does while it is written
-			begin, leave := context.WithCancel(t.Context())
-			given := make(chan relay.Result, 1)
-			go func() { given <- p.Call(begin, ctx, 1, named("02")) }()
+			until(t, p, "the first call is in flight", func(s *server) bool { c = s.conns[0]; return c.load == 1 })
+			c.writeMu.Lock() // as another call does while it is written
+			sendCtx, disconnect := context.WithCancel(t.Context())
+			result := make(chan relay.Result, 1)
+			go func() { result <- p.Call(sendCtx, ctx, 1, readRequest("02")) }()
 			until(t, p, "the second call has its connection", func(s *server) bool { return c.load == 2 })
-			defer leave()
-			if drain {
+			defer disconnect()
+			if drains {
 				p.Update(entry(l.Addr().String(), hoptiller.Draining), false)
 			} else {
-				leave()
+				disconnect()
 			}
-			c.write.Unlock()
-			if r := testprog.Await(t, given, "end of the call"); r.Status != hoptiller.Moot {
-				t.Errorf("the call ends as %d", r.Status)
+			c.writeMu.Unlock()
+			if r := testprog.Await(t, result, "end of the call"); r.Status != hoptiller.Moot {
+				t.Errorf("the call ended with status %d", r.Status)
 			}
 			stop()
-			if text := testprog.Await(t, came, "end of the connection"); text != "closed" {
-				t.Errorf("%q came after all", text)
+			if text := testprog.Await(t, received, "end of the connection"); text != "closed" {
+				t.Errorf("the server received %q", text)
 			}
 		})
 	}
 }
 
-// Crossing: a call's time ends as its last byte is written, so that the end of its time may still move the connection's write
-// deadline when the next call is written. No call goes out there any more; one that waits for its answer gets it.
-func TestWriteDeadlineOfAnEndedCall(t *testing.T) {
+// A race: a call's ctx ends while the call's last byte is written, so that the end of the ctx may still set the
+// connection's write deadline when the next call is written. The connection takes no more calls, but a call that
+// waits for its answer still gets it.
+func TestWriteDeadlineOfEndedCall(t *testing.T) {
 	t.Parallel()
-	p, c, _ := resting(t)
+	p, c, _ := idleConn(t)
 	c.load = 2
-	waits := &call{req: named("01"), done: make(chan relay.Result, 1), sent: time.Now()}
-	c.calls = []*call{waits}
-	c.stopped(true)
-	if c.ending {
-		t.Error("a call that was written in time ends its connection")
+	waiting := &pendingCall{req: readRequest("01"), result: make(chan relay.Result, 1), sentAt: time.Now()}
+	c.pending = []*pendingCall{waiting}
+	c.afterWrite(true)
+	if c.closeWhenUnused {
+		t.Error("a call that was written in time closes its connection")
 	}
-	c.stopped(false)
-	sent, status := c.send(t.Context(), t.Context(), &call{req: named("02"), done: make(chan relay.Result, 1)})
-	if sent || status != hoptiller.OK || c.dead {
-		t.Errorf("another call: sent %v, status %d, connection dead %v", sent, status, c.dead)
+	c.afterWrite(false)
+	sent, status := c.send(t.Context(), t.Context(), &pendingCall{req: readRequest("02"), result: make(chan relay.Result, 1)})
+	if sent || status != hoptiller.OK || c.closed {
+		t.Errorf("another call: sent %v, status %d, connection dead %v", sent, status, c.closed)
 	}
 	p.mu.Lock()
-	c.calls = nil
-	c.leave()
+	c.pending = nil
+	c.release()
 	p.mu.Unlock()
-	if !c.dead {
-		t.Error("the connection stays when its last call has its answer")
+	if !c.closed {
+		t.Error("the connection is still open after its last call was answered")
 	}
 }
 
-// overAfterItsLook is a context whose time is up right after it was looked at for the first time.
-type overAfterItsLook struct {
+// expiringContext is a context whose deadline passes right after it was checked for the first time.
+type expiringContext struct {
 	context.Context
-	looks int
+	checks int
 }
 
-func (o *overAfterItsLook) Deadline() (time.Time, bool) {
-	if o.looks++; o.looks == 1 {
+func (c *expiringContext) Deadline() (time.Time, bool) {
+	if c.checks++; c.checks == 1 {
 		return time.Now().Add(time.Hour), true
 	}
 	return time.Now().Add(-time.Hour), true
 }
 
-// Crossing: a call's time is up between the last look and its first byte. Nothing of it is written, and what others have out on the
-// connection goes on.
-func TestCallOverBeforeItsFirstByte(t *testing.T) {
+// A race: a call's time runs out between the final check and the call's first byte. Nothing of the call is written,
+// and the other calls on the connection continue.
+func TestDeadlineBeforeFirstByte(t *testing.T) {
 	t.Parallel()
-	p, c, _ := resting(t)
-	waits := &call{req: named("01"), done: make(chan relay.Result, 1), sent: time.Now()}
+	p, c, _ := idleConn(t)
+	waiting := &pendingCall{req: readRequest("01"), result: make(chan relay.Result, 1), sentAt: time.Now()}
 	p.mu.Lock()
-	c.load, c.calls = 2, []*call{waits}
+	c.load, c.pending = 2, []*pendingCall{waiting}
 	p.mu.Unlock()
-	begin := &overAfterItsLook{Context: t.Context()}
-	sent, status := c.send(begin, t.Context(), &call{req: named("02"), done: make(chan relay.Result, 1)})
-	if sent || status == hoptiller.OK || begin.looks < 2 {
-		t.Errorf("the call: sent %v, status %d, after %d looks", sent, status, begin.looks)
+	sendCtx := &expiringContext{Context: t.Context()}
+	sent, status := c.send(sendCtx, t.Context(), &pendingCall{req: readRequest("02"), result: make(chan relay.Result, 1)})
+	if sent || status == hoptiller.OK || sendCtx.checks < 2 {
+		t.Errorf("sent %v, status %d, after %d checks", sent, status, sendCtx.checks)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.dead || len(c.calls) != 1 || c.calls[0] != waits || len(waits.done) > 0 {
-		t.Errorf("connection dead %v, %d calls on it, %d ended", c.dead, len(c.calls), len(waits.done))
+	if c.closed || len(c.pending) != 1 || c.pending[0] != waiting || len(waiting.result) > 0 {
+		t.Errorf("connection dead %v, %d calls on it, %d ended", c.closed, len(c.pending), len(waiting.result))
 	}
 }
 
-// Crossing: a long value's connection ends between its head and its hand-over. Its call ends at once, and not when its time is up.
-func TestLongValueOnAnEndedConnection(t *testing.T) {
+// A race: the connection of a long value ends between the value's head and the moment when the value is delivered.
+// The call ends at once, and not at its deadline.
+func TestLongValueOnEndedConnection(t *testing.T) {
 	t.Parallel()
-	p, c, _ := resting(t)
-	out := &call{req: named("01"), done: make(chan relay.Result, 1), sent: time.Now()}
-	b := &body{conn: c, out: out, ended: make(chan struct{})}
+	p, c, _ := idleConn(t)
+	call := &pendingCall{req: readRequest("01"), result: make(chan relay.Result, 1), sentAt: time.Now()}
+	body := &streamBody{conn: c, call: call, ended: make(chan struct{})}
 	p.mu.Lock()
-	c.body = b
+	c.stream = body
 	p.closeConn(c, hoptiller.Reset, CloseServerEnded)
 	p.mu.Unlock()
-	if b.hand() {
-		t.Error("the connection is read on")
+	if body.deliver() {
+		t.Error("the closed connection counts as readable")
 	}
 	select {
-	case r := <-out.done:
+	case r := <-call.result:
 		if r.Status != hoptiller.Cancelled || r.Body != nil {
-			t.Errorf("the call ends as %d, with body %v", r.Status, r.Body)
+			t.Errorf("the call ended with status %d and body %v", r.Status, r.Body)
 		}
 	default:
-		t.Error("the call waits for its deadline")
+		t.Error("the call has not ended")
 	}
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -11,58 +11,60 @@
 	"hoptiller/internal/buffer"
 )
 
-// errMoved tells that the server has started anew while a connection to it came up.
-var errMoved = errors.New("server has moved")
+// errMoved reports that the server moved or restarted while a connection to it was being opened.
+var errMoved = errors.New("server moved or restarted while the connection was opened")
 
-// dial is a connection that is being opened. It outlives the call that it was opened for: a handshake that is given up
-// costs the server as much, and what comes up late is there for the next call.
+// dial is a connection that is being opened. It continues when the call for which it was opened is cancelled: an
+// aborted handshake costs the server as much as a completed one, and a connection that is established late serves the
+// next call.
 type dial struct {
-	done chan struct{} // closed when it has ended
-	err  error         // then; nil: it is up
-	conn *conn         // if it is up
-	left bool          // the call has gone elsewhere
+	done      chan struct{} // closed when the dial has ended
+	err       error         // valid when done is closed; nil: the connection is established
+	conn      *conn         // the connection, if it is established
+	abandoned bool          // the call no longer waits for the connection
 }
 
-// notBegun is how a call ends whose time to begin is over. The server is to blame only where all of the call's time went
-// by without a connection.
-func notBegun(begin context.Context) hoptiller.Status {
-	if errors.Is(context.Cause(begin), context.DeadlineExceeded) {
+// unsentStatus returns the status of a call whose sendCtx was done before the call was sent. The server is to blame
+// only if all of the call's time passed without a connection.
+func unsentStatus(sendCtx context.Context) hoptiller.Status {
+	if errors.Is(context.Cause(sendCtx), context.DeadlineExceeded) {
 		return hoptiller.ConnectFailed
 	}
 	return hoptiller.Moot
 }
 
-// open opens a connection for a call and counts the call as on it. p.mu is held, but not while it waits.
-func (p *Pool) open(begin context.Context, s *server) (*conn, hoptiller.Status) {
+// openConn opens a connection for a call and counts the call on it. The caller holds p.mu, which is released while
+// openConn waits.
+func (p *Pool) openConn(sendCtx context.Context, s *server) (*conn, hoptiller.Status) {
 	if p.ctx.Err() != nil {
 		return nil, hoptiller.Moot
 	}
 	d := &dial{done: make(chan struct{})}
 	addr, started := s.Addr, s.Started
 	s.dialing++
-	p.total++
-	p.dials.Go(func() { p.dial(d, s, addr, started) })
+	p.connCount++
+	p.runningDials.Go(func() { p.runDial(d, s, addr, started) })
 	p.mu.Unlock()
 	select {
 	case <-d.done:
-	case <-begin.Done():
+	case <-sendCtx.Done():
 	}
 	p.mu.Lock()
 	switch {
-	case begin.Err() != nil:
-		if d.left = true; d.conn != nil {
-			d.conn.leave()
+	case sendCtx.Err() != nil:
+		if d.abandoned = true; d.conn != nil {
+			d.conn.release()
 		}
-		return nil, notBegun(begin)
+		return nil, unsentStatus(sendCtx)
 	case d.err != nil:
 		return nil, hoptiller.ConnectFailed
 	}
 	return d.conn, hoptiller.OK
 }
 
-// dial opens a connection to where a process of the server was.
-func (p *Pool) dial(d *dial, s *server, addr string, started time.Duration) {
-	dialer := net.Dialer{Timeout: p.set.ConnectTimeout, KeepAlive: -1}
+// runDial opens a connection to the address at which a server's process, with the given start time, was listed.
+func (p *Pool) runDial(d *dial, s *server, addr string, started time.Duration) {
+	dialer := net.Dialer{Timeout: p.settings.ConnectTimeout, KeepAlive: -1}
 	nc, err := dialer.DialContext(p.ctx, "tcp", addr)
 	var reader *buffer.Reader
 	if err == nil {
@@ -82,12 +84,12 @@
 	if d.err = err; err == nil {
 		c := &conn{Conn: nc, pool: p, server: s, host: s.Name, addr: addr, opened: time.Now(), reader: reader, load: 1}
 		d.conn, s.conns = c, append(s.conns, c)
-		go c.read()
-		if d.left {
-			c.leave()
+		go c.readLoop()
+		if d.abandoned {
+			c.release()
 		}
 	} else {
-		p.total--
+		p.connCount--
 		if nc != nil {
 			nc.Close()
 		}
@@ -96,28 +98,29 @@
 	s.dialEnded(err)
 }
 
-// dialEnded takes a connection off those that are being opened, and tells who waits for one. The pool's mu is held.
+// dialEnded records that a dial has ended and notifies the calls that wait for one. The caller holds the pool's mu.
 func (s *server) dialEnded(err error) {
 	s.dialing--
-	if next := s.next; next != nil {
-		s.next, next.err = nil, err
+	if next := s.nextDial; next != nil {
+		s.nextDial, next.err = nil, err
 		close(next.done)
 	}
 }
 
-// awaitDial waits until a connection to a server has come up, or tells why it did not: another one would hardly. It
-// takes ConnectTimeout at the most. p.mu is held, but not while it waits.
-func (p *Pool) awaitDial(begin context.Context, s *server) error {
-	if s.next == nil {
-		s.next = &dial{done: make(chan struct{})}
+// awaitDial waits until a dial to the server has ended and returns the error of that dial, because another dial would
+// hardly succeed where that one failed. It waits at most ConnectTimeout. The caller holds p.mu, which is released
+// during the wait.
+func (p *Pool) awaitDial(sendCtx context.Context, s *server) error {
+	if s.nextDial == nil {
+		s.nextDial = &dial{done: make(chan struct{})}
 	}
-	next := s.next
+	next := s.nextDial
 	p.mu.Unlock()
 	defer p.mu.Lock()
 	select {
 	case <-next.done:
 		return next.err
-	case <-begin.Done():
-		return begin.Err()
+	case <-sendCtx.Done():
+		return sendCtx.Err()
 	}
 }
--- a/internal/upstream/dial_timeout_test.go
+++ b/internal/upstream/dial_timeout_test.go
@@ -9,22 +9,22 @@
 	"hoptiller/internal/testprog"
 )
 
-// A connection that never comes up is given up after the time that the settings give for it, long before its call's time is over:
-// the call ends as one that could not connect, and nothing of the connection is left.
-func TestConnectionThatNeverComesUp(t *testing.T) {
+// A connection that is never established is given up after ConnectTimeout, long before the call's time is over. The
+// call ends with ConnectFailed, and nothing remains of the connection.
+func TestDialTimeout(t *testing.T) {
 	t.Parallel()
 	addr, _ := testprog.Late(t)
 	p := New(Settings{Share: 4, MostConns: 4, MostCalls: 100, ConnectTimeout: 50 * time.Millisecond}, Meta{})
 	t.Cleanup(p.Close)
 	p.Update(entry(addr, hoptiller.Ready), false)
 	ended := make(chan relay.Result, 1)
-	go func() { ended <- p.Call(t.Context(), t.Context(), 1, named("01")) }()
+	go func() { ended <- p.Call(t.Context(), t.Context(), 1, readRequest("01")) }()
 	if r := testprog.Await(t, ended, "end of the call"); r.Status != hoptiller.ConnectFailed {
-		t.Errorf("the call ends as %d", r.Status)
+		t.Errorf("the call ended with status %d", r.Status)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s := p.servers[1]; s.dialing != 0 || p.total != 0 || len(s.conns) != 0 {
-		t.Errorf("%d connections are coming up, %d count, %d are open", s.dialing, p.total, len(s.conns))
+	if s := p.servers[1]; s.dialing != 0 || p.connCount != 0 || len(s.conns) != 0 {
+		t.Errorf("%d dials in progress, %d connections counted, %d open", s.dialing, p.connCount, len(s.conns))
 	}
 }
--- a/internal/upstream/find.go
+++ b/internal/upstream/find.go
@@ -7,109 +7,112 @@
 	"hoptiller"
 )
 
-// A connection whose first call has waited for overdue typical times, and for overdueLeast, gets no more
-// calls while there is another way: it may have fallen silent, and whatever is behind that call waits too.
+// A connection whose first call has waited for overdueFactor typical latencies, and for minOverdue, gets no more
+// calls while there is an alternative. The server may have stopped answering on it, and whatever is queued behind
+// that call waits too.
 const (
-	overdue      = 8
-	overdueLeast = 20 * time.Millisecond
-	overdueMost  = 2 // connections that may be so before it takes a later call's answer to tell them from a slow server
+	overdueFactor   = 8
+	minOverdue      = 20 * time.Millisecond
+	maxOverdueConns = 2 // with more, another one is opened only if a later call was answered: the server may be slow
 )
 
-// connect finds a connection for a call and counts the call as on it: one that is idle, else the
-// one with the fewest calls, else a new one. A new one costs the server as much work as a good part of a
-// call does, and its first call two round trips, which is more than a short wait behind another call.
-// Without a connection it tells why.
-func (p *Pool) connect(begin context.Context, id uint32) (*conn, hoptiller.Status) {
+// acquireConn finds a connection for a call and counts the call on it. It prefers an idle connection, then the
+// connection with the fewest calls, then a new one. A new connection costs the server a good part of the work of a
+// call, and delays its first call by two round trips, which is longer than a short wait behind another call. If there
+// is no connection, the status says why.
+func (p *Pool) acquireConn(sendCtx context.Context, id uint32) (*conn, hoptiller.Status) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var s *server
 	var c *conn
-	var full bool
+	var atLimit bool
 	for {
 		if s = p.servers[id]; s == nil || s.Phase != hoptiller.Ready {
 			return nil, hoptiller.Moot
 		}
-		c = p.idle(s)
-		full = len(s.conns)+s.dialing >= p.set.MostConns
-		if c == nil && !full && p.set.MostTotal > 0 && p.total >= p.set.MostTotal {
-			full = !p.makeRoom()
+		c = p.takeIdle(s)
+		atLimit = len(s.conns)+s.dialing >= p.settings.MostConns
+		if c == nil && !atLimit && p.settings.MostTotal > 0 && p.connCount >= p.settings.MostTotal {
+			atLimit = !p.evictIdle()
 		}
-		if c == nil && full {
-			full = !p.dropResting(s)
+		if c == nil && atLimit {
+			atLimit = !p.evictCooling(s)
 		}
 		if c == nil {
-			c = s.leastBusy(time.Now(), full)
+			c = s.leastBusy(time.Now(), atLimit)
 		}
-		if c != nil || !full || s.dialing == 0 {
+		if c != nil || !atLimit || s.dialing == 0 {
 			break
 		}
-		// All that may be are still coming up, as when many call a new server at once: none is there to share yet.
-		if err := p.awaitDial(begin, s); begin.Err() != nil {
-			return nil, notBegun(begin)
+		// All allowed connections are still being opened, for example when many calls reach a new server at once.
+		// There is none to share yet.
+		if err := p.awaitDial(sendCtx, s); sendCtx.Err() != nil {
+			return nil, unsentStatus(sendCtx)
 		} else if err != nil {
 			return nil, hoptiller.ConnectFailed
 		}
 	}
 	switch {
-	case full && (c == nil || c.load >= p.set.MostCalls):
+	case atLimit && (c == nil || c.load >= p.settings.MostCalls):
 		return nil, hoptiller.ConnectFailed
-	case !full && (c == nil || c.load >= p.share()):
-		return p.open(begin, s)
+	case !atLimit && (c == nil || c.load >= p.callsPerConn()):
+		return p.openConn(sendCtx, s)
 	}
 	c.load++
 	return c, hoptiller.OK
 }
 
-// share is how many calls share a connection before another one is opened. While there are long values none do:
-// whatever waits behind one would wait for its client too.
-func (p *Pool) share() int {
-	if !p.longAt.IsZero() && time.Since(p.longAt) < longLately {
+// callsPerConn returns how many calls callsPerConn a connection before another one is opened. While long values arrive,
+// calls callsPerConn no connection: a call behind a long value would also wait for the client of that value.
+func (p *Pool) callsPerConn() int {
+	if !p.lastLongValue.IsZero() && time.Since(p.lastLongValue) < unsharedTime {
 		return 1
 	}
-	return p.set.Share
+	return p.settings.Share
 }
 
-// makeRoom closes the connection that has been idle longest, of any server. p.mu is held.
-func (p *Pool) makeRoom() bool {
+// evictIdle closes the connection that has been idle longest, to any server, and reports whether there was one. The
+// caller holds p.mu.
+func (p *Pool) evictIdle() bool {
 	var oldest *conn
 	for _, s := range p.servers {
 		for _, c := range s.conns {
-			if c.load == 0 && (oldest == nil || c.idleAt.Before(oldest.idleAt)) {
+			if c.load == 0 && (oldest == nil || c.lastReleased.Before(oldest.lastReleased)) {
 				oldest = c
 			}
 		}
 	}
 	if oldest != nil {
-		p.drop(oldest, CloseMadeRoom)
+		p.closeReset(oldest, CloseEvicted)
 	}
 	return oldest != nil
 }
 
-// observe notes that a server has no process, since it refused a connection or ended one before it answered anything, or that it
-// has answered again. p.mu is held.
+// observe records whether a server has a process: it has none if it refused a connection or closed one before it
+// answered anything, and it has one if it has answered. The caller holds p.mu.
 func (p *Pool) observe(s *server, up bool) {
-	if s.unreachable != up { // as before
+	if s.unreachable != up { // unchanged
 		return
 	}
-	if s.unreachable = !up; p.set.Seen != nil {
-		p.set.Seen(s.ID, up)
+	if s.unreachable = !up; p.settings.Seen != nil {
+		p.settings.Seen(s.ID, up)
 	}
 }
 
-// idle takes the idle connection that was used last; the others then end by and by. Those near the
-// server's idle limit are closed, since a call that crosses the server's close is lost as a reset. Those that still rest are
-// passed over.
-func (p *Pool) idle(s *server) *conn {
+// takeIdle returns the takeIdle connection that was used last, or nil. The others stay takeIdle longer and are closed in
+// time. A connection near the server's takeIdle limit is closed instead, because a call that is sent while the server
+// closes the connection is lost as a reset. A connection in its cooldown after an answer is skipped.
+func (p *Pool) takeIdle(s *server) *conn {
 	for i := len(s.conns) - 1; i >= 0; i-- {
 		c := s.conns[i]
 		if c.load > 0 {
 			continue
 		}
-		if c.useful && time.Since(c.idleAt) < p.set.Rest {
+		if c.answered && time.Since(c.lastReleased) < p.settings.Rest {
 			continue
 		}
-		if p.set.IdleLimit > 0 && time.Since(c.idleAt) >= p.set.IdleLimit {
-			p.drop(c, CloseIdleLimit)
+		if p.settings.IdleLimit > 0 && time.Since(c.lastReleased) >= p.settings.IdleLimit {
+			p.closeReset(c, CloseIdleLimit)
 			continue
 		}
 		copy(s.conns[i:], s.conns[i+1:])
@@ -119,36 +122,38 @@
 	return nil
 }
 
-// dropResting makes room for another connection to a server where one still rests. p.mu is held.
-func (p *Pool) dropResting(s *server) bool {
+// evictCooling closes an idle connection to a server that is still in its cooldown, to make room for another one, and
+// reports whether there was one. The caller holds p.mu.
+func (p *Pool) evictCooling(s *server) bool {
 	for _, c := range s.conns {
 		if c.load == 0 {
-			p.drop(c, CloseMadeRoom)
+			p.closeReset(c, CloseEvicted)
 			return true
 		}
 	}
 	return false
 }
 
-// leastBusy finds the connection with the fewest calls among those that can be expected to answer. Without
-// one it is better to open another, unless the whole server may be slow: that would make it slower.
-func (s *server) leastBusy(now time.Time, full bool) *conn {
-	var best, late *conn
-	lates, lost := 0, false
+// leastBusy returns the connection with the fewest calls among those that can be expected to answer. If there is
+// none, it returns nil, since it is better to open another connection. It returns an overdue one if no other may be
+// opened, or if the whole server may be slow, which another connection would make worse.
+func (s *server) leastBusy(now time.Time, atLimit bool) *conn {
+	var best, overdueConn *conn
+	overdueCount, laterAnswered := 0, false
 	for _, c := range s.conns {
 		switch {
-		case c.ending || c.body != nil || c.load == 0: // without a call it still rests
-		case len(c.calls) > 0 && now.Sub(c.calls[0].sent) > max(overdueLeast, overdue*s.typical):
-			lost = lost || s.passed.After(c.calls[0].sent)
-			if lates++; late == nil || c.load < late.load {
-				late = c
+		case c.closeWhenUnused || c.stream != nil || c.load == 0: // a connection without a call is in its cooldown
+		case len(c.pending) > 0 && now.Sub(c.pending[0].sentAt) > max(minOverdue, overdueFactor*s.typicalLatency):
+			laterAnswered = laterAnswered || s.newestAnswered.After(c.pending[0].sentAt)
+			if overdueCount++; overdueConn == nil || c.load < overdueConn.load {
+				overdueConn = c
 			}
 		case best == nil || c.load < best.load:
 			best = c
 		}
 	}
-	if best == nil && (full || lates > overdueMost && !lost) {
-		return late
+	if best == nil && (atLimit || overdueCount > maxOverdueConns && !laterAnswered) {
+		return overdueConn
 	}
 	return best
 }
--- a/internal/upstream/last_look_test.go
+++ b/internal/upstream/last_look_test.go
@@ -15,26 +15,27 @@
 	"hoptiller/internal/testprog"
 )
 
-// preparing is a Protocol that does something while a call is prepared.
-type preparing struct {
+// hookedProtocol is a Protocol that calls a function while a call is encoded.
+type hookedProtocol struct {
 	Meta
-	during func()
+	onEncode func()
 }
 
-// Append implements Protocol.
-func (p preparing) Append(b []byte, a *Attempt) (head []byte, tail string) {
-	p.during()
-	return p.Meta.Append(b, a)
+// AppendAttempt implements Protocol.
+func (p hookedProtocol) AppendAttempt(b []byte, a *Attempt) (head []byte, tail string) {
+	p.onEncode()
+	return p.Meta.AppendAttempt(b, a)
 }
 
-// A client that leaves while its call is prepared, as where the process is held up there, gets no attempt: the last look comes after that.
-func TestClientLeavesWhileItsCallIsPrepared(t *testing.T) {
-	var left atomic.Bool
+// If the client disconnects while its call is encoded, for example because the process is paused there, no attempt is
+// sent: the final check comes after the encoding.
+func TestClientDisconnectsDuringEncoding(t *testing.T) {
+	var disconnected atomic.Bool
 	p := serve(t, hold)
-	p.proto = preparing{during: func() { left.Store(true) }}
+	p.protocol = hookedProtocol{onEncode: func() { disconnected.Store(true) }}
 	sent := 0
-	p.set.Called = func() { sent++ }
-	req := &relay.Request{Key: []byte("k"), ID: []byte("01"), Facts: []byte("c=read,d=9"), Gone: left.Load}
+	p.settings.Called = func() { sent++ }
+	req := &relay.Request{Key: []byte("k"), ID: []byte("01"), Facts: []byte("c=read,d=9"), Gone: disconnected.Load}
 	ctx, cancel := context.WithTimeout(t.Context(), testprog.Patience)
 	defer cancel()
 	if r := p.Call(ctx, ctx, 1, req); r.Status != hoptiller.Moot || sent > 0 {
@@ -42,99 +43,101 @@
 	}
 }
 
-// A client that leaves while the last look goes on, as where the process is held up in it, gets no attempt: it is looked at again.
-func TestClientLeavesDuringTheLastLook(t *testing.T) {
-	p, c, server := resting(t)
-	again := 0
-	p.set.LookedAgain = func() { again++ }
-	req := named("01")
-	left := false
+// If the client disconnects during the final check, for example because the process is paused in it, no attempt is
+// sent: the check is repeated.
+func TestClientDisconnectsDuringFinalCheck(t *testing.T) {
+	p, c, server := idleConn(t)
+	repeated := 0
+	p.settings.LookedAgain = func() { repeated++ }
+	req := readRequest("01")
+	disconnected := false
 	req.Gone = func() bool {
-		was := left
-		left = true
-		time.Sleep(10 * mostLookAge)
-		return was
+		before := disconnected
+		disconnected = true
+		time.Sleep(10 * maxCheckAge)
+		return before
 	}
-	sent, status := c.send(t.Context(), withTime(t), &call{req: req, done: make(chan relay.Result, 1)})
-	if sent || status != hoptiller.Moot || again != 1 {
-		t.Errorf("sent %v, status %v, looked again %d times", sent, status, again)
+	sent, status := c.send(t.Context(), callContext(t), &pendingCall{req: req, result: make(chan relay.Result, 1)})
+	if sent || status != hoptiller.Moot || repeated != 1 {
+		t.Errorf("sent %v, status %v, %d repeated checks", sent, status, repeated)
 	}
-	if p.mu.Lock(); c.load != 0 || len(c.calls) != 0 || c.dead {
-		t.Errorf("connection with load %d and %d calls, dead %v", c.load, len(c.calls), c.dead)
+	if p.mu.Lock(); c.load != 0 || len(c.pending) != 0 || c.closed {
+		t.Errorf("connection with load %d and %d calls, dead %v", c.load, len(c.pending), c.closed)
 	}
 	p.mu.Unlock()
 	expectNothing(t, server)
 }
 
-// Where every look takes longer than it may be old, a call is sent all the same.
-func TestSlowLooksEnd(t *testing.T) {
-	p, c, server := resting(t)
-	again := 0
-	p.set.LookedAgain = func() { again++ }
-	req := named("01")
+// A call is sent even if every check takes longer than maxCheckAge.
+func TestSlowChecksEnd(t *testing.T) {
+	p, c, server := idleConn(t)
+	repeated := 0
+	p.settings.LookedAgain = func() { repeated++ }
+	req := readRequest("01")
 	req.Gone = func() bool {
-		time.Sleep(2 * mostLookAge)
+		time.Sleep(2 * maxCheckAge)
 		return false
 	}
-	sent, status := c.send(t.Context(), withTime(t), &call{req: req, done: make(chan relay.Result, 1)})
-	if !sent || status != hoptiller.OK || again != mostLooks {
-		t.Errorf("sent %v, status %v, looked again %d times", sent, status, again)
+	sent, status := c.send(t.Context(), callContext(t), &pendingCall{req: req, result: make(chan relay.Result, 1)})
+	if !sent || status != hoptiller.OK || repeated != maxChecks {
+		t.Errorf("sent %v, status %v, %d repeated checks", sent, status, repeated)
 	}
 	if line, err := bufio.NewReader(server).ReadString('\n'); !strings.Contains(line, "O01") {
-		t.Errorf("the server got %q, %v", line, err)
+		t.Errorf("the server received %q, %v", line, err)
 	}
 }
 
-// A client that leaves while its call waits for room on the connection, behind what the server has not read, gets no attempt.
-func TestClientLeavesWhileItsCallWaitsForTheSocket(t *testing.T) {
-	p, c, server := resting(t)
+// If the client disconnects while its call waits because the connection's send buffer is full of bytes that the
+// server has not read, no attempt is sent.
+func TestClientDisconnectsBehindFullSocket(t *testing.T) {
+	p, c, server := idleConn(t)
 	filled := fill(t, c.Conn)
-	var left atomic.Bool
-	looked := make(chan struct{}, mostLooks)
-	req := named("01")
+	var disconnected atomic.Bool
+	checked := make(chan struct{}, maxChecks)
+	req := readRequest("01")
 	req.Gone = func() bool {
 		select {
-		case looked <- struct{}{}:
+		case checked <- struct{}{}:
 		default:
 		}
-		return left.Load()
+		return disconnected.Load()
 	}
-	type ending struct {
+	type outcome struct {
 		sent   bool
 		status hoptiller.Status
 	}
-	ended := make(chan ending, 1)
+	ended := make(chan outcome, 1)
 	go func() {
-		sent, status := c.send(t.Context(), withTime(t), &call{req: req, done: make(chan relay.Result, 1)})
-		ended <- ending{sent, status}
+		sent, status := c.send(t.Context(), callContext(t), &pendingCall{req: req, result: make(chan relay.Result, 1)})
+		ended <- outcome{sent, status}
 	}()
-	testprog.Await(t, looked, "first look")
-	left.Store(true)
-	for got := 0; got < filled; {
+	testprog.Await(t, checked, "first check")
+	disconnected.Store(true)
+	for drained := 0; drained < filled; {
 		n, err := server.Read(make([]byte, 1<<16))
 		if err != nil {
 			t.Fatal(err)
 		}
-		got += n
+		drained += n
 	}
-	if end := testprog.Await(t, ended, "the call's end"); end.sent || end.status != hoptiller.Moot {
+	if end := testprog.Await(t, ended, "end of the call"); end.sent || end.status != hoptiller.Moot {
 		t.Errorf("sent %v, status %v", end.sent, end.status)
 	}
-	if p.mu.Lock(); c.load != 0 || len(c.calls) != 0 {
-		t.Errorf("connection with load %d and %d calls", c.load, len(c.calls))
+	if p.mu.Lock(); c.load != 0 || len(c.pending) != 0 {
+		t.Errorf("connection with load %d and %d calls", c.load, len(c.pending))
 	}
 	p.mu.Unlock()
 	expectNothing(t, server)
 }
 
-// withTime is a context with time left for a call.
-func withTime(t *testing.T) context.Context {
+// callContext returns a context that leaves enough time for a call.
+func callContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), testprog.Patience)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// fill writes to a connection until it takes nothing more, and tells how much it took.
+// fill writes to a connection until it accepts nothing more, and returns how many bytes it accepted.
 func fill(t *testing.T, conn net.Conn) (n int) {
 	t.Helper()
 	defer conn.SetWriteDeadline(time.Time{})
@@ -154,11 +157,11 @@
 	return n
 }
 
-// expectNothing checks that a server has been sent nothing.
+// expectNothing checks that a server has received nothing.
 func expectNothing(t *testing.T, server net.Conn) {
 	t.Helper()
 	server.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, err := server.Read(make([]byte, 1)); n != 0 || !os.IsTimeout(err) {
-		t.Errorf("the server got %d bytes, %v", n, err)
+		t.Errorf("the server received %d bytes, %v", n, err)
 	}
 }
--- a/internal/upstream/outgoing.go
+++ b/internal/upstream/outgoing.go
@@ -11,121 +11,125 @@
 )
 
 const (
-	// mostLookAge is how old the last look at a call may be when its first byte is written. An older one is made again: the process,
-	// or the thread, stood still meanwhile.
-	mostLookAge = 50 * time.Microsecond
+	// maxCheckAge limits the age of a call's final check at the time when the call's first byte is written. An older
+	// check is repeated, because the process or the thread was paused meanwhile.
+	maxCheckAge = 50 * time.Microsecond
 
-	// mostLooks bounds the looks at one call. A machine on which each takes longer than mostLookAge would never send.
-	mostLooks = 20
+	// maxChecks limits the number of checks of one call. A machine on which each check takes longer than maxCheckAge
+	// would otherwise never send.
+	maxChecks = 20
 )
 
-// outgoing is a call that is being written to its server. The client may have left since the call was picked, its time be over, or the
-// directory have spoken, and a drain binds when a call is sent; so the last look at all of these comes behind everything that waits or
-// prepares, right before the first byte.
+// outgoing is a call that is being written to its server. Since the call was picked, its client may have
+// disconnected, its time may have run out, or discovery may have listed the server as draining, and a drain is
+// binding when a call is sent. The final check of all these therefore comes after everything that waits or prepares,
+// right before the first byte.
 type outgoing struct {
-	conn       *conn
-	begin, ctx context.Context // until when it may begin, and until when it may last
-	call       *call
-	buf        *buffer.Buffer
+	conn         *conn
+	sendCtx, ctx context.Context // the call may be sent until sendCtx is done, and may last until ctx is done
+	call         *pendingCall
+	buf          *buffer.Buffer
 
-	told  time.Duration // what the server is told of the time that is left
-	first []byte        // what is written first
-	rest  net.Buffers   // and what follows it
+	statedTime  time.Duration // the remaining time that the encoded call states
+	firstWrite  []byte        // the bytes of the first write
+	laterWrites net.Buffers   // the bytes that follow them
 
-	status hoptiller.Status // how the last look ended it; OK: it may begin
+	status hoptiller.Status // result of the final check; OK: the call may be sent
 }
 
-// prepare makes what is written of the call, which tells its server how much time is left. A short value goes with the first write.
-func (o *outgoing) prepare(left time.Duration) {
+// encode builds the bytes of the call, which state how much time is left. A short value is part of the first write.
+func (o *outgoing) encode(timeLeft time.Duration) {
 	req := o.call.req
-	attempt, free := newAttempt(o.buf[:], req, o.conn.host, left)
-	first, tail := o.conn.pool.proto.Append(free, attempt)
-	o.told, o.first, o.rest = left, first, nil
+	attempt, free := newAttempt(o.buf[:], req, o.conn.host, timeLeft)
+	first, tail := o.conn.pool.protocol.AppendAttempt(free, attempt)
+	o.statedTime, o.firstWrite, o.laterWrites = timeLeft, first, nil
 	switch {
 	case !req.Write:
 	case req.Long == nil && len(first)+len(req.Value)+len(tail) <= cap(first):
-		o.first = append(append(first, req.Value...), tail...)
+		o.firstWrite = append(append(first, req.Value...), tail...)
 	default:
-		o.rest = append(o.rest, req.Value)
+		o.laterWrites = append(o.laterWrites, req.Value)
 		if req.Long != nil {
-			o.rest = req.Long.Parts(o.rest)
+			o.laterWrites = req.Long.Parts(o.laterWrites)
 		}
-		o.rest = append(o.rest, []byte(tail))
+		o.laterWrites = append(o.laterWrites, []byte(tail))
 	}
 }
 
-// look is the last look before the call's first byte. It takes no lock of the pool, which may wait for the write to end.
-func (o *outgoing) look() (wanted bool) {
-	for range mostLooks {
-		at := time.Now()
-		var left time.Duration
-		if left, o.status = o.wanted(); o.status != hoptiller.OK {
+// finalCheck decides right before the call's first byte whether the call may still be sent. It takes no lock of the
+// pool, whose holder may be waiting for the write to end.
+func (o *outgoing) finalCheck() (sendable bool) {
+	for range maxChecks {
+		checkedAt := time.Now()
+		var timeLeft time.Duration
+		if timeLeft, o.status = o.checkSendable(); o.status != hoptiller.OK {
 			return false
 		}
-		if left/time.Millisecond < o.told/time.Millisecond { // it has waited for its turn
-			o.prepare(left)
+		if timeLeft/time.Millisecond < o.statedTime/time.Millisecond { // time has passed while the call waited for its turn
+			o.encode(timeLeft)
 		}
-		if time.Since(at) <= mostLookAge {
+		if time.Since(checkedAt) <= maxCheckAge {
 			return true
 		}
-		if lookedAgain := o.conn.pool.set.LookedAgain; lookedAgain != nil {
-			lookedAgain()
+		if checkRepeated := o.conn.pool.settings.LookedAgain; checkRepeated != nil {
+			checkRepeated()
 		}
 	}
 	return true
 }
 
-// wanted tells how much time is left to the call, or how it ends if it may not begin any more. The client is looked at last, since
-// nobody is told when it leaves.
-func (o *outgoing) wanted() (left time.Duration, status hoptiller.Status) {
-	if o.begin.Err() != nil {
-		return 0, notBegun(o.begin)
+// checkSendable returns how much time is left for the call, or the status with which the call ends if it may no
+// longer be sent. The client is checked last, because nothing notifies the router when a client disconnects.
+func (o *outgoing) checkSendable() (timeLeft time.Duration, status hoptiller.Status) {
+	if o.sendCtx.Err() != nil {
+		return 0, unsentStatus(o.sendCtx)
 	}
-	left = timeLeft(o.ctx)
-	if !o.conn.server.ready.Load() || left < leastLeft || over(o.begin) || o.call.req.ClientGone() {
+	timeLeft = remainingTime(o.ctx)
+	if !o.conn.server.ready.Load() || timeLeft < minTimeLeft || deadlinePassed(o.sendCtx) || o.call.req.ClientDisconnected() {
 		return 0, hoptiller.Moot
 	}
-	return left, hoptiller.OK
+	return timeLeft, hoptiller.OK
 }
 
-// write writes the call whole, unless the last look ends it first, and tells how many bytes of it were written.
+// write writes the complete call, unless the final check ends the call first, and returns how many bytes were
+// written.
 func (o *outgoing) write() (written int64, err error) {
 	n, err := o.writeFirst(false)
 	blocked := err == syscall.EAGAIN
 	switch {
 	case err != nil && !blocked, o.status != hoptiller.OK:
 		return int64(n), err
-	case !blocked && n == len(o.first) && len(o.rest) == 0:
+	case !blocked && n == len(o.firstWrite) && len(o.laterWrites) == 0:
 		return int64(n), nil
 	}
 	stop := context.AfterFunc(o.ctx, func() { o.conn.SetWriteDeadline(time.Unix(1, 0)) })
-	defer func() { o.conn.stopped(stop()) }()
+	defer func() { o.conn.afterWrite(stop()) }()
 	if blocked {
 		if n, err = o.writeFirst(true); err != nil || o.status != hoptiller.OK {
 			return int64(n), err
 		}
 	}
-	parts := append(net.Buffers{o.first[n:]}, o.rest...)
+	parts := append(net.Buffers{o.firstWrite[n:]}, o.laterWrites...)
 	more, err := parts.WriteTo(o.conn.Conn)
 	return int64(n) + more, err
 }
 
-// writeFirst writes the first bytes of the call right behind the last look at it. Where the connection takes nothing it waits, and looks
-// again, or fails with EAGAIN.
+// writeFirst writes the first bytes of the call right after the final check. If the connection accepts nothing, it
+// waits and checks again, or, if wait is false, fails with EAGAIN.
 func (o *outgoing) writeFirst(wait bool) (n int, err error) {
-	closed := o.conn.reader.Raw().Write(func(fd uintptr) (done bool) {
+	rawErr := o.conn.reader.RawConn().Write(func(fd uintptr) (done bool) {
 		n, err = 0, nil
-		if !o.look() {
+		if !o.finalCheck() {
 			return true
 		}
-		for n, err = syscall.Write(int(fd), o.first); err == syscall.EINTR; {
-			n, err = syscall.Write(int(fd), o.first)
+		for n, err = syscall.Write(int(fd), o.firstWrite); err == syscall.EINTR; {
+			n, err = syscall.Write(int(fd), o.firstWrite)
 		}
 		n = max(n, 0)
 		return !wait || err != syscall.EAGAIN
 	})
-	if closed != nil {
-		return n, closed
+	if rawErr != nil {
+		return n, rawErr
 	}
 	return n, err
 }
