--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,5 @@
-// Package upstream makes attempts at requests over pooled connections: to the slot
-// caches in the memcache meta protocol, and to any other server for which
-// there is a Protocol.
+// Package upstream makes attempts at requests over pooled connections: to the slot caches in the memcache meta
+// protocol, and to any other kind of server for which there is a Protocol.
 package upstream
 
 import (
@@ -18,55 +17,56 @@
 	"hoptiller/internal/relay"
 )
 
-// Settings bound a pool.
+// Settings are the limits and callbacks of a Pool.
 type Settings struct {
 	Share          int           // calls on each open connection before another one is opened
-	MostConns      int           // connections to a server, however many calls share them
+	MostConns      int           // connections to one server, however many calls share them
 	MostTotal      int           // connections to all servers; 0: no limit
-	MostCalls      int           // calls out on one connection at once
-	IdleLimit      time.Duration // connections without use for so long are not used again; 0: no limit
-	Rest           time.Duration // after an answer, in which a connection gets no call: a second one may come
+	MostCalls      int           // calls in flight on one connection
+	IdleLimit      time.Duration // a connection that has been idle for so long is not used again; 0: no limit
+	Rest           time.Duration // for so long after an answer no call is sent; a second answer may arrive
 	Places         int           // connections that each core of a server accepts; 0: not stated
-	Kept           int           // idle connections to a server that stay till then; more are closed sooner
+	Kept           int           // idle connections to one server that stay open until IdleLimit; surplus ones are closed sooner
 	ConnectTimeout time.Duration
-	Room           *semaphore.Weighted      // bytes of values whose length shows at their end
-	Reports        *loadreport.Table        // keeps what servers tell of their load; nil: nothing does
-	Seen           func(id uint32, up bool) // told of a server that has no process, and that answers again; nil: nobody is
-	Called         func()                   // told of each call that was written whole; nil: nobody is
-	LookedAgain    func()                   // told of each last look at a call that had to be made again; nil: nobody is
-	Closed         func(CloseReason)        // told of each connection that was closed; nil: nobody is
+	Room           *semaphore.Weighted      // memory in bytes for values whose length is known only at their end
+	Reports        *loadreport.Table        // stores the load reports of servers; nil: they are dropped
+	Seen           func(id uint32, up bool) // called when a server is found to have no process, and when it answers again; may be nil
+	Called         func()                   // called for each call that was written completely; may be nil
+	LookedAgain    func()                   // called for each final check of a call that had to be repeated; may be nil
+	Closed         func(CloseReason)        // called for each connection that was closed; may be nil
 }
 
-// Pool has the connections to all servers of a kind. It is a relay.Upstream.
+// Pool holds the connections to all servers of one kind. It implements relay.Upstream.
 type Pool struct {
-	set    Settings
-	proto  Protocol
-	ctx    context.Context // until Close
-	cancel context.CancelFunc
-	dials  sync.WaitGroup // those that run
-
-	mu      sync.Mutex
-	servers map[uint32]*server
-	total   int             // connections that are open or being opened
-	longAt  time.Time       // when a long value came last
-	calls   connlimit.Calls // to any server
-	reaping bool            // a look for connections that have been idle too long is due
+	settings     Settings
+	protocol     Protocol
+	ctx          context.Context // done after Close
+	cancel       context.CancelFunc
+	runningDials sync.WaitGroup // running dials
+
+	mu            sync.Mutex
+	servers       map[uint32]*server
+	connCount     int             // connections that are open or being opened
+	lastLongValue time.Time       // when a long value began to arrive last
+	callTimes     connlimit.Calls // mean duration of calls to all servers
+	reapScheduled bool            // a check for connections that have been idle too long is scheduled
 }
 
+// server is a listed server with the connections to it.
 type server struct {
 	relay.Server
-	conns       []*conn // all that are open, those used last at the end
-	dialing     int
-	unreachable bool          // it has no process, as far as is seen
-	next        *dial         // how the next of those ends; nil: nobody waits for that
-	typical     time.Duration // smoothed time from a call to its answer
-	passed      time.Time     // when the latest call that has an answer was sent
-	ready       atomic.Bool   // it may get calls, as the list has it: for those who must not wait for the pool's mu
+	conns          []*conn       // open connections; the one used last is at the end
+	dialing        int           // number of dials that are in progress
+	unreachable    bool          // the server was observed to have no process
+	nextDial       *dial         // gets the result of the next dial that ends; nil: no call waits for it
+	typicalLatency time.Duration // smoothed time from sending a call to its answer
+	newestAnswered time.Time     // when the newest call that has been answered was sent
+	ready          atomic.Bool   // the server is listed as Ready; can be read without the pool's mu
 }
 
-// New returns a Pool without servers.
-func New(set Settings, proto Protocol) *Pool {
-	p := &Pool{set: set, proto: proto, servers: map[uint32]*server{}}
+// New returns a Pool that knows no servers.
+func New(settings Settings, protocol Protocol) *Pool {
+	p := &Pool{settings: settings, protocol: protocol, servers: map[uint32]*server{}}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
@@ -83,32 +83,33 @@
 	s.Server = entry
 	s.ready.Store(entry.Phase == hoptiller.Ready)
 	if moved {
-		p.leaveFormer(s)
+		p.closeOutdated(s)
 	}
-	if entry.Phase != hoptiller.Ready { // idle connections have no use any more
+	if entry.Phase != hoptiller.Ready { // idle connections are useless now
 		p.closeIdle(s, CloseServerLeaving)
 	}
 }
 
-// leaveFormer ends the connections to a server that runs elsewhere or anew, since what is out at a process that is no more will never be
-// answered. But news of a start come late: a connection may lead to the new process already, and what is out on it goes on. A long value
-// that has begun towards its client is never cut off: if its server is no more, the system says so. p.mu is held.
-func (p *Pool) leaveFormer(s *server) {
+// closeOutdated closes the connections to the former process of a server that has moved or restarted, because calls
+// that are in flight to a process that no longer exists are never answered. But news of a start arrive late: a
+// connection may already lead to the new process, and its calls continue. A long value that has begun to reach its
+// client is never cut off: if its server no longer exists, the operating system reports that. The caller holds p.mu.
+func (p *Pool) closeOutdated(s *server) {
 	for _, c := range slices.Clone(s.conns) {
 		switch {
-		case c.load > 0 && s.reachedBy(c.addr, c.opened):
-		case c.body != nil:
-			c.ending = true
+		case c.load > 0 && s.mayReachCurrent(c.addr, c.opened):
+		case c.stream != nil:
+			c.closeWhenUnused = true
 		default:
-			p.drop(c, CloseServerMoved)
+			p.closeReset(c, CloseServerMoved)
 		}
 	}
 }
 
-// reachedBy tells whether a connection that came up to an address at a time leads to the process that is listed now. Where that can't be
-// known it does, which costs no more than the calls that are out.
-func (s *server) reachedBy(addr string, opened time.Time) bool {
-	return addr == s.Addr && !opened.Before(s.Since)
+// mayReachCurrent reports whether a connection that was opened to an address at a given time leads to the process
+// that is listed now. It returns true if that cannot be known, which at worst costs the calls in flight.
+func (s *server) mayReachCurrent(addr string, opened time.Time) bool {
+	return addr == s.Addr && !opened.Before(s.EarliestStart)
 }
 
 // Forget implements relay.Upstream.
@@ -119,8 +120,8 @@
 		return false
 	}
 	delete(p.servers, id)
-	if p.set.Reports != nil {
-		p.set.Reports.Forget(id)
+	if p.settings.Reports != nil {
+		p.settings.Reports.Forget(id)
 	}
 	return true
 }
@@ -134,52 +135,53 @@
 	}
 }
 
+// closeIdle closes the idle connections to a server. The caller holds p.mu.
 func (p *Pool) closeIdle(s *server, reason CloseReason) {
 	for _, c := range slices.Clone(s.conns) {
 		if c.load == 0 {
-			p.drop(c, reason)
+			p.closeReset(c, reason)
 		}
 	}
 }
 
-// Close closes all connections; calls that are out end as resets.
+// Close closes all connections. Calls in flight end as Reset.
 func (p *Pool) Close() {
-	defer p.dials.Wait()
+	defer p.runningDials.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cancel()
 	for _, s := range p.servers {
 		for _, c := range slices.Clone(s.conns) {
-			p.drop(c, CloseShutdown)
+			p.closeReset(c, CloseShutdown)
 		}
 	}
 }
 
 // Call implements relay.Upstream.
-func (p *Pool) Call(begin, ctx context.Context, id uint32, req *relay.Request) relay.Result {
-	out := &call{req: req, done: make(chan relay.Result, 1)}
+func (p *Pool) Call(sendCtx, ctx context.Context, id uint32, req *relay.Request) relay.Result {
+	call := &pendingCall{req: req, result: make(chan relay.Result, 1)}
 	var c *conn
 	for sent := false; !sent; {
 		var status hoptiller.Status
-		if c, status = p.connect(begin, id); c == nil {
+		if c, status = p.acquireConn(sendCtx, id); c == nil {
 			return relay.Result{Status: status}
 		}
-		if sent, status = c.send(begin, ctx, out); status != hoptiller.OK {
+		if sent, status = c.send(sendCtx, ctx, call); status != hoptiller.OK {
 			return relay.Result{Status: status}
 		}
 	}
 	var r relay.Result
 	select {
-	case r = <-out.done:
+	case r = <-call.result:
 	case <-ctx.Done():
 		var answered bool
-		if r, answered = p.abandon(c, out); !answered {
-			r.Status = ended(ctx)
+		if r, answered = p.abandon(c, call); !answered {
+			r.Status = contextStatus(ctx)
 			return r
 		}
 	}
-	if b, ok := r.Body.(*body); ok && b.length < 0 {
-		return p.gather(ctx, b)
+	if b, ok := r.Body.(*streamBody); ok && b.length < 0 {
+		return p.bufferBody(ctx, b)
 	}
 	return r
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -14,7 +14,7 @@
 	"hoptiller/internal/testprog"
 )
 
-// serve starts a server that handles each connection, and a pool that knows it as number 1.
+// serve starts a server that handles each connection, and returns a pool that knows it as server 1.
 func serve(t *testing.T, handle func(conn net.Conn, r *bufio.Reader)) *Pool {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,13 +38,14 @@
 	return p
 }
 
+// entry returns the list entry of server 1.
 func entry(addr string, phase hoptiller.Phase) relay.Server {
 	return relay.Server{Addr: addr, Server: hoptiller.Server{ID: 1, Phase: phase}}
 }
 
-var read = &relay.Request{Key: []byte("k"), ID: []byte("01"), Facts: []byte("c=read,d=9")}
+var exampleRead = &relay.Request{Key: []byte("k"), ID: []byte("01"), Facts: []byte("c=read,d=9")}
 
-// answer reads commands and answers each with a text.
+// answer returns a handler that answers each command with a text.
 func answer(text string) func(net.Conn, *bufio.Reader) {
 	return func(conn net.Conn, r *bufio.Reader) {
 		for _, err := r.ReadString('\n'); err == nil; _, err = r.ReadString('\n') {
@@ -53,60 +54,63 @@
 	}
 }
 
+// hold reads a connection until its end and answers nothing.
 func hold(_ net.Conn, r *bufio.Reader) { r.ReadString(0) }
 
+// The outcome of a call follows from what the server answers, and a connection is closed if nothing more on it can be
+// trusted.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		handle func(net.Conn, *bufio.Reader)
 		want   hoptiller.Status
-		ends   bool // the connection ends with it
+		closes bool // the connection ends with the call
 	}{
-		"value":              {answer("VA 1 O01\r\nx\r\n"), hoptiller.OK, false},
-		"miss":               {answer("EN O01\r\n"), hoptiller.Miss, false},
-		"error":              {answer("SERVER_ERROR failed\r\n"), hoptiller.ServerError, false},
-		"busy":               {answer("SERVER_ERROR busy\r\n"), hoptiller.Full, false},
-		"nonsense":           {answer("VA x\r\n"), hoptiller.ServerError, true},
-		"another's value":    {answer("VA 1 O02\r\nx\r\n"), hoptiller.ServerError, true},
-		"nobody's value":     {answer("VA 1\r\nx\r\n"), hoptiller.ServerError, true},
-		"a receipt":          {answer("HD O01 c5\r\n"), hoptiller.ServerError, true},
-		"end":                {func(_ net.Conn, r *bufio.Reader) { r.ReadString('\n') }, hoptiller.Reset, true},
-		"noise":              {answer("\x8b\xa5"), hoptiller.ServerError, true},
-		"noise in a line":    {answer("x\r\n"), hoptiller.ServerError, true},
-		"a line without end": {answer("EN O01 " + strings.Repeat("a", 3000)), hoptiller.ServerError, true},
-		"3 GB":               {answer("VA 3000000000 O01\r\nx"), hoptiller.ServerError, true},
-		"another's, cut":     {answer("VA 100 O02\r\nx"), hoptiller.ServerError, true},
-		"too short a value":  {answer("VA 100 O01\r\nx\r\n"), hoptiller.ServerError, true},
-		"too long a value":   {answer("VA 1 O01\r\nxyz\r\n"), hoptiller.ServerError, true},
-		"copy behind":        {answer("EN O01\r\nEN O01\r\n"), hoptiller.Miss, true},
-		"noise behind":       {answer("VA 1 O01\r\nx\r\n\x8b"), hoptiller.OK, true},
-		"unreadable report":  {answer("VA 1 O01 h1 L=,=\r\nx\r\n"), hoptiller.OK, false},
-		"a long value":       {answer("VA 400000 O01\r\n" + strings.Repeat("x", 400000) + "\r\n"), hoptiller.OK, false},
+		"value":                    {answer("VA 1 O01\r\nx\r\n"), hoptiller.OK, false},
+		"miss":                     {answer("EN O01\r\n"), hoptiller.Miss, false},
+		"error":                    {answer("SERVER_ERROR failed\r\n"), hoptiller.ServerError, false},
+		"busy":                     {answer("SERVER_ERROR busy\r\n"), hoptiller.Full, false},
+		"malformed length":         {answer("VA x\r\n"), hoptiller.ServerError, true},
+		"value of another request": {answer("VA 1 O02\r\nx\r\n"), hoptiller.ServerError, true},
+		"value without an ID":      {answer("VA 1\r\nx\r\n"), hoptiller.ServerError, true},
+		"a receipt":                {answer("HD O01 c5\r\n"), hoptiller.ServerError, true},
+		"end":                      {func(_ net.Conn, r *bufio.Reader) { r.ReadString('\n') }, hoptiller.Reset, true},
+		"noise":                    {answer("\x8b\xa5"), hoptiller.ServerError, true},
+		"unknown line":             {answer("x\r\n"), hoptiller.ServerError, true},
+		"a line without end":       {answer("EN O01 " + strings.Repeat("a", 3000)), hoptiller.ServerError, true},
+		"3 GB":                     {answer("VA 3000000000 O01\r\nx"), hoptiller.ServerError, true},
+		"value of another, cut":    {answer("VA 100 O02\r\nx"), hoptiller.ServerError, true},
+		"too short a value":        {answer("VA 100 O01\r\nx\r\n"), hoptiller.ServerError, true},
+		"too long a value":         {answer("VA 1 O01\r\nxyz\r\n"), hoptiller.ServerError, true},
+		"duplicate behind":         {answer("EN O01\r\nEN O01\r\n"), hoptiller.Miss, true},
+		"noise behind":             {answer("VA 1 O01\r\nx\r\n\x8b"), hoptiller.OK, true},
+		"unreadable report":        {answer("VA 1 O01 h1 L=,=\r\nx\r\n"), hoptiller.OK, false},
+		"a long value":             {answer("VA 400000 O01\r\n" + strings.Repeat("x", 400000) + "\r\n"), hoptiller.OK, false},
 		"half an answer": {func(conn net.Conn, r *bufio.Reader) {
 			r.ReadString('\n')
 			conn.Write([]byte("VA 9 O01\r\nx"))
 		}, hoptiller.Reset, true},
-		"silence": {hold, hoptiller.Timeout, true},
+		"no answer": {hold, hoptiller.Timeout, true},
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		if c.want == hoptiller.Timeout {
 			ctx, cancel = context.WithTimeout(context.Background(), 20*time.Millisecond)
 		}
 		p := serve(t, c.handle)
-		if r := p.Call(ctx, ctx, 1, read); r.Status != c.want {
+		if r := p.Call(ctx, ctx, 1, exampleRead); r.Status != c.want {
 			t.Errorf("%s: status %d, want %d", name, r.Status, c.want)
 		}
-		if c.ends { // nothing more can be believed of it
+		if c.closes { // nothing more on the connection can be trusted
 			until(t, p, "all connections ended", func(s *server) bool { return len(s.conns) == 0 })
 		}
 		cancel()
 	}
 }
 
-// What never was sent whole is told apart from what may have run.
+// A call that was never sent completely is distinguished from one that may have run.
 func TestNeverSent(t *testing.T) {
 	p := serve(t, hold)
 	addr := p.servers[1].Addr
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
 	defer end()
@@ -115,20 +119,20 @@
 		update relay.Server
 		want   hoptiller.Status
 	}{
-		"given up before": {gone, entry(addr, hoptiller.Ready), hoptiller.Moot},
-		"draining":        {ctx, entry(addr, hoptiller.Draining), hoptiller.Moot},
-		"gone":            {ctx, entry(addr, hoptiller.Gone), hoptiller.Moot},
-		"nobody there":    {ctx, entry("127.0.0.1:1", hoptiller.Ready), hoptiller.ConnectFailed},
+		"cancelled before": {cancelled, entry(addr, hoptiller.Ready), hoptiller.Moot},
+		"draining":         {ctx, entry(addr, hoptiller.Draining), hoptiller.Moot},
+		"removed":          {ctx, entry(addr, hoptiller.Gone), hoptiller.Moot},
+		"refused":          {ctx, entry("127.0.0.1:1", hoptiller.Ready), hoptiller.ConnectFailed},
 	} {
 		p.Update(c.update, true)
-		if r := p.Call(c.ctx, c.ctx, 1, read); r.Status != c.want {
+		if r := p.Call(c.ctx, c.ctx, 1, exampleRead); r.Status != c.want {
 			t.Errorf("%s: status %d, want %d", name, r.Status, c.want)
 		}
 	}
 }
 
-// A call that is given up ends its connection only with its neighbours, or when it must not stay out.
-func TestGivingUpASharedConnection(t *testing.T) {
+// A cancelled call closes its connection only together with the other calls on it, or when the router aborts it.
+func TestCancelOnSharedConnection(t *testing.T) {
 	second := make(chan net.Conn, 1)
 	p := serve(t, func(conn net.Conn, r *bufio.Reader) {
 		r.ReadString('\n')
@@ -137,30 +141,30 @@
 		hold(conn, r)
 	})
 	first, cancel := context.WithCancel(context.Background())
-	given := make(chan relay.Result, 1)
-	go func() { given <- p.Call(first, first, 1, read) }()
-	until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].calls) == 1 })
+	cancelled := make(chan relay.Result, 1)
+	go func() { cancelled <- p.Call(first, first, 1, exampleRead) }()
+	until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].pending) == 1 })
 	ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
 	defer end()
 	other := make(chan relay.Result, 1)
-	go func() { other <- p.Call(ctx, ctx, 1, read) }()
+	go func() { other <- p.Call(ctx, ctx, 1, exampleRead) }()
 	conn := testprog.Await(t, second, "second command")
 	cancel()
-	r := testprog.Await(t, given, "end of the call that is given up")
-	if r.Status != hoptiller.Cancelled || r.End == nil {
-		t.Fatalf("the call that was given up: %+v", r)
+	r := testprog.Await(t, cancelled, "end of the cancelled call")
+	if r.Status != hoptiller.Cancelled || r.Abort == nil {
+		t.Fatalf("the cancelled call ended with %+v", r)
 	}
 	conn.Write([]byte("VA 1 O01\r\nx\r\nVA 1 O01\r\ny\r\n"))
-	if o := testprog.Await(t, other, "its neighbour's answer"); o.Status != hoptiller.OK || string(o.Data) != "y" {
-		t.Errorf("its neighbour: %+v", o)
+	if o := testprog.Await(t, other, "answer to the other call"); o.Status != hoptiller.OK || string(o.Data) != "y" {
+		t.Errorf("the other call ended with %+v", o)
 	}
 	until(t, p, "all connections ended", func(s *server) bool { return len(s.conns) == 0 })
-	r.End()
+	r.Abort()
 }
 
-// A spoilt answer ends the connection before it is told, since until then the call counts as out. The calls
-// behind it are no proof of a fault: they end as if given up.
-func TestSpoiltAnswerAndNeighbours(t *testing.T) {
+// A corrupt answer closes the connection before the call's result is passed on, since the call counts as in flight
+// until then. The calls behind it are no proof of a fault: they end as Cancelled.
+func TestCorruptAnswerOnSharedConnection(t *testing.T) {
 	p := serve(t, func(conn net.Conn, r *bufio.Reader) {
 		r.ReadString('\n')
 		r.ReadString('\n')
@@ -171,9 +175,9 @@
 	ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
 	defer end()
 	for i := range 2 {
-		go func() { results <- p.Call(ctx, ctx, 1, read) }()
+		go func() { results <- p.Call(ctx, ctx, 1, exampleRead) }()
 		if i == 0 {
-			until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].calls) == 1 })
+			until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].pending) == 1 })
 		}
 	}
 	a, b := testprog.Await(t, results, "first result"), testprog.Await(t, results, "second result")
@@ -182,91 +186,92 @@
 	}
 }
 
-// On all servers together only so many connections are open: an idle one makes room for one that is needed.
-// A server that is gone is forgotten when nothing leads to it any more.
-func TestTotalAndForget(t *testing.T) {
+// The number of connections to all servers together is limited: an idle connection is closed when another one is
+// needed. A removed server is forgotten when there are no connections to it any more.
+func TestMaxConnsAndForget(t *testing.T) {
 	p := serve(t, answer("EN O01\r\n"))
-	p.set.MostTotal = 1
+	p.settings.MostTotal = 1
 	other := entry(p.servers[1].Addr, hoptiller.Ready)
 	other.ID = 2
 	p.Update(other, false)
 	for _, id := range []uint32{1, 2, 1} {
-		if r := p.Call(context.Background(), context.Background(), id, read); r.Status != hoptiller.Miss || p.total != 1 {
-			t.Errorf("server %d: status %d with %d connections", id, r.Status, p.total)
+		if r := p.Call(context.Background(), context.Background(), id, exampleRead); r.Status != hoptiller.Miss || p.connCount != 1 {
+			t.Errorf("server %d: status %d with %d connections", id, r.Status, p.connCount)
 		}
 	}
 	if p.Forget(1) || !p.Forget(2) {
-		t.Error("1 has a connection and is forgotten, or 2 has none and is not")
+		t.Error("server 1 was forgotten with a connection, or server 2 was not forgotten without one")
 	}
 	p.Update(entry("", hoptiller.Gone), false)
-	if !p.Forget(1) || len(p.servers) != 0 || p.total != 0 {
-		t.Errorf("%d servers and %d connections are left", len(p.servers), p.total)
+	if !p.Forget(1) || len(p.servers) != 0 || p.connCount != 0 {
+		t.Errorf("%d servers and %d connections are left", len(p.servers), p.connCount)
 	}
 }
 
-// A process that has started anew has nothing to do with the connections to the old one, nor with its calls.
+// When a server has restarted, the connections to the old process are closed and their calls end.
 func TestMovedServer(t *testing.T) {
 	p := serve(t, hold)
 	result := make(chan relay.Result, 1)
-	go func() { result <- p.Call(context.Background(), context.Background(), 1, read) }()
-	until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].calls) == 1 })
+	go func() { result <- p.Call(context.Background(), context.Background(), 1, exampleRead) }()
+	until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].pending) == 1 })
 	moved := entry(p.servers[1].Addr, hoptiller.Ready)
-	moved.Since = time.Now().Add(-time.Hour) // news of a start before the connection came up
+	moved.EarliestStart = time.Now().Add(-time.Hour) // a start before the connection was opened
 	p.Update(moved, true)
-	until(t, p, "the connection with its call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].calls) == 1 })
-	moved.Since = time.Now()
+	until(t, p, "the connection still has its call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].pending) == 1 })
+	moved.EarliestStart = time.Now()
 	p.Update(moved, true)
 	if r := testprog.Await(t, result, "end of the call"); r.Status != hoptiller.Reset {
 		t.Errorf("status %d", r.Status)
 	}
 }
 
-// A connection that may have fallen silent gets no more calls while there is another way, so that it takes
-// no more with it than it has.
+// A connection on which the server may have stopped answering gets no more calls while there is an alternative, so
+// that no further calls are lost with it.
 func TestOverdueConnection(t *testing.T) {
 	var later atomic.Bool
-	held := make(chan bool, 1)
+	reached := make(chan bool, 1)
 	p := serve(t, func(conn net.Conn, r *bufio.Reader) {
 		if !later.Swap(true) {
-			held <- true
+			reached <- true
 			hold(conn, r)
 		}
 		answer("EN O01\r\n")(conn, r)
 	})
 	ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
 	defer end()
-	go p.Call(ctx, ctx, 1, read)
-	testprog.Await(t, held, "first connection at the server") // else the second may be the one that is held
-	until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].calls) == 1 })
+	go p.Call(ctx, ctx, 1, exampleRead)
+	testprog.Await(t, reached, "first connection at the server") // else the second may be the one that is held
+	until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].pending) == 1 })
 	p.mu.Lock()
-	silent := p.servers[1].conns[0]
-	silent.calls[0].sent = time.Now().Add(-time.Hour)
+	overdue := p.servers[1].conns[0]
+	overdue.pending[0].sentAt = time.Now().Add(-time.Hour)
 	p.mu.Unlock()
 	for range 2 {
-		if r := p.Call(ctx, ctx, 1, read); r.Status != hoptiller.Miss {
-			t.Errorf("status %d behind a silent call", r.Status)
+		if r := p.Call(ctx, ctx, 1, exampleRead); r.Status != hoptiller.Miss {
+			t.Errorf("status %d while another call is overdue", r.Status)
 		}
 	}
 	p.mu.Lock()
-	if len(p.servers[1].conns) != 2 || silent.load != 1 {
-		t.Errorf("%d connections, %d calls on the silent one", len(p.servers[1].conns), silent.load)
+	if len(p.servers[1].conns) != 2 || overdue.load != 1 {
+		t.Errorf("%d connections, %d calls on the overdue one", len(p.servers[1].conns), overdue.load)
 	}
-	// If all may be silent, and no answer tells that the server is at ease, it may be slow: no more are opened.
+	// If all connections may be stuck and no later call was answered, the server itself may be slow, so no more are
+	// opened.
 	s := p.servers[1]
-	s.conns = []*conn{silent, silent, silent}
-	s.passed = time.Time{}
-	if s.leastBusy(time.Now(), false) != silent {
-		t.Error("another connection to a server that may be slow")
+	s.conns = []*conn{overdue, overdue, overdue}
+	s.newestAnswered = time.Time{}
+	if s.leastBusy(time.Now(), false) != overdue {
+		t.Error("another connection is opened to a server that may be slow")
 	}
-	s.passed = time.Now()
-	if s.leastBusy(time.Now(), false) != nil || s.leastBusy(time.Now(), true) != silent {
-		t.Error("no other connection to a server that answers, or one too many")
+	s.newestAnswered = time.Now()
+	if s.leastBusy(time.Now(), false) != nil || s.leastBusy(time.Now(), true) != overdue {
+		t.Error("no other connection to a server that answers, or one above the limit")
 	}
-	s.conns = []*conn{silent}
+	s.conns = []*conn{overdue}
 	p.mu.Unlock()
 }
 
-// until waits for a state of the server that calls bring about by themselves.
+// until waits until the server reaches a state that the calls in progress bring about.
 func until(t *testing.T, p *Pool, what string, ok func(*server) bool) {
 	t.Helper()
 	testprog.Until(t, what, func() bool {
@@ -284,20 +289,20 @@
 		answer("EN O01\r\n")(conn, r)
 	})
 	for range 2 {
-		p.Call(context.Background(), context.Background(), 1, read)
+		p.Call(context.Background(), context.Background(), 1, exampleRead)
 	}
 	p.mu.Lock()
-	p.set.IdleLimit = time.Nanosecond
+	p.settings.IdleLimit = time.Nanosecond
 	p.mu.Unlock()
-	p.Call(context.Background(), context.Background(), 1, read)
+	p.Call(context.Background(), context.Background(), 1, exampleRead)
 	if len(conns) != 2 {
 		t.Errorf("%d connections for two calls on one and one after the limit", len(conns))
 	}
 }
 
-// Beyond those that the server's table has room for from each router, idle connections end by themselves, and
-// those used last are kept.
-func TestIdleEnds(t *testing.T) {
+// Surplus idle connections, beyond those for which the server's table has room from each router, are closed on their
+// own. The connections used last stay open.
+func TestSurplusIdleConnections(t *testing.T) {
 	ended := make(chan net.Conn, 3)
 	release := make(chan bool)
 	p := serve(t, func(conn net.Conn, r *bufio.Reader) {
@@ -307,22 +312,23 @@
 		r.ReadString('\n')
 		ended <- conn
 	})
-	p.set.Share, p.set.Kept, p.set.ConnectTimeout = 1, 1, 50*time.Millisecond
+	p.settings.Share, p.settings.Kept, p.settings.ConnectTimeout = 1, 1, 50*time.Millisecond
 	called := make(chan relay.Result, 3)
 	for range 3 {
-		go func() { called <- p.Call(t.Context(), t.Context(), 1, read) }()
+		go func() { called <- p.Call(t.Context(), t.Context(), 1, exampleRead) }()
 	}
-	// Each has a connection of its own before the first is answered: else a later call goes out on that one, whose
-	// command the server takes for the end.
+	// All three calls are in flight, each on its own connection, before the first is answered. Otherwise a later call
+	// would use the connection of an answered one, and the server would take its command for the end of the
+	// connection.
 	until(t, p, "three connections with a call each", func(s *server) bool {
-		out := 0
+		inFlight := 0
 		for _, c := range s.conns {
-			out += len(c.calls)
+			inFlight += len(c.pending)
 		}
-		return len(s.conns) == 3 && out == 3
+		return len(s.conns) == 3 && inFlight == 3
 	})
 	for range 3 {
-		testprog.Give(t, release, true, "the word to answer")
+		testprog.Give(t, release, true, "the signal to answer")
 	}
 	for range 3 {
 		testprog.Await(t, called, "answer")
@@ -332,80 +338,82 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n := len(p.servers[1].conns); n != 1 {
-		t.Errorf("%d connections are left, not 1", n)
+		t.Errorf("%d connections are open, not 1", n)
 	}
 }
 
-// Calls that find all connections of a server still coming up wait for one: many at once would else fail before the first
-// is there, as clients of a router that has just started did on a busy machine.
+// Calls that find all connections of a server still being opened wait for one. Otherwise many simultaneous calls
+// would fail before the first connection is established, as happened to clients of a router that had just started on
+// a busy machine.
 func TestWaitsForADial(t *testing.T) {
 	p := serve(t, answer("EN O01\r\n"))
-	p.set.MostConns = 1
+	p.settings.MostConns = 1
 	p.mu.Lock()
 	s := p.servers[1]
 	s.dialing = 1
 	p.mu.Unlock()
-	called := make(chan relay.Result, 2)
+	results := make(chan relay.Result, 2)
 	for range 2 {
-		go func() { called <- p.Call(t.Context(), t.Context(), 1, read) }()
+		go func() { results <- p.Call(t.Context(), t.Context(), 1, exampleRead) }()
 	}
-	gone, leave := context.WithCancel(t.Context())
-	until(t, p, "a call waits", func(s *server) bool { return s.next != nil })
-	leave()
-	if r := p.Call(gone, gone, 1, read); r.Status != hoptiller.Moot {
-		t.Errorf("one whose client leaves meanwhile ends as %d", r.Status)
+	clientCtx, disconnect := context.WithCancel(t.Context())
+	until(t, p, "a call waits", func(s *server) bool { return s.nextDial != nil })
+	disconnect()
+	if r := p.Call(clientCtx, clientCtx, 1, exampleRead); r.Status != hoptiller.Moot {
+		t.Errorf("a call whose client disconnected meanwhile ended with status %d", r.Status)
 	}
 	p.mu.Lock()
 	s.dialEnded(nil)
 	p.mu.Unlock()
 	for range 2 {
-		if r := testprog.Await(t, called, "end of a call"); r.Status != hoptiller.Miss {
-			t.Errorf("a call that waited for a connection ends as %d", r.Status)
+		if r := testprog.Await(t, results, "end of a call"); r.Status != hoptiller.Miss {
+			t.Errorf("a call that waited for a connection ended with status %d", r.Status)
 		}
 	}
 	p.Close()
 	p.mu.Lock()
 	s.dialing = 1
 	p.mu.Unlock()
-	go func() { called <- p.Call(t.Context(), t.Context(), 1, read) }()
-	until(t, p, "a call waits again", func(s *server) bool { return s.next != nil })
+	go func() { results <- p.Call(t.Context(), t.Context(), 1, exampleRead) }()
+	until(t, p, "a call waits again", func(s *server) bool { return s.nextDial != nil })
 	p.mu.Lock()
 	s.dialEnded(errMoved)
 	p.mu.Unlock()
-	if r := testprog.Await(t, called, "end of a call"); r.Status != hoptiller.ConnectFailed {
-		t.Errorf("a call whose connection did not come up ends as %d", r.Status)
+	if r := testprog.Await(t, results, "end of a call"); r.Status != hoptiller.ConnectFailed {
+		t.Errorf("a call whose connection was not established ended with status %d", r.Status)
 	}
 }
 
-// A server that ends connections before it answers anything is seen to be gone, once, and to be back with its first answer.
-func TestSeen(t *testing.T) {
-	var gone atomic.Bool
+// A server that closes connections before it answers anything is reported as down, once, and as up again with its
+// first answer.
+func TestServerObservations(t *testing.T) {
+	var isDown atomic.Bool
 	p := serve(t, func(conn net.Conn, r *bufio.Reader) {
-		for _, err := r.ReadString('\n'); err == nil && !gone.Load(); _, err = r.ReadString('\n') {
+		for _, err := r.ReadString('\n'); err == nil && !isDown.Load(); _, err = r.ReadString('\n') {
 			conn.Write([]byte("EN O01\r\n"))
 		}
 	})
-	seen := make(chan bool, 10)
-	p.set.Seen = func(id uint32, up bool) { seen <- up }
+	reports := make(chan bool, 10)
+	p.settings.Seen = func(id uint32, up bool) { reports <- up }
 	ctx, cancel := context.WithTimeout(context.Background(), testprog.Patience)
 	defer cancel()
-	call := func(down bool) {
-		gone.Store(down)
-		p.Call(ctx, ctx, 1, read)
-		until(t, p, "no connection that ends", func(s *server) bool { return !down || len(s.conns) == 0 })
+	call := func(wantDown bool) {
+		isDown.Store(wantDown)
+		p.Call(ctx, ctx, 1, exampleRead)
+		until(t, p, "no connection that ends", func(s *server) bool { return !wantDown || len(s.conns) == 0 })
 	}
 	call(false)
-	call(true) // on a connection that was of use: a neighbour's end shows nothing
-	if len(seen) > 0 {
-		t.Fatal("seen too early")
+	call(true) // on a connection on which calls were answered: its end proves nothing
+	if len(reports) > 0 {
+		t.Fatal("the server was reported as down too early")
 	}
 	call(true)
 	call(true)
-	if up := testprog.Await(t, seen, "its end"); up || len(seen) > 0 {
-		t.Errorf("up %v, and %d more", up, len(seen))
+	if up := testprog.Await(t, reports, "report that the server is down"); up || len(reports) > 0 {
+		t.Errorf("up %v, and %d more reports", up, len(reports))
 	}
 	call(false)
-	if up := testprog.Await(t, seen, "its return"); !up || len(seen) > 0 {
-		t.Errorf("up %v, and %d more", up, len(seen))
+	if up := testprog.Await(t, reports, "report that the server is up"); !up || len(reports) > 0 {
+		t.Errorf("up %v, and %d more reports", up, len(reports))
 	}
 }
--- a/internal/upstream/protocol.go
+++ b/internal/upstream/protocol.go
@@ -9,87 +9,87 @@
 	"hoptiller/internal/relay"
 )
 
-// Protocol is how a kind of server is spoken to.
+// Protocol encodes attempts for one kind of server and decodes its replies.
 type Protocol interface {
-	// Append writes an attempt but for its value, if it is a write, and what is to follow that.
-	Append(b []byte, a *Attempt) (head []byte, tail string)
-	// Parse reads the answer to the call of req at the start of b.
-	Parse(b []byte, req *relay.Request) (Reply, error)
+	// AppendAttempt appends an attempt to b, without the value if it is a write. tail is what must follow that value.
+	AppendAttempt(b []byte, a *Attempt) (head []byte, tail string)
+	// ParseReply reads the reply to an attempt at req from the start of b.
+	ParseReply(b []byte, req *relay.Request) (Reply, error)
 }
 
-// Reply is an answer as it was read.
+// Reply is a decoded reply.
 type Reply struct {
-	N      int // bytes that it takes up; 0: it is not whole yet
-	Status hoptiller.Status
-	Report []byte  // what the server tells of its load; nil: nothing
-	Data   []byte  // the value or the receipt
-	Long   Decoder // if set, a long value follows those bytes
-	Length int     // of that; -1: it shows at its end
-	Keep   bool    // the connection can be used after it
+	Size         int // number of bytes that the reply takes up; 0: it is still incomplete
+	Status       hoptiller.Status
+	LoadReport   []byte  // the server's load report; nil: none
+	Data         []byte  // the value of a read or the receipt of a write
+	ValueDecoder Decoder // if set, a long value follows, which this decoder reads
+	ValueLen     int     // length of the long value in bytes; -1: known only at its end
+	KeepConn     bool    // the connection is usable after the reply
 }
 
-// Decoder takes a long value from what comes.
+// Decoder extracts a long value from the bytes that arrive.
 type Decoder interface {
-	// Take gives the next part of the value in b, which may be empty, and tells how many bytes are used up with it, and
-	// whether that was all. If none are, more must come first.
-	Take(b []byte) (part []byte, used int, done bool, err error)
+	// Decode returns the next part of the value in b, which may be empty, how many bytes of b it has consumed, and
+	// whether the value is complete. If it consumes none, it needs more bytes.
+	Decode(b []byte) (part []byte, used int, done bool, err error)
 }
 
-// Counted is the Decoder of a value whose length is known.
-type Counted struct {
-	Left int    // of the value
-	Tail string // what follows it
+// LengthDecoder is the Decoder of a value whose length is known.
+type LengthDecoder struct {
+	Remaining  int    // bytes of the value that are still to come
+	Terminator string // what must still follow the value
 }
 
-var errTail = errors.New("value without its end")
+var errTerminator = errors.New("value is not followed by its terminator")
 
-// Take implements Decoder.
-func (c *Counted) Take(b []byte) (part []byte, used int, done bool, err error) {
-	if used = min(c.Left, len(b)); used > 0 {
-		c.Left -= used
-		return b[:used], used, c.Left == 0 && c.Tail == "", nil
+// Decode implements Decoder.
+func (d *LengthDecoder) Decode(b []byte) (part []byte, used int, done bool, err error) {
+	if used = min(d.Remaining, len(b)); used > 0 {
+		d.Remaining -= used
+		return b[:used], used, d.Remaining == 0 && d.Terminator == "", nil
 	}
-	n := min(len(c.Tail), len(b))
-	if string(b[:n]) != c.Tail[:n] {
-		return nil, 0, false, errTail
+	n := min(len(d.Terminator), len(b))
+	if string(b[:n]) != d.Terminator[:n] {
+		return nil, 0, false, errTerminator
 	}
-	c.Tail = c.Tail[n:]
-	return nil, n, c.Tail == "", nil
+	d.Terminator = d.Terminator[n:]
+	return nil, n, d.Terminator == "", nil
 }
 
-// ToEnd is the Decoder of a value that ends with its connection.
-type ToEnd struct{}
+// UntilCloseDecoder is the Decoder of a value that ends when its connection is closed.
+type UntilCloseDecoder struct{}
 
-// Take implements Decoder.
-func (ToEnd) Take(b []byte) (part []byte, used int, done bool, err error) {
+// Decode implements Decoder.
+func (UntilCloseDecoder) Decode(b []byte) (part []byte, used int, done bool, err error) {
 	return b, len(b), false, nil
 }
 
-// Receipt tells whether an origin's answer to a write can be passed on: any other would break the line in which a client is
-// given it.
-func Receipt(b []byte) bool {
+// ValidReceipt reports whether the receipt in an origin's answer to a write can be passed on. A space or control
+// character would break the line in which the client gets the receipt.
+func ValidReceipt(b []byte) bool {
 	return !bytes.ContainsFunc(b, func(r rune) bool { return r <= ' ' || r == 0x7f })
 }
 
 // Meta is the protocol of the cache servers.
 type Meta struct{}
 
-// Append implements Protocol.
-func (Meta) Append(b []byte, a *Attempt) (head []byte, tail string) {
-	c := meta.Command{Verb: meta.Get, Key: a.Key, ID: a.ID, Facts: a.Facts, Long: a.Length}
+// AppendAttempt implements Protocol.
+func (Meta) AppendAttempt(b []byte, a *Attempt) (head []byte, tail string) {
+	c := meta.Command{Verb: meta.Get, Key: a.Key, ID: a.ID, Facts: a.Facts, Long: a.ValueLen}
 	if a.Write {
 		c.Verb, tail = meta.Set, "\r\n"
 	}
 	return meta.AppendCommand(b, &c), tail
 }
 
-// Parse implements Protocol.
-func (Meta) Parse(b []byte, req *relay.Request) (Reply, error) {
+// ParseReply implements Protocol.
+func (Meta) ParseReply(b []byte, req *relay.Request) (Reply, error) {
 	a, n, err := meta.ParseAnswer(b, string(req.ID))
 	if err != nil || n == 0 {
 		return Reply{}, err
 	}
-	r := Reply{N: n, Keep: true, Report: a.Report}
+	r := Reply{Size: n, KeepConn: true, LoadReport: a.Report}
 	switch a.Kind {
 	case meta.Failed:
 		r.Status = hoptiller.ServerError
@@ -99,10 +99,10 @@
 		r.Status = hoptiller.Miss
 	default:
 		if req.Write != (a.Kind == meta.Stored) {
-			return Reply{}, meta.ErrAnswer
+			return Reply{}, meta.ErrNotAnswer
 		}
-		if r.Status, r.Data = hoptiller.OK, a.Data; a.Long > 0 {
-			r.Long, r.Length = &Counted{a.Long, "\r\n"}, a.Long
+		if r.Status, r.Data = hoptiller.OK, a.Data; a.LongValueLen > 0 {
+			r.ValueDecoder, r.ValueLen = &LengthDecoder{a.LongValueLen, "\r\n"}, a.LongValueLen
 		}
 	}
 	return r, nil
--- a/internal/upstream/reap.go
+++ b/internal/upstream/reap.go
@@ -2,34 +2,39 @@
 
 import "time"
 
-// What one router keeps idle costs nothing; what hundreds keep fills the tables of the servers, which then
-// turn away whoever comes. So connections beyond a router's part are closed once they have been idle for as long as
-// the tables have room for, by one timer for the whole pool that runs only while there are such.
+// The idle connections of one router cost nothing, but those of hundreds of routers fill the connection tables of the
+// servers, which then refuse every new connection. So connections beyond a router's share are closed once they have
+// been idle for as long as the tables allow. One timer does this for the whole pool, and runs only while there are
+// surplus connections.
 
-// idleFor is how long that is; what may take longer to come up again is not closed for less.
-func (p *Pool) idleFor() time.Duration { return max(p.calls.Idle(p.set.Places), p.set.ConnectTimeout) }
+// surplusIdleTime returns how long surplus connections may stay idle. It is never shorter than ConnectTimeout, since
+// reopening a connection may take that long.
+func (p *Pool) surplusIdleTime() time.Duration {
+	return max(p.callTimes.Idle(p.settings.Places), p.settings.ConnectTimeout)
+}
 
-// reapLater has the idle connections to a server looked at in time. p.mu is held.
-func (p *Pool) reapLater(s *server) {
-	if !p.reaping && len(s.conns) > p.set.Kept {
-		p.reaping = true
-		time.AfterFunc(p.idleFor(), p.reap)
+// scheduleReap schedules a check of the idle connections if the server has surplus connections and no check is
+// scheduled yet. The caller holds p.mu.
+func (p *Pool) scheduleReap(s *server) {
+	if !p.reapScheduled && len(s.conns) > p.settings.Kept {
+		p.reapScheduled = true
+		time.AfterFunc(p.surplusIdleTime(), p.reap)
 	}
 }
 
-// reap closes what has been idle too long and comes again when the next is due, but not at once: some
-// that fall due together are closed together.
+// reap closes the surplus connections that have been idle too long and schedules itself for when the next one is due,
+// but not at once: connections that become due close together are closed together.
 func (p *Pool) reap() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	limit, now := p.idleFor(), time.Now()
+	limit, now := p.surplusIdleTime(), time.Now()
 	next := limit + 1
 	for _, s := range p.servers {
-		for i := 0; i < len(s.conns) && len(s.conns) > p.set.Kept; { // those used last are at the end, and are kept
+		for i := 0; i < len(s.conns) && len(s.conns) > p.settings.Kept; { // the connections used last are at the end and stay open
 			c := s.conns[i]
-			left := limit - now.Sub(c.idleAt)
+			left := limit - now.Sub(c.lastReleased)
 			if c.load == 0 && left <= 0 {
-				p.drop(c, CloseIdleSurplus)
+				p.closeReset(c, CloseIdleSurplus)
 				continue
 			}
 			if c.load == 0 {
@@ -38,7 +43,7 @@
 			i++
 		}
 	}
-	if p.reaping = next <= limit; p.reaping {
+	if p.reapScheduled = next <= limit; p.reapScheduled {
 		time.AfterFunc(max(next, limit/8), p.reap)
 	}
 }
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -11,33 +11,33 @@
 	"hoptiller/internal/relay"
 )
 
-// answerStall is how long an answer that has begun may stop before its end.
-const answerStall = 150 * time.Millisecond
+// maxAnswerGap limits the pause within an answer that has begun.
+const maxAnswerGap = 150 * time.Millisecond
 
-// read takes the answers on a connection until it ends. An answer that has begun goes on, so one that stops
-// is spoilt: to wait on would hold up all calls behind it until their time is up.
-func (c *conn) read() {
+// readLoop reads the answers on a connection until the connection ends. An answer that has begun continues without
+// long pauses, so one that stops is corrupt. Waiting longer would delay all calls behind it until their time is over.
+func (c *conn) readLoop() {
 	var err error
 	r := c.reader
-	ok, next := true, r.Next
-	for ok && err == nil {
-		var long *body
+	readable, next := true, r.Next
+	for readable && err == nil {
+		var stream *streamBody
 		err = next(func(b []byte) (used int) {
-			used, long, ok = c.answers(b)
+			used, stream, readable = c.handleAnswers(b)
 			return used
 		})
 		next = r.Next
-		if long != nil {
-			if long.reader = r; !long.hand() {
+		if stream != nil {
+			if stream.reader = r; !stream.deliver() {
 				return
 			}
-			next = r.Again // what has come behind it
+			next = r.Again // what arrived behind the long value
 		}
-		if errors.Is(err, os.ErrDeadlineExceeded) && c.goesOn() {
+		if errors.Is(err, os.ErrDeadlineExceeded) && c.moreArrived() {
 			err = nil
 		}
 		if r.Unread() > 0 {
-			c.SetReadDeadline(time.Now().Add(answerStall))
+			c.SetReadDeadline(time.Now().Add(maxAnswerGap))
 		} else {
 			c.SetReadDeadline(time.Time{})
 		}
@@ -49,70 +49,71 @@
 		p.failUnreadable(c)
 		return
 	}
-	if !c.useful && !c.dead {
+	if !c.answered && !c.closed {
 		p.observe(c.server, false)
 	}
-	p.drop(c, CloseServerEnded)
+	p.closeReset(c, CloseServerEnded)
 }
 
-// goesOn tells whether more of an answer has come just as the time for it was over, as it has where the program stood still
-// meanwhile.
-func (c *conn) goesOn() bool {
+// moreArrived reports whether more of an answer arrived just as the time for it ran out, as happens when the process
+// was paused meanwhile.
+func (c *conn) moreArrived() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	return !c.dead && c.reader.Waiting()
+	return !c.closed && c.reader.Waiting()
 }
 
-// answers hands out the whole answers in b and tells how many bytes they took up, which long value follows
-// those if one does, and whether the connection can be read on.
-func (c *conn) answers(b []byte) (used int, long *body, ok bool) {
+// handleAnswers passes the complete handleAnswers in b to their callers. It returns how many bytes they took up, the long
+// value that follows them, if any, and whether the connection can still be read.
+func (c *conn) handleAnswers(b []byte) (used int, stream *streamBody, readable bool) {
 	p := c.pool
-	p.mu.Lock() // also keeps a call from being given up while its answer is read
+	p.mu.Lock() // also keeps a call from being cancelled while its answer is read
 	defer p.mu.Unlock()
 	defer func() {
-		if ok && used == len(b) && long == nil {
-			c.reader.Handled()
+		if readable && used == len(b) && stream == nil {
+			c.reader.MarkHandled()
 		}
 	}()
-	for used < len(b) && !c.dead {
-		// An answer that nothing asked for must not reach the next call, nor one that was read before that call was sent.
-		if len(c.calls) == 0 || c.calls[0].sent.After(c.reader.At) {
+	for used < len(b) && !c.closed {
+		// Neither an unsolicited answer nor an answer that was read before the next call was sent may reach that
+		// call.
+		if len(c.pending) == 0 || c.pending[0].sentAt.After(c.reader.LastRead) {
 			return used, nil, false
 		}
-		out := c.calls[0]
-		reply, err := p.proto.Parse(b[used:], out.req)
+		call := c.pending[0]
+		reply, err := p.protocol.ParseReply(b[used:], call.req)
 		if err != nil {
 			p.failUnreadable(c)
 			return used, nil, false
 		}
-		if reply.N == 0 {
+		if reply.Size == 0 {
 			return used, nil, true
 		}
-		used += reply.N
-		if reply.Report != nil && p.set.Reports != nil {
-			p.set.Reports.Take(c.server.ID, reply.Report)
+		used += reply.Size
+		if reply.LoadReport != nil && p.settings.Reports != nil {
+			p.settings.Reports.Take(c.server.ID, reply.LoadReport)
 		}
-		c.calls, c.useful = c.calls[1:], true
+		c.pending, c.answered = c.pending[1:], true
 		p.observe(c.server, true)
-		if s := c.server; out.sent.After(s.passed) {
-			s.passed = out.sent
+		if s := c.server; call.sentAt.After(s.newestAnswered) {
+			s.newestAnswered = call.sentAt
 		}
-		took := time.Since(out.sent)
-		c.server.typical += (took - c.server.typical) / 16
-		p.calls.Ended(took)
-		if reply.Long != nil {
-			p.longAt = time.Now()
-			c.body = &body{conn: c, out: out, decoder: reply.Long, length: reply.Length, keep: reply.Keep, ended: make(chan struct{})}
-			return used, c.body, true
+		took := time.Since(call.sentAt)
+		c.server.typicalLatency += (took - c.server.typicalLatency) / 16
+		p.callTimes.Ended(took)
+		if reply.ValueDecoder != nil {
+			p.lastLongValue = time.Now()
+			c.stream = &streamBody{conn: c, call: call, decoder: reply.ValueDecoder, length: reply.ValueLen, keepConn: reply.KeepConn, ended: make(chan struct{})}
+			return used, c.stream, true
 		}
 		r := relay.Result{Status: reply.Status}
-		if reply.Status == hoptiller.OK && !out.abandoned {
+		if reply.Status == hoptiller.OK && !call.abandoned {
 			r.Data = bytes.Clone(reply.Data)
 		}
-		if c.leave(); !reply.Keep {
-			p.drop(c, CloseLastAnswer)
+		if c.release(); !reply.KeepConn {
+			p.closeReset(c, CloseLastAnswer)
 		}
-		out.done <- r
+		call.result <- r
 	}
-	return used, nil, !c.dead
+	return used, nil, !c.closed
 }
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -10,28 +10,28 @@
 	"hoptiller/internal/testprog"
 )
 
-// Crossing: the time in which an answer has to go on is over just as its rest has come and is not read yet, as where the program
-// stood still meanwhile. The answer counts.
-func TestRestOfAnAnswerInTheMomentOfTheEnd(t *testing.T) {
+// A race: the time limit for the rest of an answer passes just as that rest has arrived and has not been read yet,
+// for example because the process was paused. The answer counts.
+func TestAnswerRestAtTimeLimit(t *testing.T) {
 	t.Parallel()
-	p, c, server := resting(t)
-	calls := make([]*call, 2)
+	p, c, server := idleConn(t)
+	calls := make([]*pendingCall, 2)
 	for i := range calls {
-		calls[i] = &call{req: named(fmt.Sprintf("0%d", i+1)), done: make(chan relay.Result, 1), sent: time.Now()}
+		calls[i] = &pendingCall{req: readRequest(fmt.Sprintf("0%d", i+1)), result: make(chan relay.Result, 1), sentAt: time.Now()}
 	}
-	p.mu.Lock()
-	c.calls, c.load = append(c.calls, calls...), len(calls)
+	p.mu.Lock() // the bytes read so far have been handled; readLoop waits for this lock when the time limit passes
+	c.pending, c.load = append(c.pending, calls...), len(calls)
 	p.mu.Unlock()
-	go c.read()
+	go c.readLoop()
 	fmt.Fprint(server, "EN O01\r\nEN O0")
-	testprog.Await(t, calls[0].done, "first answer")
-	p.mu.Lock() // what has been read is taken, and whoever reads waits for this when the time is over
-	over := time.NewTimer(2 * answerStall)
-	<-over.C
+	testprog.Await(t, calls[0].result, "first answer")
+	p.mu.Lock() // what has been read is taken, and whoever reads waits for this when the time is pause
+	pause := time.NewTimer(2 * maxAnswerGap)
+	<-pause.C
 	fmt.Fprint(server, "2\r\n")
-	testprog.Until(t, "the rest has come", func() bool { return !c.reader.Resting() })
+	testprog.Until(t, "the rest has arrived", func() bool { return !c.reader.Quiet() })
 	p.mu.Unlock()
-	if r := testprog.Await(t, calls[1].done, "second answer"); r.Status != hoptiller.Miss {
-		t.Errorf("the second call ends as %d", r.Status)
+	if r := testprog.Await(t, calls[1].result, "second answer"); r.Status != hoptiller.Miss {
+		t.Errorf("the second call ended with status %d", r.Status)
 	}
 }
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -11,95 +11,100 @@
 	"hoptiller/internal/buffer"
 )
 
-// send writes a call, unless the connection has ended or is to end since it was chosen; then another may be. If it fails, it tells how:
-// until the last byte is written the server can't have begun the call.
-func (c *conn) send(begin, ctx context.Context, out *call) (sent bool, status hoptiller.Status) {
-	c.write.Lock() // calls are queued in the order in which they are written
-	defer c.write.Unlock()
-	by, _ := begin.Deadline()
-	c.SetWriteDeadline(by)
+// send writes a call. If the connection has ended, or must take no more calls, since it was chosen, send returns
+// false with status OK, and another connection may be tried. If it fails, the status says how: the server cannot have
+// begun the call until the last byte is written.
+func (c *conn) send(sendCtx, ctx context.Context, call *pendingCall) (sent bool, status hoptiller.Status) {
+	c.writeMu.Lock() // calls are queued in the order in which they are written
+	defer c.writeMu.Unlock()
+	sendBy, _ := sendCtx.Deadline()
+	c.SetWriteDeadline(sendBy)
 	buf := buffer.Get()
 	defer buffer.Put(buf)
-	o := outgoing{conn: c, begin: begin, ctx: ctx, call: out, buf: buf}
-	o.prepare(timeLeft(ctx))
-	if !c.enter(out) {
+	o := outgoing{conn: c, sendCtx: sendCtx, ctx: ctx, call: call, buf: buf}
+	o.encode(remainingTime(ctx))
+	if !c.enqueue(call) {
 		return false, hoptiller.OK
 	}
 	written, err := o.write()
 	if err == nil && o.status == hoptiller.OK {
-		if c.pool.set.Called != nil {
-			c.pool.set.Called()
+		if c.pool.settings.Called != nil {
+			c.pool.settings.Called()
 		}
 		return true, hoptiller.OK
 	}
-	c.takeBack(out, written, err)
+	c.dequeueUnsent(call, written, err)
 	switch {
 	case o.status != hoptiller.OK:
 		return false, o.status
 	case errors.Is(ctx.Err(), context.Canceled):
 		return false, hoptiller.Moot
-	case begin.Err() != nil, over(begin):
-		return false, notBegun(begin)
+	case sendCtx.Err() != nil, deadlinePassed(sendCtx):
+		return false, unsentStatus(sendCtx)
 	}
 	return false, hoptiller.ConnectFailed
 }
 
-// enter queues a call that is about to be written, if the connection can still carry it. It is queued first, so that an answer finds it.
-func (c *conn) enter(out *call) (entered bool) {
+// enqueue queues a call that is about to be written, and reports whether the connection can still carry it. The call
+// is queued before it is written, so that its answer finds it.
+func (c *conn) enqueue(call *pendingCall) (queued bool) {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case c.dead || c.ending || c.body != nil:
-		c.leave()
+	case c.closed || c.closeWhenUnused || c.stream != nil:
+		c.release()
 		return false
-	case len(c.calls) == 0 && c.useful && !c.reader.Resting(): // it has ended while it rested, or says what nobody asked for
-		c.leave()
-		p.drop(c, CloseNotAtRest)
+	case len(c.pending) == 0 && c.answered && !c.reader.Quiet(): // it ended or received unsolicited bytes while it was idle
+		c.release()
+		p.closeReset(c, CloseNotQuiet)
 		return false
 	}
-	out.sent = time.Now()
-	c.calls = append(c.calls, out)
+	call.sentAt = time.Now()
+	c.pending = append(c.pending, call)
 	return true
 }
 
-// takeBack takes a call off the connection that was not written whole. err is what the write failed with; nil: the last look ended it.
-func (c *conn) takeBack(out *call, written int64, err error) {
+// dequeueUnsent removes a call that was not written completely from the connection. err is the error of the write;
+// nil: the final check ended the call.
+func (c *conn) dequeueUnsent(call *pendingCall, written int64, err error) {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	queued := slices.Contains(c.calls, out)
-	c.calls = slices.DeleteFunc(c.calls, func(o *call) bool { return o == out })
+	queued := slices.Contains(c.pending, call)
+	c.pending = slices.DeleteFunc(c.pending, func(other *pendingCall) bool { return other == call })
 	switch {
 	case written > 0 || err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
-		p.drop(c, CloseWriteFailed) // half a call is on it, or it is broken
+		p.closeReset(c, CloseWriteFailed) // the connection carries part of a call, or is broken
 	case queued || err != nil:
-		c.leave() // what others have out on it goes on
+		c.release() // the other calls on the connection continue
 	}
 }
 
-// over tells whether a context's time is up by the clock. Its timer may not have run yet, where the process stood still.
-func over(ctx context.Context) bool {
+// deadlinePassed reports whether a context's deadline has passed by the clock. The context's own timer may be late if
+// the process was paused.
+func deadlinePassed(ctx context.Context) bool {
 	end, known := ctx.Deadline()
 	return known && !time.Now().Before(end)
 }
 
-// stopped is told whether the call's end can no longer cut off what is written. Where it may, nothing more is to be.
-func (c *conn) stopped(stopped bool) {
-	if stopped {
+// afterWrite is called after a write that the end of the call's ctx can cut off by setting the connection's write
+// deadline. If deadlineStopped is false, the deadline may still be set, so the connection takes no more calls.
+func (c *conn) afterWrite(deadlineStopped bool) {
+	if deadlineStopped {
 		return
 	}
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if c.ending = true; !c.dead {
-		c.dropIfUnused()
+	if c.closeWhenUnused = true; !c.closed {
+		c.closeIfUnused()
 	}
 }
 
-// leave takes a call off the connection's count. p.mu is held.
-func (c *conn) leave() {
+// release removes a call from the connection's load. The caller holds p.mu.
+func (c *conn) release() {
 	c.load--
-	c.idleAt = time.Now()
-	c.dropIfUnused()
-	c.pool.reapLater(c.server)
+	c.lastReleased = time.Now()
+	c.closeIfUnused()
+	c.pool.scheduleReap(c.server)
 }
--- a/internal/upstream/stalled_answer_test.go
+++ b/internal/upstream/stalled_answer_test.go
@@ -11,11 +11,12 @@
 	"hoptiller/internal/testprog"
 )
 
-// Answers that begin and never end, on connections that stay open. Each is spoilt long before its call's time is over, its
-// connection ends, and the next call, on another one, has its answer.
+// The server sends the beginning of an answer and nothing more, and keeps the connection open. The answer counts as
+// corrupt long before the call's time is over, the connection is closed, and the next call is answered on another
+// one.
 func TestAnswerThatStops(t *testing.T) {
 	t.Parallel()
-	for name, begun := range map[string]string{
+	for name, beginning := range map[string]string{
 		"in its first line": "VA 4 O0",
 		"before its value":  "VA 4 O01 h1\r\n",
 		"in its value":      "VA 4 O01 h1\r\nab",
@@ -28,7 +29,7 @@
 			p := serve(t, func(conn net.Conn, r *bufio.Reader) {
 				select {
 				case <-first:
-					answer(begun)(conn, r)
+					answer(beginning)(conn, r)
 					hold(conn, r)
 				default:
 					answer("EN O01\r\n")(conn, r)
@@ -37,10 +38,10 @@
 			ctx, cancel := context.WithTimeout(t.Context(), testprog.Patience)
 			defer cancel()
 			began := time.Now()
-			if r := p.Call(ctx, ctx, 1, read); r.Status != hoptiller.ServerError || time.Since(began) > testprog.Patience/2 {
+			if r := p.Call(ctx, ctx, 1, exampleRead); r.Status != hoptiller.ServerError || time.Since(began) > testprog.Patience/2 {
 				t.Errorf("status %d after %v", r.Status, time.Since(began))
 			}
-			if r := p.Call(ctx, ctx, 1, read); r.Status != hoptiller.Miss {
+			if r := p.Call(ctx, ctx, 1, exampleRead); r.Status != hoptiller.Miss {
 				t.Errorf("the next call: status %d", r.Status)
 			}
 		})
--- a/internal/upstream/whole.go
+++ b/internal/upstream/whole.go
@@ -12,29 +12,29 @@
 	"hoptiller/internal/relay"
 )
 
-const mostReceipt = 64 << 10 // bytes, as of one whose length is stated
+const maxReceipt = 64 << 10 // bytes; the same limit as for a receipt whose length is stated
 
-var errLong = errors.New("value too long")
+var errValueTooLong = errors.New("value too long")
 
-// whole is a long value that is here already. It is a relay.Body.
-type whole struct {
-	value *buffer.Chain
-	free  func()
-	begun atomic.Bool // whoever sets it frees the value
-	given atomic.Bool // up
+// bufferedBody is a long value that has arrived completely. It implements relay.Body.
+type bufferedBody struct {
+	value     *buffer.Chain
+	free      func()      // releases the memory of the value
+	claimed   atomic.Bool // whoever sets it must free the value
+	abandoned atomic.Bool // the value was closed
 }
 
 // Len implements relay.Body.
-func (w *whole) Len() int { return w.value.Len() }
+func (b *bufferedBody) Len() int { return b.value.Len() }
 
 // Copy implements relay.Body.
-func (w *whole) Copy(write func(piece []byte) error) error {
-	if !w.begun.CompareAndSwap(false, true) {
+func (b *bufferedBody) Copy(write func(piece []byte) error) error {
+	if !b.claimed.CompareAndSwap(false, true) {
 		return errAbandoned
 	}
-	defer w.free()
-	for _, part := range w.value.Parts(nil) {
-		if w.given.Load() {
+	defer b.free()
+	for _, part := range b.value.Parts(nil) {
+		if b.abandoned.Load() {
 			return errAbandoned
 		}
 		if err := write(part); err != nil {
@@ -45,55 +45,56 @@
 }
 
 // Close implements relay.Body.
-func (w *whole) Close() {
-	if w.given.Store(true); w.begun.CompareAndSwap(false, true) {
-		w.free()
+func (b *bufferedBody) Close() {
+	if b.abandoned.Store(true); b.claimed.CompareAndSwap(false, true) {
+		b.free()
 	}
 }
 
-// gather waits for the rest of a value whose length shows at its end: a client has to be told it first. Room for the
-// longest is taken before more of it is read, and what it did not need is given back when it is here.
-func (p *Pool) gather(ctx context.Context, b *body) relay.Result {
-	const most = meta.MaxLong
-	defer context.AfterFunc(ctx, b.Close)()
-	if err := p.set.Room.Acquire(ctx, most); err != nil {
-		b.Close()
-		return relay.Result{Status: ended(ctx)}
+// bufferBody reads the rest of a value whose length is known only at its end, because the client must be sent the
+// length first. Memory for the longest allowed value is acquired before more of the value is read; what the value did
+// not need is released when it has arrived.
+func (p *Pool) bufferBody(ctx context.Context, stream *streamBody) relay.Result {
+	const maxLen = meta.MaxLong
+	defer context.AfterFunc(ctx, stream.Close)()
+	if err := p.settings.Room.Acquire(ctx, maxLen); err != nil {
+		stream.Close()
+		return relay.Result{Status: contextStatus(ctx)}
 	}
-	w := &whole{value: &buffer.Chain{}}
-	err := b.Copy(func(part []byte) error {
-		if w.value.Len()+len(part) > most {
-			return errLong
+	buffered := &bufferedBody{value: &buffer.Chain{}}
+	err := stream.Copy(func(part []byte) error {
+		if buffered.value.Len()+len(part) > maxLen {
+			return errValueTooLong
 		}
-		w.value.Append(part)
+		buffered.value.Append(part)
 		return nil
 	})
-	held := int64(w.value.Len())
-	w.free = func() {
-		w.value.Free()
-		p.set.Room.Release(held)
+	used := int64(buffered.value.Len())
+	buffered.free = func() {
+		buffered.value.Free()
+		p.settings.Room.Release(used)
 	}
-	p.set.Room.Release(most - held)
+	p.settings.Room.Release(maxLen - used)
 	switch {
-	case err == nil && b.out.req.Write:
-		defer w.free()
-		receipt := bytes.Join(w.value.Parts(nil), nil)
-		if len(receipt) > mostReceipt || !Receipt(receipt) {
+	case err == nil && stream.call.req.Write:
+		defer buffered.free()
+		receipt := bytes.Join(buffered.value.Parts(nil), nil)
+		if len(receipt) > maxReceipt || !ValidReceipt(receipt) {
 			return relay.Result{Status: hoptiller.ServerError}
 		}
 		return relay.Result{Status: hoptiller.OK, Data: receipt}
 	case err == nil:
-		return relay.Result{Status: hoptiller.OK, Body: w}
+		return relay.Result{Status: hoptiller.OK, Body: buffered}
 	case ctx.Err() != nil:
-		w.free()
-		return relay.Result{Status: ended(ctx)}
+		buffered.free()
+		return relay.Result{Status: contextStatus(ctx)}
 	}
-	w.free()
+	buffered.free()
 	return relay.Result{Status: hoptiller.ServerError}
 }
 
-// ended is how a call ends with its context.
-func ended(ctx context.Context) hoptiller.Status {
+// contextStatus returns the status of a call that ends because its ctx is done.
+func contextStatus(ctx context.Context) hoptiller.Status {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return hoptiller.Timeout
 	}
