--- a/internal/buffer/arrival_test.go
+++ b/internal/buffer/arrival_test.go
@@ -83,7 +83,8 @@
 	for i, step := range []struct {
 		waited, drained bool
 		since           int
-	}{{false, true, 0}, {true, true, 2}, {false, true, 2}, {false, false, 3}, {false, false, 3}, {false, true, 3}, {true, false, 7}, {false, true, 7}, {false, true, 8}} {
+	}{{false, true, 0}, {true, true, 2}, {false, true, 2}, {false, false, 3}, {false, false, 3}, {false, true, 3},
+		{true, false, 7}, {false, true, 7}, {false, true, 8}} {
 		if r.recordRead(at(i+1), step.waited, step.drained); !r.notBefore.Equal(at(step.since)) {
 			t.Errorf("read %d: %v, want %v", i+1, r.notBefore.Unix(), step.since)
 		}
--- a/internal/buffer/reader.go
+++ b/internal/buffer/reader.go
@@ -13,10 +13,10 @@
 // that proves to be long are larger.
 const minReadSize = 4 << 10
 
-// MaxUnread is the maximum number of bytes that are kept of one incomplete message. It fits the largest message that
+// MaxUnconsumed is the maximum number of bytes that are kept of one incomplete message. It fits the largest message that
 // any protocol here allows, with its lines and headers. A message of that length has memory of its own for as long as
 // it is needed.
-const MaxUnread = 96 << 10
+const MaxUnconsumed = 96 << 10
 
 // Reader reads a connection and holds a buffer only while there is something to read, because nearly all of hundreds
 // of connections are idle at any time. Bytes that are left over between reads are kept in memory of their own size.
@@ -156,17 +156,17 @@
 // not retain the slice. The rest is passed again later, followed by newer bytes. Next returns the error of the
 // connection: io.EOF at its end, and io.ErrShortBuffer if too many bytes are left unconsumed.
 func (r *Reader) Next(take func(b []byte) (used int)) error {
-	if len(r.leftover) >= MaxUnread {
+	if len(r.leftover) >= MaxUnconsumed {
 		return io.ErrShortBuffer
 	}
 	var buf *Buffer
 	var n int
 	var readErr error
 	var waited bool
-	size := r.readSize()
+	readSize := r.readSize()
 	err := r.raw.Read(func(fd uintptr) bool {
 		buf = Get()
-		if n, readErr = r.readOnce(fd, buf[:size]); readErr == syscall.EAGAIN {
+		if n, readErr = r.readOnce(fd, buf[:readSize]); readErr == syscall.EAGAIN {
 			Put(buf)
 			buf, waited = nil, true
 			return false
@@ -174,7 +174,7 @@
 		return true
 	})
 	if err == nil || waited { // otherwise the socket was not read at all
-		r.recordRead(time.Now(), waited, n < size)
+		r.recordRead(time.Now(), waited, n < readSize)
 	}
 	defer func() { Put(buf) }()
 	switch {
@@ -227,8 +227,8 @@
 }
 
 // keep stores the bytes that take has not consumed.
-func (r *Reader) keep(unconsumed []byte) {
-	if r.leftover = append(r.leftover[:0], unconsumed...); len(unconsumed) == 0 {
+func (r *Reader) keep(leftover []byte) {
+	if r.leftover = append(r.leftover[:0], leftover...); len(leftover) == 0 {
 		r.leftover = nil
 	}
 }
--- a/internal/buffer/reader_test.go
+++ b/internal/buffer/reader_test.go
@@ -48,7 +48,7 @@
 	if err != io.EOF || got.String()+leftover != text || r.Unread() != len(leftover) {
 		t.Errorf("%v after %d consumed and %d leftover bytes, want io.EOF after %d", err, got.Len(), len(leftover), len(text))
 	}
-	if err := (&Reader{leftover: make([]byte, MaxUnread)}).Next(nil); err != io.ErrShortBuffer {
+	if err := (&Reader{leftover: make([]byte, MaxUnconsumed)}).Next(nil); err != io.ErrShortBuffer {
 		t.Errorf("too many leftover bytes: %v", err)
 	}
 }
--- a/internal/http1/chunk.go
+++ b/internal/http1/chunk.go
@@ -25,7 +25,7 @@
 	return int(value), end + 2, nil
 }
 
-// skipTrailers returns the length of the skipTrailers behind the last chunk, which are not used: 0 without an error means
+// skipTrailers returns the length of the trailers behind the last chunk, which are not used: 0 without an error means
 // that they are incomplete.
 func skipTrailers(b []byte) (n int, err error) {
 	for {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -51,7 +51,7 @@
 	return b
 }
 
-// Head holds the used parts of a response's status line and headers.
+// Head holds those parts of a response's status line and headers that the router uses.
 type Head struct {
 	Status  int
 	Length  int // length of the body in bytes; -1 if not stated
@@ -97,7 +97,7 @@
 	return h, end + 4, nil
 }
 
-// addHeader records a header if it is a used one.
+// addHeader records a header if the router uses it or the caller asked for it.
 func (h *Head) addHeader(name, value string, extra []string) error {
 	is := func(s string) bool { return bytes.EqualFold([]byte(name), []byte(s)) }
 	switch {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -36,10 +36,12 @@
 		}
 	}
 	// Without a length the body ends with the connection, so none of it is part of the parsed response.
-	if h, body, n, long, err := ParseResponse([]byte("HTTP/1.1 200 OK\r\n\r\nabc")); err != nil || !long || n != 19 || body != nil || h.Length != -1 || h.Chunked {
+	if h, body, n, long, err := ParseResponse([]byte("HTTP/1.1 200 OK\r\n\r\nabc")); err != nil || !long || n != 19 ||
+		body != nil || h.Length != -1 || h.Chunked {
 		t.Errorf("%+v, body %q, %d bytes, long %v, %v", h, body, n, long, err)
 	}
-	h, _, _, _, err := ParseResponse([]byte("HTTP/1.1 503 No\r\nx-unprocessed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), "X-Unprocessed")
+	h, _, _, _, err := ParseResponse([]byte("HTTP/1.1 503 No\r\nx-unprocessed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"),
+		"X-Unprocessed")
 	if err != nil || h.Extra["X-Unprocessed"] != "1" || !h.Close {
 		t.Errorf("%+v, %v", h, err)
 	}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -12,7 +12,7 @@
 // ErrMalformedRequest reports a request that cannot be parsed.
 var ErrMalformedRequest = errors.New("malformed HTTP request")
 
-// Request holds the used parts of a request's head. Its slices are parts of the parsed bytes.
+// Request holds those parts of a request's head that the router uses. Its slices are parts of the parsed bytes.
 type Request struct {
 	Method, Path []byte // the path without the query
 	Query        []byte // the unparsed text behind the question mark
--- a/internal/meta/meta.go
+++ b/internal/meta/meta.go
@@ -57,7 +57,7 @@
 		errors.Is(err, ErrBadLength)
 }
 
-// cutLine finds the first cutLine of b. n is the length of the cutLine with its end: 0 without an error means that the end
+// cutLine finds the first line of b. n is the length of the line with its end: 0 without an error means that the end
 // has not arrived.
 func cutLine(b []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), MaxLine)], '\n')
@@ -70,7 +70,7 @@
 	return bytes.TrimSuffix(b[:end], []byte("\r")), end + 1, nil
 }
 
-// cutWord cuts the first cutWord off a line.
+// cutWord cuts the first word off a line.
 func cutWord(s []byte) (first, rest []byte) {
 	s = bytes.TrimLeft(s, " ")
 	if i := bytes.IndexByte(s, ' '); i >= 0 {
@@ -128,7 +128,7 @@
 	return c, n, c.parseFlags(rest)
 }
 
-// parseFlags reads the parseFlags of a command.
+// parseFlags reads the flags of a command.
 func (c *Command) parseFlags(rest []byte) error {
 	var flag []byte
 	for flag, rest = cutWord(rest); len(flag) > 0; flag, rest = cutWord(rest) {
--- a/internal/meta/report.go
+++ b/internal/meta/report.go
@@ -33,7 +33,8 @@
 		if bytes.ContainsAny(value, "xX_") { // not a decimal number
 			return false
 		}
-		if !eq || index < 0 || err != nil || !(figure >= 0 && figure <= maxFigure) || !math.IsNaN(figures[index]) || more && len(report) == 0 {
+		if !eq || index < 0 || err != nil || !(figure >= 0 && figure <= maxFigure) || !math.IsNaN(figures[index]) ||
+			more && len(report) == 0 {
 			return false
 		}
 		figures[index] = figure
--- a/internal/origin/crossing_test.go
+++ b/internal/origin/crossing_test.go
@@ -20,7 +20,8 @@
 
 // serve starts an origin that handles each request, and returns a pool that knows it as server 1 and the pool's
 // memory for values.
-func serve(t *testing.T, cooldown time.Duration, handle func(conn *net.TCPConn, path string) (more bool)) (*upstream.Pool, *semaphore.Weighted) {
+func serve(t *testing.T, cooldown time.Duration,
+	handle func(conn *net.TCPConn, path string) (more bool)) (*upstream.Pool, *semaphore.Weighted) {
 	l := testprog.Listen(t)
 	testprog.Accept(l, func(conn net.Conn) {
 		defer conn.Close()
@@ -120,7 +121,8 @@
 	})
 	for i := range 5 {
 		path := fmt.Sprint("/", i)
-		if status, value := call(t, p, &relay.Request{Key: []byte(path[1:]), ID: []byte("1")}); status != hoptiller.OK || value != path {
+		if status, value := call(t, p,
+			&relay.Request{Key: []byte(path[1:]), ID: []byte("1")}); status != hoptiller.OK || value != path {
 			t.Errorf("%s: status %d, value %q", path, status, value)
 		}
 		if got := testprog.Await(t, requests, "request"); got != path {
--- a/internal/origin/origin.go
+++ b/internal/origin/origin.go
@@ -34,9 +34,9 @@
 		return upstream.Reply{}, err
 	}
 	r := upstream.Reply{Size: n, Status: hoptiller.ServerError, KeepConn: !h.Close}
-	toEnd := long && !h.Chunked && h.Length < 0
+	untilClose := long && !h.Chunked && h.Length < 0
 	switch {
-	case toEnd: // whatever follows the head, the connection cannot be used again
+	case untilClose: // whatever follows the head, the connection cannot be used again
 		if r.KeepConn = false; h.Status == 200 {
 			r.Status, r.ValueDecoder, r.ValueLen = hoptiller.OK, upstream.UntilCloseDecoder{}, -1
 			return r, nil
--- a/internal/origin/origin_test.go
+++ b/internal/origin/origin_test.go
@@ -17,9 +17,10 @@
 		data   string
 		fault  bool
 	}{
-		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\na b":                                    {read, hoptiller.OK, "a b", false},
-		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr7":                                     {write, hoptiller.OK, "r7", false},
-		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nr\r\n7":                                 {write, 0, "", true}, // would break the line to the client
+		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\na b": {read, hoptiller.OK, "a b", false},
+		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr7":  {write, hoptiller.OK, "r7", false},
+		// A receipt with a line end would break the line in which the client gets it.
+		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nr\r\n7":                                 {write, 0, "", true},
 		"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n":                                       {write, hoptiller.ServerError, "", false},
 		"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n":                                       {write, hoptiller.ServerError, "", false},
 		"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n":                   {write, hoptiller.Full, "", false},
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -32,7 +32,7 @@
 	Wait    time.Duration // how long the client waits for the answer, counted from Arrived
 
 	Client netip.Addr          // the client's address; invalid if unknown
-	Gone   func() bool         // checks whether the client has disconnected, which may not have been noticed yet; nil: cannot be checked
+	Gone   func() bool         // checks whether the client has disconnected, even if nothing has noticed yet; nil: unknown
 	Narrow hoptiller.Narrowing // what an operator forbids for the request; nil: nothing
 }
 
@@ -109,7 +109,7 @@
 	Name          string
 	Addr          string
 	Origin        bool
-	EarliestStart time.Time // when the server's process can have started at the earliest, by the local monotonic clock; set by the Relay
+	EarliestStart time.Time // when its process can have started at the earliest, by the local monotonic clock; set by the Relay
 }
 
 // Directory takes the Relay's requests to service discovery. Its methods return at once.
@@ -185,8 +185,8 @@
 			return nil
 		case <-r.wake:
 		case <-timer.C:
-			if late := time.Since(due); late > pauseThreshold {
-				slog.Warn("process paused", "by", late.Round(time.Millisecond))
+			if delay := time.Since(due); delay > pauseThreshold {
+				slog.Warn("process paused", "by", delay.Round(time.Millisecond))
 			}
 		}
 		orders := r.facade.Tick(r.now())
@@ -215,10 +215,10 @@
 func (r *Relay) cancelAttempt(id hoptiller.AttemptID) {
 	r.activeMu.Lock()
 	defer r.activeMu.Unlock()
-	if active := r.active[id.Request]; active != nil {
-		active.cancelledBelow = max(active.cancelledBelow, id.Attempt+1)
-		if active.cancel != nil {
-			active.cancel()
+	if entry := r.active[id.Request]; entry != nil {
+		entry.cancelledBelow = max(entry.cancelledBelow, id.Attempt+1)
+		if entry.cancel != nil {
+			entry.cancel()
 		}
 	}
 }
@@ -282,7 +282,7 @@
 // the machine was paused.
 const pauseThreshold = 100 * time.Millisecond
 
-// errRetryWindow is the cause with which an attempt's sendCtx ends when the time in which the attempt may be sent is
+// errRetryWindow is the cause with which the sendCtx of a retry ends when the time in which the retry may be sent is
 // over before the attempt's own time.
 var errRetryWindow = errors.New("the retry window is over")
 
@@ -322,6 +322,7 @@
 	return r.upstreamOf(r.servers[id])
 }
 
+// closeIdle closes the idle connections to the given servers.
 func (r *Relay) closeIdle(ids []uint32) {
 	for _, id := range ids {
 		r.upstreamByID(id).CloseIdle(id)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -59,9 +59,9 @@
 func (u *fakeUpstream) takeCalls() []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	recorded := u.recorded
+	calls := u.recorded
 	u.recorded = nil
-	return recorded
+	return calls
 }
 
 var settings = hoptiller.Settings{Balancers: 1, Aside: true, OriginKind: 1, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
@@ -88,7 +88,7 @@
 	return r, caches, origins
 }
 
-// newRequest returns a newRequest whose client waits for 5 seconds.
+// newRequest returns a request whose client waits for 5 seconds.
 func newRequest(class int, write bool) *Request {
 	return &Request{Key: []byte("k"), ID: []byte("1"), Class: class, Write: write, Arrived: time.Now(), Wait: 5 * time.Second}
 }
@@ -97,7 +97,8 @@
 // origin's.
 func TestMissGoesToTheOrigin(t *testing.T) {
 	aborted := false
-	r, caches, origins := newRelay([]Result{{Status: hoptiller.Miss, Abort: func() bool { aborted = true; return true }}}, []Result{{Status: hoptiller.OK, Data: []byte("v")}})
+	r, caches, origins := newRelay([]Result{{Status: hoptiller.Miss, Abort: func() bool { aborted = true; return true }}},
+		[]Result{{Status: hoptiller.OK, Data: []byte("v")}})
 	a := r.Serve(context.Background(), newRequest(0, false))
 	if a.Kind != hoptiller.StepServed || string(a.Data) != "v" || !aborted {
 		t.Errorf("%+v, first attempt aborted %v", a, aborted)
@@ -205,7 +206,8 @@
 	if r.Knows(1) || !r.Knows(9) {
 		t.Error("the removed server was not forgotten, or the origin was")
 	}
-	want := []string{"update 1 phase 2 moved true", "update 1 phase 1 moved true", "update 1 phase 0 moved false", "forget 1", "forget 1"}
+	want := []string{"update 1 phase 2 moved true", "update 1 phase 1 moved true", "update 1 phase 0 moved false",
+		"forget 1", "forget 1"}
 	if got := caches.takeCalls(); !slices.Equal(got, want) {
 		t.Errorf("calls %v", got)
 	}
@@ -249,7 +251,8 @@
 // as those of tenant 0.
 func TestRouterRequest(t *testing.T) {
 	now := time.Now()
-	req := &Request{Key: []byte("00000000000000ff"), Class: 1, Tenant: 3, Write: true, Retry: true, Arrived: now.Add(-time.Second), Wait: 2 * time.Second}
+	req := &Request{Key: []byte("00000000000000ff"), Class: 1, Tenant: 3, Write: true, Retry: true,
+		Arrived: now.Add(-time.Second), Wait: 2 * time.Second}
 	want := hoptiller.Request{ID: 7, Class: 1, Tenant: 3, Key: 255, Write: true, Retry: true, Remaining: time.Second}
 	if got := req.routerRequest(7, now); got != want {
 		t.Errorf("%+v, want %+v", got, want)
@@ -292,7 +295,7 @@
 	type contexts struct{ sendCtx, ctx context.Context }
 	attempts := make(chan contexts)
 	finish := make(chan bool)
-	r.caches = contextUpstream(func(begin, ctx context.Context) { attempts <- contexts{begin, ctx}; <-finish })
+	r.caches = contextUpstream(func(sendCtx, ctx context.Context) { attempts <- contexts{sendCtx, ctx}; <-finish })
 	clientCtx, disconnect := context.WithCancel(t.Context())
 	active := &activeRequest{}
 	step := hoptiller.Step{Kind: hoptiller.StepCall, Server: 1, Timeout: 20 * time.Second}
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/answer_rest_test.go
@@ -15,23 +15,23 @@
 func TestAnswerRestAtTimeLimit(t *testing.T) {
 	t.Parallel()
 	p, c, server := idleConn(t)
-	calls := make([]*pendingCall, 2)
-	for i := range calls {
-		calls[i] = &pendingCall{req: readRequest(fmt.Sprintf("0%d", i+1)), result: make(chan relay.Result, 1), sentAt: time.Now()}
+	pending := make([]*pendingCall, 2)
+	for i := range pending {
+		pending[i] = &pendingCall{req: readRequest(fmt.Sprintf("0%d", i+1)), result: make(chan relay.Result, 1), sentAt: time.Now()}
 	}
-	p.mu.Lock() // the bytes read so far have been handled; readLoop waits for this lock when the time limit passes
-	c.pending, c.load = append(c.pending, calls...), len(calls)
+	p.mu.Lock()
+	c.pending, c.load = append(c.pending, pending...), len(pending)
 	p.mu.Unlock()
 	go c.readLoop()
 	fmt.Fprint(server, "EN O01\r\nEN O0")
-	testprog.Await(t, calls[0].result, "first answer")
-	p.mu.Lock() // what has been read is taken, and whoever reads waits for this when the time is pause
+	testprog.Await(t, pending[0].result, "first answer")
+	p.mu.Lock() // the bytes read so far are handled; readLoop waits for this lock when the time limit passes
 	pause := time.NewTimer(2 * maxAnswerGap)
 	<-pause.C
 	fmt.Fprint(server, "2\r\n")
 	testprog.Until(t, "the rest has arrived", func() bool { return !c.reader.Quiet() })
 	p.mu.Unlock()
-	if r := testprog.Await(t, calls[1].result, "second answer"); r.Status != hoptiller.Miss {
+	if r := testprog.Await(t, pending[1].result, "second answer"); r.Status != hoptiller.Miss {
 		t.Errorf("the second call ended with status %d", r.Status)
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -27,7 +27,8 @@
 // and free is the unused rest of buf.
 func newAttempt(buf []byte, req *relay.Request, host string, timeLeft time.Duration) (a *Attempt, free []byte) {
 	facts := meta.AppendFacts(buf[:0], req.Facts, timeLeft)
-	a = &Attempt{Key: req.Key, ID: req.ID, Facts: facts[:len(facts):len(facts)], Host: host, Write: req.Write, ValueLen: req.ValueLen()}
+	a = &Attempt{Key: req.Key, ID: req.ID, Facts: facts[:len(facts):len(facts)], Host: host,
+		Write: req.Write, ValueLen: req.ValueLen()}
 	return a, facts[len(facts):]
 }
 
--- a/internal/upstream/closing.go
+++ b/internal/upstream/closing.go
@@ -70,14 +70,14 @@
 	if p.settings.Closed != nil {
 		p.settings.Closed(reason)
 	}
-	value := c.streamedRequestID()
-	waiting := c.waitingRequestIDs()
-	if value == "" && len(waiting) == 0 {
+	streamedID := c.streamedRequestID()
+	waitingIDs := c.waitingRequestIDs()
+	if streamedID == "" && len(waitingIDs) == 0 {
 		return
 	}
-	args := []any{"server", c.host, "reason", reason.String(), "waiting", strings.Join(waiting, ",")}
-	if value != "" {
-		args = append(args, "value_of", value, "value_for", time.Since(c.stream.call.sentAt).Round(time.Millisecond))
+	args := []any{"server", c.host, "reason", reason.String(), "waiting", strings.Join(waitingIDs, ",")}
+	if streamedID != "" {
+		args = append(args, "value_of", streamedID, "value_for", time.Since(c.stream.call.sentAt).Round(time.Millisecond))
 	}
 	slog.Info("server connection closed", args...)
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -33,10 +33,10 @@
 	answered        bool // the server has answered a call on the connection
 }
 
-// pendingCall is one pendingCall that waits for its answer.
+// pendingCall is one call that waits for its answer.
 type pendingCall struct {
 	req       *relay.Request
-	sentAt    time.Time
+	sentAt    time.Time         // when the call was queued to be written
 	result    chan relay.Result // buffered for the one result
 	abandoned bool              // the caller no longer waits
 }
@@ -46,14 +46,15 @@
 func (p *Pool) closeReset(c *conn, reason CloseReason) { p.closeConn(c, hoptiller.Reset, reason) }
 
 // failUnreadable closes a connection on which unreadable bytes arrived. The server did answer the first call, which
-// may have run and ends as ServerError. The calls behind it end as Cancelled: this router closes the connection, and
-// they are not at fault. The caller holds p.mu.
+// may have run and ends as ServerError. The calls behind it end as Cancelled: this router closes their connection,
+// which is not their fault. The caller holds p.mu.
 func (p *Pool) failUnreadable(c *conn) {
 	pending := c.pending
 	if len(pending) > 0 {
 		c.pending = pending[1:]
 	}
-	p.closeConn(c, hoptiller.Cancelled, CloseUnreadable) // comes first: while the connection is open, its calls count as in flight
+	// The connection is closed first because its calls count as in flight while it is open.
+	p.closeConn(c, hoptiller.Cancelled, CloseUnreadable)
 	if len(pending) > 0 {
 		pending[0].result <- relay.Result{Status: hoptiller.ServerError}
 	}
@@ -71,10 +72,10 @@
 		return r, true
 	default:
 	}
-	// The answer may still arrive after the buffer that holds the request has been returned to its pool.
-	request := *call.req
-	request.ID = bytes.Clone(request.ID)
-	call.req, call.abandoned = &request, true
+	// The answer may still arrive after the buffer that holds the req has been returned to its pool.
+	req := *call.req
+	req.ID = bytes.Clone(req.ID)
+	call.req, call.abandoned = &req, true
 	c.closeWhenUnused = true
 	if c.closeIfUnused(); c.closed {
 		return r, false
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -14,7 +14,7 @@
 	"hoptiller/internal/testprog"
 )
 
-// readLines returns the readLines that arrive on the connections of a listener, and "closed" at the end of each
+// readLines returns the lines that arrive on the connections of a listener, and "closed" at the end of each
 // connection. It answers none.
 func readLines(l net.Listener) <-chan string {
 	received := make(chan string, 100)
@@ -128,7 +128,7 @@
 			testprog.Until(t, "the end or the bytes have arrived", func() bool { return !c.reader.Quiet() })
 			sent, status := c.send(t.Context(), t.Context(), &pendingCall{req: readRequest("01"), result: make(chan relay.Result, 1)})
 			if sent || status != hoptiller.OK || !c.closed || p.connCount != 0 {
-				t.Errorf("sent %v, status %d, dead %v, %d connections", sent, status, c.closed, p.connCount)
+				t.Errorf("sent %v, status %d, closed %v, %d connections", sent, status, c.closed, p.connCount)
 			}
 			if n, err := server.Read(make([]byte, 100)); n > 0 {
 				t.Errorf("the server received %d bytes, %v", n, err)
@@ -147,7 +147,8 @@
 	if _, err := server.Write([]byte("EN O01\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	testprog.Until(t, "the answer has been read", func() bool { // readLoop then waits for p.mu; until then the final check sees the bytes
+	// After that readLoop waits for p.mu. Until then the final check sees the bytes.
+	testprog.Until(t, "the answer has been read", func() bool {
 		return !c.reader.Quiet() && !c.reader.Waiting()
 	})
 	call := &pendingCall{req: readRequest("01"), result: make(chan relay.Result, 1), sentAt: time.Now()}
@@ -226,7 +227,7 @@
 	c.afterWrite(false)
 	sent, status := c.send(t.Context(), t.Context(), &pendingCall{req: readRequest("02"), result: make(chan relay.Result, 1)})
 	if sent || status != hoptiller.OK || c.closed {
-		t.Errorf("another call: sent %v, status %d, connection dead %v", sent, status, c.closed)
+		t.Errorf("another call: sent %v, status %d, connection closed %v", sent, status, c.closed)
 	}
 	p.mu.Lock()
 	c.pending = nil
@@ -267,7 +268,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.closed || len(c.pending) != 1 || c.pending[0] != waiting || len(waiting.result) > 0 {
-		t.Errorf("connection dead %v, %d calls on it, %d ended", c.closed, len(c.pending), len(waiting.result))
+		t.Errorf("connection closed %v, %d calls on it, %d ended", c.closed, len(c.pending), len(waiting.result))
 	}
 }
 
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -62,7 +62,7 @@
 	return d.conn, hoptiller.OK
 }
 
-// runDial opens a connection to the address at which a server's process, with the given start time, was listed.
+// runDial opens a connection to the process of a server that is listed with the given address and start time.
 func (p *Pool) runDial(d *dial, s *server, addr string, started time.Duration) {
 	dialer := net.Dialer{Timeout: p.settings.ConnectTimeout, KeepAlive: -1}
 	nc, err := dialer.DialContext(p.ctx, "tcp", addr)
@@ -101,9 +101,9 @@
 // dialEnded records that a dial has ended and notifies the calls that wait for one. The caller holds the pool's mu.
 func (s *server) dialEnded(err error) {
 	s.dialing--
-	if next := s.nextDial; next != nil {
-		s.nextDial, next.err = nil, err
-		close(next.done)
+	if nextDial := s.nextDial; nextDial != nil {
+		s.nextDial, nextDial.err = nil, err
+		close(nextDial.done)
 	}
 }
 
@@ -114,12 +114,12 @@
 	if s.nextDial == nil {
 		s.nextDial = &dial{done: make(chan struct{})}
 	}
-	next := s.nextDial
+	nextDial := s.nextDial
 	p.mu.Unlock()
 	defer p.mu.Lock()
 	select {
-	case <-next.done:
-		return next.err
+	case <-nextDial.done:
+		return nextDial.err
 	case <-sendCtx.Done():
 		return sendCtx.Err()
 	}
--- a/internal/upstream/last_look_test.go
+++ b/internal/upstream/final_check_test.go
@@ -31,7 +31,7 @@
 // sent: the final check comes after the encoding.
 func TestClientDisconnectsDuringEncoding(t *testing.T) {
 	var disconnected atomic.Bool
-	p := serve(t, hold)
+	p := serve(t, holdOpen)
 	p.protocol = hookedProtocol{onEncode: func() { disconnected.Store(true) }}
 	sent := 0
 	p.settings.Called = func() { sent++ }
@@ -62,7 +62,7 @@
 		t.Errorf("sent %v, status %v, %d repeated checks", sent, status, repeated)
 	}
 	if p.mu.Lock(); c.load != 0 || len(c.pending) != 0 || c.closed {
-		t.Errorf("connection with load %d and %d calls, dead %v", c.load, len(c.pending), c.closed)
+		t.Errorf("connection with load %d and %d calls, closed %v", c.load, len(c.pending), c.closed)
 	}
 	p.mu.Unlock()
 	expectNothing(t, server)
--- a/internal/upstream/find.go
+++ b/internal/upstream/find.go
@@ -11,9 +11,11 @@
 // calls while there is an alternative. The server may have stopped answering on it, and whatever is queued behind
 // that call waits too.
 const (
-	overdueFactor   = 8
-	minOverdue      = 20 * time.Millisecond
-	maxOverdueConns = 2 // with more, another one is opened only if a later call was answered: the server may be slow
+	overdueFactor = 8
+	minOverdue    = 20 * time.Millisecond
+	// With more overdue connections than this, another one is opened only if a later call has been answered. Without
+	// such an answer the whole server may be slow.
+	maxOverdueConns = 2
 )
 
 // acquireConn finds a connection for a call and counts the call on it. It prefers an idle connection, then the
@@ -62,8 +64,8 @@
 	return c, hoptiller.OK
 }
 
-// callsPerConn returns how many calls callsPerConn a connection before another one is opened. While long values arrive,
-// calls callsPerConn no connection: a call behind a long value would also wait for the client of that value.
+// callsPerConn returns how many calls share a connection before another one is opened. While long values arrive,
+// calls share no connection: a call behind a long value would also wait for the client of that value.
 func (p *Pool) callsPerConn() int {
 	if !p.lastLongValue.IsZero() && time.Since(p.lastLongValue) < unsharedTime {
 		return 1
@@ -99,8 +101,8 @@
 	}
 }
 
-// takeIdle returns the takeIdle connection that was used last, or nil. The others stay takeIdle longer and are closed in
-// time. A connection near the server's takeIdle limit is closed instead, because a call that is sent while the server
+// takeIdle returns the idle connection that was used last, or nil. The others stay idle longer and are closed in
+// time. A connection near the server's idle limit is closed instead, because a call that is sent while the server
 // closes the connection is lost as a reset. A connection in its cooldown after an answer is skipped.
 func (p *Pool) takeIdle(s *server) *conn {
 	for i := len(s.conns) - 1; i >= 0; i-- {
--- a/internal/upstream/outgoing.go
+++ b/internal/upstream/outgoing.go
@@ -41,12 +41,12 @@
 func (o *outgoing) encode(timeLeft time.Duration) {
 	req := o.call.req
 	attempt, free := newAttempt(o.buf[:], req, o.conn.host, timeLeft)
-	first, tail := o.conn.pool.protocol.AppendAttempt(free, attempt)
-	o.statedTime, o.firstWrite, o.laterWrites = timeLeft, first, nil
+	firstWrite, tail := o.conn.pool.protocol.AppendAttempt(free, attempt)
+	o.statedTime, o.firstWrite, o.laterWrites = timeLeft, firstWrite, nil
 	switch {
 	case !req.Write:
-	case req.Long == nil && len(first)+len(req.Value)+len(tail) <= cap(first):
-		o.firstWrite = append(append(first, req.Value...), tail...)
+	case req.Long == nil && len(firstWrite)+len(req.Value)+len(tail) <= cap(firstWrite):
+		o.firstWrite = append(append(firstWrite, req.Value...), tail...)
 	default:
 		o.laterWrites = append(o.laterWrites, req.Value)
 		if req.Long != nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -30,10 +30,10 @@
 	ConnectTimeout time.Duration
 	Room           *semaphore.Weighted      // memory in bytes for values whose length is known only at their end
 	Reports        *loadreport.Table        // stores the load reports of servers; nil: they are dropped
-	Seen           func(id uint32, up bool) // called when a server is found to have no process, and when it answers again; may be nil
-	Called         func()                   // called for each call that was written completely; may be nil
-	LookedAgain    func()                   // called for each final check of a call that had to be repeated; may be nil
-	Closed         func(CloseReason)        // called for each connection that was closed; may be nil
+	Seen           func(id uint32, up bool) // called when a server is found to have no process and when it answers again; nil: none
+	Called         func()                   // called for each call that was written completely; nil: none
+	LookedAgain    func()                   // called for each final check of a call that had to be repeated; nil: none
+	Closed         func(CloseReason)        // called for each connection that was closed; nil: none
 }
 
 // Pool holds the connections to all servers of one kind. It implements relay.Upstream.
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// hold reads a connection until its end and answers nothing.
-func hold(_ net.Conn, r *bufio.Reader) { r.ReadString(0) }
+// holdOpen reads a connection until its end and answers nothing.
+func holdOpen(_ net.Conn, r *bufio.Reader) { r.ReadString(0) }
 
 // The outcome of a call follows from what the server answers, and a connection is closed if nothing more on it can be
 // trusted.
@@ -89,7 +89,7 @@
 			r.ReadString('\n')
 			conn.Write([]byte("VA 9 O01\r\nx"))
 		}, hoptiller.Reset, true},
-		"no answer": {hold, hoptiller.Timeout, true},
+		"no answer": {holdOpen, hoptiller.Timeout, true},
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		if c.want == hoptiller.Timeout {
@@ -108,7 +108,7 @@
 
 // A call that was never sent completely is distinguished from one that may have run.
 func TestNeverSent(t *testing.T) {
-	p := serve(t, hold)
+	p := serve(t, holdOpen)
 	addr := p.servers[1].Addr
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -138,7 +138,7 @@
 		r.ReadString('\n')
 		r.ReadString('\n')
 		second <- conn
-		hold(conn, r)
+		holdOpen(conn, r)
 	})
 	first, cancel := context.WithCancel(context.Background())
 	cancelled := make(chan relay.Result, 1)
@@ -169,7 +169,7 @@
 		r.ReadString('\n')
 		r.ReadString('\n')
 		conn.Write([]byte("VA 1 O02\r\nx\r\n"))
-		hold(conn, r)
+		holdOpen(conn, r)
 	})
 	results := make(chan relay.Result, 2)
 	ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
@@ -210,14 +210,14 @@
 
 // When a server has restarted, the connections to the old process are closed and their calls end.
 func TestMovedServer(t *testing.T) {
-	p := serve(t, hold)
+	p := serve(t, holdOpen)
 	result := make(chan relay.Result, 1)
 	go func() { result <- p.Call(context.Background(), context.Background(), 1, exampleRead) }()
 	until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].pending) == 1 })
 	moved := entry(p.servers[1].Addr, hoptiller.Ready)
 	moved.EarliestStart = time.Now().Add(-time.Hour) // a start before the connection was opened
 	p.Update(moved, true)
-	until(t, p, "the connection still has its call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].pending) == 1 })
+	until(t, p, "the connection has its call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].pending) == 1 })
 	moved.EarliestStart = time.Now()
 	p.Update(moved, true)
 	if r := testprog.Await(t, result, "end of the call"); r.Status != hoptiller.Reset {
@@ -233,14 +233,14 @@
 	p := serve(t, func(conn net.Conn, r *bufio.Reader) {
 		if !later.Swap(true) {
 			reached <- true
-			hold(conn, r)
+			holdOpen(conn, r)
 		}
 		answer("EN O01\r\n")(conn, r)
 	})
 	ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
 	defer end()
 	go p.Call(ctx, ctx, 1, exampleRead)
-	testprog.Await(t, reached, "first connection at the server") // else the second may be the one that is held
+	testprog.Await(t, reached, "first connection at the server") // otherwise the second connection may be the one without answers
 	until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].pending) == 1 })
 	p.mu.Lock()
 	overdue := p.servers[1].conns[0]
@@ -400,7 +400,7 @@
 	call := func(wantDown bool) {
 		isDown.Store(wantDown)
 		p.Call(ctx, ctx, 1, exampleRead)
-		until(t, p, "no connection that ends", func(s *server) bool { return !wantDown || len(s.conns) == 0 })
+		until(t, p, "the connection has ended", func(s *server) bool { return !wantDown || len(s.conns) == 0 })
 	}
 	call(false)
 	call(true) // on a connection on which calls were answered: its end proves nothing
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -63,7 +63,7 @@
 	return !c.closed && c.reader.Waiting()
 }
 
-// handleAnswers passes the complete handleAnswers in b to their callers. It returns how many bytes they took up, the long
+// handleAnswers passes the complete answers in b to their callers. It returns how many bytes they took up, the long
 // value that follows them, if any, and whether the connection can still be read.
 func (c *conn) handleAnswers(b []byte) (used int, stream *streamBody, readable bool) {
 	p := c.pool
@@ -103,7 +103,8 @@
 		p.callTimes.Ended(took)
 		if reply.ValueDecoder != nil {
 			p.lastLongValue = time.Now()
-			c.stream = &streamBody{conn: c, call: call, decoder: reply.ValueDecoder, length: reply.ValueLen, keepConn: reply.KeepConn, ended: make(chan struct{})}
+			c.stream = &streamBody{conn: c, call: call, decoder: reply.ValueDecoder, length: reply.ValueLen,
+				keepConn: reply.KeepConn, ended: make(chan struct{})}
 			return used, c.stream, true
 		}
 		r := relay.Result{Status: reply.Status}
--- a/internal/upstream/stalled_answer_test.go
+++ b/internal/upstream/stalled_answer_test.go
@@ -30,7 +30,7 @@
 				select {
 				case <-first:
 					answer(beginning)(conn, r)
-					hold(conn, r)
+					holdOpen(conn, r)
 				default:
 					answer("EN O01\r\n")(conn, r)
 				}
--- a/internal/upstream/body.go
+++ b/internal/upstream/stream_body.go
@@ -42,14 +42,15 @@
 		b.conn.SetReadDeadline(time.Now().Add(pieceTimeout))
 		err := next(func(p []byte) (used int) {
 			for n := -1; n != 0 && !done && pieceErr == nil && used < len(p); used += n {
-				var piece []byte
-				if piece, n, done, pieceErr = b.decoder.Decode(p[used:]); len(piece) > 0 {
-					pieceErr = write(piece)
+				var part []byte
+				if part, n, done, pieceErr = b.decoder.Decode(p[used:]); len(part) > 0 {
+					pieceErr = write(part)
 				}
 			}
 			return used
 		})
-		if _, untilClose := b.decoder.(UntilCloseDecoder); untilClose && pieceErr == nil && err == io.EOF { // a reset is not a valid end
+		// A reset is not a valid end.
+		if _, untilClose := b.decoder.(UntilCloseDecoder); untilClose && pieceErr == nil && err == io.EOF {
 			return nil
 		}
 		if err = errors.Join(pieceErr, err); err != nil {
--- a/internal/upstream/body_test.go
+++ b/internal/upstream/stream_body_test.go
@@ -16,7 +16,8 @@
 
 // callServer makes an attempt at server 1 for a request with the given ID.
 func callServer(p *Pool, id string) relay.Result {
-	return p.Call(context.Background(), context.Background(), 1, &relay.Request{Key: []byte("k"), ID: []byte(id), Facts: []byte("c=read")})
+	return p.Call(context.Background(), context.Background(), 1,
+		&relay.Request{Key: []byte("k"), ID: []byte(id), Facts: []byte("c=read")})
 }
 
 // A call behind a long value can be cancelled, but its connection cannot be closed, since that would cut off the
@@ -49,7 +50,7 @@
 	go func() {
 		behind <- p.Call(ctx, ctx, 1, &relay.Request{Key: []byte("k"), ID: []byte("02"), Facts: []byte("c=read")})
 	}()
-	until(t, p, "two calls on it", func(s *server) bool { return len(s.conns[0].pending) == 2 })
+	until(t, p, "two calls on the connection", func(s *server) bool { return len(s.conns[0].pending) == 2 })
 	testprog.Give(t, begin, true, "the signal to answer")
 	r := testprog.Await(t, results, "head of the value")
 	if r.Body == nil {
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -58,14 +58,14 @@
 		t.Run(c.name+", behind another write", func(t *testing.T) {
 			t.Parallel()
 			l := testprog.Listen(t)
-			came := readLines(l)
+			received := readLines(l)
 			p := New(Settings{Share: 4, MostConns: 1, MostCalls: 100, ConnectTimeout: time.Second}, Meta{})
 			t.Cleanup(p.Close)
 			p.Update(entry(l.Addr().String(), hoptiller.Ready), false)
 			ctx, cancel := context.WithTimeout(t.Context(), wait)
 			defer cancel()
 			go p.Call(ctx, ctx, 1, readRequest("01"))
-			testprog.Await(t, came, "first attempt")
+			testprog.Await(t, received, "first attempt")
 			var conn *conn
 			until(t, p, "the first attempt is in flight", func(s *server) bool { conn = s.conns[0]; return conn.load == 1 })
 			conn.writeMu.Lock() // as another attempt does while it is written
@@ -76,7 +76,7 @@
 			end, _ := ctx.Deadline()
 			most := time.Until(end)
 			conn.writeMu.Unlock()
-			if line := testprog.Await(t, came, "second attempt"); statedTime(line) < 0 || statedTime(line) > most {
+			if line := testprog.Await(t, received, "second attempt"); statedTime(line) < 0 || statedTime(line) > most {
 				t.Errorf("%q, but %v are left", line, most)
 			}
 		})
