--- a/internal/buffer/arrival_test.go
+++ b/internal/buffer/arrival_test.go
@@ -82,11 +82,11 @@
 	r := &Reader{notBefore: at(0)} // when the connection was opened
 	for i, step := range []struct {
 		waited, drained bool
-		since           int
+		notBefore       int
 	}{{false, true, 0}, {true, true, 2}, {false, true, 2}, {false, false, 3}, {false, false, 3}, {false, true, 3},
 		{true, false, 7}, {false, true, 7}, {false, true, 8}} {
-		if r.recordRead(at(i+1), step.waited, step.drained); !r.notBefore.Equal(at(step.since)) {
-			t.Errorf("read %d: %v, want %v", i+1, r.notBefore.Unix(), step.since)
+		if r.recordRead(at(i+1), step.waited, step.drained); !r.notBefore.Equal(at(step.notBefore)) {
+			t.Errorf("read %d: %v, want %v", i+1, r.notBefore.Unix(), step.notBefore)
 		}
 	}
 }
--- a/internal/http1/chunk.go
+++ b/internal/http1/chunk.go
@@ -5,7 +5,8 @@
 	"strconv"
 )
 
-const maxSizeLine = 64 // maximum length in bytes of the line that states a chunk's size
+// maxSizeLine is the maximum length in bytes of the line that states a chunk's size.
+const maxSizeLine = 64
 
 // parseChunkSize reads the line before a chunk. n is the length of that line: 0 without an error means that the line
 // is incomplete.
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestParseAnswer(t *testing.T) {
+func TestParseResponse(t *testing.T) {
 	for in, want := range map[string]string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc":                                                              "abc",
 		"HTTP/1.1 200 OK\r\ncontent-length:0\r\n\r\n":                                                                  "",
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// encode returns a command with its value, with the given time left.
+// encode returns an encoded command with its value. The command states the given time left.
 func encode(c *Command, timeLeft time.Duration) []byte {
 	command := *c
 	command.Facts = AppendFacts(nil, c.Facts, timeLeft)
@@ -45,7 +45,7 @@
 	return b
 }
 
-func TestAnswers(t *testing.T) {
+func TestParseAnswer(t *testing.T) {
 	for in, want := range map[string]Answer{
 		"VA 3 O9b h1\r\nabc\r\n":       {Kind: Value, ID: []byte("9b"), Data: []byte("abc")},
 		"VA 4 O9b\r\n\r\n\r\n\r\n":     {Kind: Value, ID: []byte("9b"), Data: []byte("\r\n\r\n")},
--- a/internal/origin/crossing_test.go
+++ b/internal/origin/crossing_test.go
@@ -115,7 +115,7 @@
 	p, _ := serve(t, time.Hour, func(conn *net.TCPConn, path string) bool {
 		requests <- path
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n%s", path)
-		<-nextCallMade // the next call has been made
+		<-nextCallMade
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n/x")
 		return true
 	})
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,7 +18,7 @@
 	results       []Result      // results in order; the last one is repeated
 	recorded      []string      // the recorded calls
 	block         chan struct{} // if set, Call sends on it, waits until its context is done and returns Cancelled
-	keepServers   bool          // Forget returns false, as while there are connections
+	keepServers   bool          // Forget returns false, as if there were connections
 	earliestStart time.Time     // EarliestStart of the server that was updated last
 }
 
@@ -64,12 +64,12 @@
 	return calls
 }
 
-var settings = hoptiller.Settings{Balancers: 1, Aside: true, OriginKind: 1, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
+var testSettings = hoptiller.Settings{Balancers: 1, Aside: true, OriginKind: 1, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
 	MaxRetryAfter: 2 * time.Second, Classes: []hoptiller.Class{
 		{Aim: 9 * time.Second, Deadline: 9 * time.Second, Worth: 1},
 		{Aim: 9 * time.Second, Deadline: 9 * time.Second, Worth: 3, Effect: hoptiller.AtMostOnce}}}
 
-func entry(id uint32, phase hoptiller.Phase, origin bool) Server {
+func listEntry(id uint32, phase hoptiller.Phase, origin bool) Server {
 	s := Server{Server: hoptiller.Server{ID: id, Phase: phase, Weight: 1}, Addr: fmt.Sprint("a", id), Origin: origin}
 	if origin {
 		s.Kind = 1
@@ -81,8 +81,8 @@
 // scripts.
 func newRelay(cacheResults, originResults []Result) (*Relay, *fakeUpstream, *fakeUpstream) {
 	caches, origins := &fakeUpstream{results: cacheResults}, &fakeUpstream{results: originResults}
-	r := New(settings, 1, caches, origins)
-	r.Told(hoptiller.ListFull, []Server{entry(1, hoptiller.Ready, false), entry(9, hoptiller.Ready, true)})
+	r := New(testSettings, 1, caches, origins)
+	r.Told(hoptiller.ListFull, []Server{listEntry(1, hoptiller.Ready, false), listEntry(9, hoptiller.Ready, true)})
 	caches.takeCalls()
 	origins.takeCalls()
 	return r, caches, origins
@@ -175,7 +175,7 @@
 	}{{0, false}, {time.Hour, true}, {-time.Hour, true}} {
 		r, caches, _ := newRelay([]Result{{Status: hoptiller.OK}}, []Result{{Status: hoptiller.OK}})
 		opened := time.Now()
-		moved := entry(1, hoptiller.Ready, false)
+		moved := listEntry(1, hoptiller.Ready, false)
 		moved.Started = r.now() + test.clockOffset
 		r.Told(hoptiller.ListDelta, []Server{moved})
 		if kept := !opened.Before(caches.earliestStart); kept != test.kept {
@@ -193,11 +193,11 @@
 func TestListUpdates(t *testing.T) {
 	r, caches, _ := newRelay([]Result{{Status: hoptiller.OK}}, []Result{{Status: hoptiller.Full}})
 	caches.keepServers = true
-	moved := entry(1, hoptiller.Ready, false)
+	moved := listEntry(1, hoptiller.Ready, false)
 	moved.Addr = "elsewhere"
 	r.Told(hoptiller.ListDelta, []Server{moved})
-	r.Told(hoptiller.ListDelta, []Server{entry(1, hoptiller.Draining, false)})
-	r.Told(hoptiller.ListFull, []Server{entry(9, hoptiller.Ready, true)})
+	r.Told(hoptiller.ListDelta, []Server{listEntry(1, hoptiller.Draining, false)})
+	r.Told(hoptiller.ListFull, []Server{listEntry(9, hoptiller.Ready, true)})
 	if !r.Knows(1) {
 		t.Error("the server was forgotten while there were connections to it")
 	}
@@ -224,7 +224,7 @@
 
 // The Relay opens the subscription that the decision module wants, and opens it again when it breaks.
 func TestWatch(t *testing.T) {
-	watching := settings
+	watching := testSettings
 	watching.ListOnRequest = true
 	r := New(watching, 1, &fakeUpstream{}, &fakeUpstream{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -329,7 +329,7 @@
 }
 
 // contextUpstream is an Upstream that passes the two contexts of each attempt to a function and never sends anything.
-type contextUpstream func(begin, ctx context.Context)
+type contextUpstream func(sendCtx, ctx context.Context)
 
 func (u contextUpstream) Call(sendCtx, ctx context.Context, _ uint32, _ *Request) Result {
 	u(sendCtx, ctx)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -13,7 +13,7 @@
 const minTimeLeft = time.Millisecond
 
 // Attempt is what a server is sent for one attempt at a request. A Protocol gets nothing else, so that it cannot pass
-// on the timeout that the client stated, of which some has passed by now.
+// on the timeout that the client stated, of which a part has passed.
 type Attempt struct {
 	Key      []byte
 	ID       []byte // the request ID that the client chose
--- a/internal/upstream/buffered_body.go
+++ b/internal/upstream/buffered_body.go
@@ -12,7 +12,8 @@
 	"hoptiller/internal/relay"
 )
 
-const maxReceipt = 64 << 10 // bytes; the same limit as for a receipt whose length is stated
+// maxReceipt is the maximum length of a receipt in bytes. It is the same limit as for a receipt whose length is stated.
+const maxReceipt = 64 << 10
 
 var errValueTooLong = errors.New("value too long")
 
@@ -20,8 +21,8 @@
 type bufferedBody struct {
 	value     *buffer.Chain
 	free      func()      // releases the memory of the value
-	claimed   atomic.Bool // whoever sets it must free the value
-	abandoned atomic.Bool // the value was closed
+	claimed   atomic.Bool // set by the first call of Copy or Close, which frees the value
+	abandoned atomic.Bool // Close was called
 }
 
 // Len implements relay.Body.
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -32,7 +32,7 @@
 func lateServer(t *testing.T) (p *Pool, listen func() net.Listener) {
 	addr, listen := testprog.Late(t)
 	p = New(Settings{Share: 4, MostConns: 4, MostCalls: 100, ConnectTimeout: 20 * time.Second}, Meta{})
-	p.Update(entry(addr, hoptiller.Ready), false)
+	p.Update(listEntry(addr, hoptiller.Ready), false)
 	t.Cleanup(p.Close)
 	return p, listen
 }
@@ -90,7 +90,7 @@
 	l := testprog.Listen(t)
 	p = New(Settings{Share: 4, MostConns: 4, MostCalls: 100, ConnectTimeout: time.Second}, Meta{})
 	t.Cleanup(p.Close)
-	p.Update(entry(l.Addr().String(), hoptiller.Ready), false)
+	p.Update(listEntry(l.Addr().String(), hoptiller.Ready), false)
 	nc, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -181,7 +181,7 @@
 			received := readLines(l)
 			p := New(Settings{Share: 4, MostConns: 1, MostCalls: 100, ConnectTimeout: time.Second}, Meta{})
 			t.Cleanup(p.Close)
-			p.Update(entry(l.Addr().String(), hoptiller.Ready), false)
+			p.Update(listEntry(l.Addr().String(), hoptiller.Ready), false)
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			go p.Call(ctx, ctx, 1, readRequest("01"))
@@ -195,7 +195,7 @@
 			until(t, p, "the second call has its connection", func(s *server) bool { return c.load == 2 })
 			defer disconnect()
 			if drains {
-				p.Update(entry(l.Addr().String(), hoptiller.Draining), false)
+				p.Update(listEntry(l.Addr().String(), hoptiller.Draining), false)
 			} else {
 				disconnect()
 			}
--- a/internal/upstream/dial_timeout_test.go
+++ b/internal/upstream/dial_timeout_test.go
@@ -9,14 +9,14 @@
 	"hoptiller/internal/testprog"
 )
 
-// A connection that is never established is given up after ConnectTimeout, long before the call's time is over. The
+// A dial that never succeeds ends after ConnectTimeout, long before the call's time is over. The
 // call ends with ConnectFailed, and nothing remains of the connection.
 func TestDialTimeout(t *testing.T) {
 	t.Parallel()
 	addr, _ := testprog.Late(t)
 	p := New(Settings{Share: 4, MostConns: 4, MostCalls: 100, ConnectTimeout: 50 * time.Millisecond}, Meta{})
 	t.Cleanup(p.Close)
-	p.Update(entry(addr, hoptiller.Ready), false)
+	p.Update(listEntry(addr, hoptiller.Ready), false)
 	ended := make(chan relay.Result, 1)
 	go func() { ended <- p.Call(t.Context(), t.Context(), 1, readRequest("01")) }()
 	if r := testprog.Await(t, ended, "end of the call"); r.Status != hoptiller.ConnectFailed {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -23,8 +23,8 @@
 	MostConns      int           // connections to one server, however many calls share them
 	MostTotal      int           // connections to all servers; 0: no limit
 	MostCalls      int           // calls in flight on one connection
-	IdleLimit      time.Duration // a connection that has been idle for so long is not used again; 0: no limit
-	Rest           time.Duration // for so long after an answer no call is sent; a second answer may arrive
+	IdleLimit      time.Duration // a connection that has been idle for this long is not used again; 0: no limit
+	Rest           time.Duration // no call is sent for this long after an answer; a second one may arrive
 	Places         int           // connections that each core of a server accepts; 0: not stated
 	Kept           int           // idle connections to one server that stay open until IdleLimit; surplus ones are closed sooner
 	ConnectTimeout time.Duration
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -33,13 +33,13 @@
 		}
 	}()
 	p := New(Settings{Share: 4, MostConns: 4, MostCalls: 100, ConnectTimeout: time.Second}, Meta{})
-	p.Update(entry(l.Addr().String(), hoptiller.Ready), false)
+	p.Update(listEntry(l.Addr().String(), hoptiller.Ready), false)
 	t.Cleanup(func() { l.Close(); p.Close() })
 	return p
 }
 
-// entry returns the list entry of server 1.
-func entry(addr string, phase hoptiller.Phase) relay.Server {
+// listEntry returns the list listEntry of server 1.
+func listEntry(addr string, phase hoptiller.Phase) relay.Server {
 	return relay.Server{Addr: addr, Server: hoptiller.Server{ID: 1, Phase: phase}}
 }
 
@@ -119,10 +119,10 @@
 		update relay.Server
 		want   hoptiller.Status
 	}{
-		"cancelled before": {cancelled, entry(addr, hoptiller.Ready), hoptiller.Moot},
-		"draining":         {ctx, entry(addr, hoptiller.Draining), hoptiller.Moot},
-		"removed":          {ctx, entry(addr, hoptiller.Gone), hoptiller.Moot},
-		"refused":          {ctx, entry("127.0.0.1:1", hoptiller.Ready), hoptiller.ConnectFailed},
+		"cancelled before": {cancelled, listEntry(addr, hoptiller.Ready), hoptiller.Moot},
+		"draining":         {ctx, listEntry(addr, hoptiller.Draining), hoptiller.Moot},
+		"removed":          {ctx, listEntry(addr, hoptiller.Gone), hoptiller.Moot},
+		"refused":          {ctx, listEntry("127.0.0.1:1", hoptiller.Ready), hoptiller.ConnectFailed},
 	} {
 		p.Update(c.update, true)
 		if r := p.Call(c.ctx, c.ctx, 1, exampleRead); r.Status != c.want {
@@ -191,7 +191,7 @@
 func TestMaxConnsAndForget(t *testing.T) {
 	p := serve(t, answer("EN O01\r\n"))
 	p.settings.MostTotal = 1
-	other := entry(p.servers[1].Addr, hoptiller.Ready)
+	other := listEntry(p.servers[1].Addr, hoptiller.Ready)
 	other.ID = 2
 	p.Update(other, false)
 	for _, id := range []uint32{1, 2, 1} {
@@ -202,7 +202,7 @@
 	if p.Forget(1) || !p.Forget(2) {
 		t.Error("server 1 was forgotten with a connection, or server 2 was not forgotten without one")
 	}
-	p.Update(entry("", hoptiller.Gone), false)
+	p.Update(listEntry("", hoptiller.Gone), false)
 	if !p.Forget(1) || len(p.servers) != 0 || p.connCount != 0 {
 		t.Errorf("%d servers and %d connections are left", len(p.servers), p.connCount)
 	}
@@ -214,7 +214,7 @@
 	result := make(chan relay.Result, 1)
 	go func() { result <- p.Call(context.Background(), context.Background(), 1, exampleRead) }()
 	until(t, p, "a connection with one call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].pending) == 1 })
-	moved := entry(p.servers[1].Addr, hoptiller.Ready)
+	moved := listEntry(p.servers[1].Addr, hoptiller.Ready)
 	moved.EarliestStart = time.Now().Add(-time.Hour) // a start before the connection was opened
 	p.Update(moved, true)
 	until(t, p, "the connection has its call", func(s *server) bool { return len(s.conns) == 1 && len(s.conns[0].pending) == 1 })
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -40,17 +40,17 @@
 			defer cancel()
 			go p.Call(ctx, ctx, 1, request)
 			until(t, p, "a connection is being opened", func(s *server) bool { return s.dialing == 1 })
-			least := time.NewTimer(delay)
-			<-least.C
+			timer := time.NewTimer(delay)
+			<-timer.C
 			end, _ := ctx.Deadline()
-			most := time.Until(end)
+			maxLeft := time.Until(end)
 			received := readLines(listen())
 			for line := testprog.Await(t, received, "attempt"); ; line = testprog.Await(t, received, "attempt") {
 				if line == "closed" { // a connection that had filled the listener's queue
 					continue
 				}
-				if got := statedTime(line); got < 0 || got > most {
-					t.Errorf("%q, but %v are left", line, most)
+				if got := statedTime(line); got < 0 || got > maxLeft {
+					t.Errorf("%q, but %v are left", line, maxLeft)
 				}
 				break
 			}
@@ -61,7 +61,7 @@
 			received := readLines(l)
 			p := New(Settings{Share: 4, MostConns: 1, MostCalls: 100, ConnectTimeout: time.Second}, Meta{})
 			t.Cleanup(p.Close)
-			p.Update(entry(l.Addr().String(), hoptiller.Ready), false)
+			p.Update(listEntry(l.Addr().String(), hoptiller.Ready), false)
 			ctx, cancel := context.WithTimeout(t.Context(), wait)
 			defer cancel()
 			go p.Call(ctx, ctx, 1, readRequest("01"))
@@ -71,13 +71,13 @@
 			conn.writeMu.Lock() // as another attempt does while it is written
 			go p.Call(ctx, ctx, 1, request)
 			until(t, p, "the second attempt has its connection", func(*server) bool { return conn.load == 2 })
-			least := time.NewTimer(delay)
-			<-least.C
+			timer := time.NewTimer(delay)
+			<-timer.C
 			end, _ := ctx.Deadline()
-			most := time.Until(end)
+			maxLeft := time.Until(end)
 			conn.writeMu.Unlock()
-			if line := testprog.Await(t, received, "second attempt"); statedTime(line) < 0 || statedTime(line) > most {
-				t.Errorf("%q, but %v are left", line, most)
+			if line := testprog.Await(t, received, "second attempt"); statedTime(line) < 0 || statedTime(line) > maxLeft {
+				t.Errorf("%q, but %v are left", line, maxLeft)
 			}
 		})
 	}
