--- a/internal/meta/meta.go
+++ b/internal/meta/meta.go
@@ -196,7 +196,7 @@
 }
 
 // AppendFacts appends a list of name=value pairs, unchanged except that the value of each d becomes the time that is
-// left, in milliseconds. It is rounded down, so that it never states more time than is left.
+// left, in milliseconds. The time is rounded down, so that it never states more time than is left.
 func AppendFacts(b, facts []byte, timeLeft time.Duration) []byte {
 	for i, rest := 0, facts; len(rest) > 0; i++ {
 		var item []byte
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -24,16 +24,16 @@
 	MostTotal      int           // connections to all servers; 0: no limit
 	MostCalls      int           // calls in flight on one connection
 	IdleLimit      time.Duration // a connection that has been idle for this long is not used again; 0: no limit
-	Rest           time.Duration // no call is sent for this long after an answer; a second one may arrive
+	Rest           time.Duration // time after an answer in which no call is sent, because a second answer may arrive
 	Places         int           // connections that each core of a server accepts; 0: not stated
 	Kept           int           // idle connections to one server that stay open until IdleLimit; surplus ones are closed sooner
 	ConnectTimeout time.Duration
 	Room           *semaphore.Weighted      // memory in bytes for values whose length is known only at their end
 	Reports        *loadreport.Table        // stores the load reports of servers; nil: they are dropped
-	Seen           func(id uint32, up bool) // called when a server is found to have no process and when it answers again; nil: none
-	Called         func()                   // called for each call that was written completely; nil: none
-	LookedAgain    func()                   // called for each final check of a call that had to be repeated; nil: none
-	Closed         func(CloseReason)        // called for each connection that was closed; nil: none
+	Seen           func(id uint32, up bool) // called when a server is found to have no process, or answers again; may be nil
+	Called         func()                   // called for each call that was written completely; may be nil
+	LookedAgain    func()                   // called for each final check of a call that had to be repeated; may be nil
+	Closed         func(CloseReason)        // called for each connection that was closed; may be nil
 }
 
 // Pool holds the connections to all servers of one kind. It implements relay.Upstream.
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -11,8 +11,8 @@
 	"hoptiller/internal/buffer"
 )
 
-// send writes a call. If the connection has ended, or must take no more calls, since it was chosen, send returns
-// false with status OK, and another connection may be tried. If it fails, the status says how: the server cannot have
+// send writes a call. If the connection was closed or barred from new calls after it was chosen, send returns false
+// with status OK, and another connection may be tried. If the write fails, the status says how: the server cannot have
 // begun the call until the last byte is written.
 func (c *conn) send(sendCtx, ctx context.Context, call *pendingCall) (sent bool, status hoptiller.Status) {
 	c.writeMu.Lock() // calls are queued in the order in which they are written
