--- /dev/null
+++ b/internal/relay/trace.go
@@ -0,0 +1,53 @@
+package relay
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"strings"
+	"time"
+
+	"hoptiller"
+)
+
+// requestTrace records the attempts at one request, so that the log can show how an unserved request ended.
+type requestTrace struct {
+	started  time.Time
+	attempts []attemptResult
+}
+
+// attemptResult is how one attempt at a request ended.
+type attemptResult struct {
+	server uint32
+	status hoptiller.Status
+	took   time.Duration
+}
+
+// addAttempt records the end of an attempt.
+func (t *requestTrace) addAttempt(req *Request, server uint32, status hoptiller.Status, took time.Duration) {
+	t.attempts = append(t.attempts, attemptResult{server, status, took})
+	if !slog.Default().Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	slog.Debug("attempt ended", "request", string(req.ID), "attempt", len(t.attempts)-1, "server", fmt.Sprintf("%08x", server),
+		"status", status, "took", took.Round(time.Millisecond))
+}
+
+// String lists the attempts in their order, each as SERVER:STATUS@MILLISECONDS.
+func (t *requestTrace) String() string {
+	texts := make([]string, len(t.attempts))
+	for i, a := range t.attempts {
+		texts[i] = fmt.Sprintf("%08x:%s@%d", a.server, a.status, a.took.Milliseconds())
+	}
+	return strings.Join(texts, ",")
+}
+
+// logUnserved logs the end of a request that was not served.
+func (t *requestTrace) logUnserved(req *Request, kind hoptiller.StepKind) {
+	message := "request failed"
+	if kind == hoptiller.StepReject {
+		message = "request refused"
+	}
+	slog.Info(message, "request", string(req.ID), "class", req.Class, "waits", req.Wait.Round(time.Millisecond),
+		"after", time.Since(t.started).Round(time.Millisecond), "attempts", t)
+}
