--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -8,22 +8,22 @@
 	"slices"
 )
 
-// CloseReason is why a client connection ended.
+// CloseReason says why a client connection ended.
 type CloseReason uint8
 
 // The reasons for which a client connection ends.
 const (
-	CloseUnknown       CloseReason = iota // none was noted: the program ends
-	CloseClientLeft                       // the client closed its side
-	CloseClientBroke                      // reading from it failed
-	CloseQuit                             // the client asked for the end
-	CloseFaults                           // it sent too much that makes no sense
-	CloseIdle                             // it was idle, never asked anything, or stopped in a command
-	CloseMadeRoom                         // its place was needed
-	CloseDrained                          // the router is drained or ends
-	CloseUnwritable                       // an answer could not be written
-	CloseValueFailed                      // a long answer did not come whole
-	CloseRequestBroken                    // a long value that it sent did not come whole
+	CloseUnknown            CloseReason = iota // no reason was recorded: the process ends
+	CloseClientDisconnected                    // the client closed its side
+	CloseReadFailed                            // reading from it failed
+	CloseQuit                                  // the client sent the quit command
+	CloseInvalidCommands                       // the client sent too many invalid commands
+	CloseIdle                                  // the client was idle, sent no command at all, or stopped in the middle of one
+	CloseEvicted                               // another client needed the connection slot
+	CloseDrained                               // the router drains or stops
+	CloseWriteFailed                           // an answer could not be written
+	CloseValueFailed                           // a long answer did not arrive completely from its server
+	CloseRequestBroken                         // a long value did not arrive completely from the client
 	closeReasonCount
 )
 
@@ -32,14 +32,14 @@
 	"request_broken",
 }
 
-// String returns the reason as it is written in the log and the metrics.
+// String returns the name of the reason in the log and the metrics.
 func (r CloseReason) String() string { return closeReasonNames[r] }
 
-// CloseReasons returns the names of all reasons, in their order.
+// CloseReasons returns the names of all reasons, in the order of the constants.
 func CloseReasons() []string { return slices.Clone(closeReasonNames[:]) }
 
-// closing notes why the connection ends, unless that is known already.
-func (c *conn) closing(reason CloseReason, err error) {
+// setCloseReason records why the connection ends, unless a reason is known already.
+func (c *conn) setCloseReason(reason CloseReason, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closeReason == CloseUnknown {
@@ -47,22 +47,22 @@
 	}
 }
 
-// readFailed notes the end of a connection by an error of its reads.
-func (c *conn) readFailed(err error) {
+// setReadError records that the connection ends because a read returned err.
+func (c *conn) setReadError(err error) {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.closing(CloseIdle, nil)
+		c.setCloseReason(CloseIdle, nil)
 	case errors.Is(err, io.EOF):
-		c.closing(CloseClientLeft, nil)
+		c.setCloseReason(CloseClientDisconnected, nil)
 	default:
-		c.closing(CloseClientBroke, err)
+		c.setCloseReason(CloseReadFailed, err)
 	}
 }
 
-// tellClosed counts the end of the connection, and logs it where answers were owed on it.
-func (c *conn) tellClosed() {
+// reportClosed reports the end of the connection to Front.Closed. It logs the end if requests were left unanswered.
+func (c *conn) reportClosed() {
 	c.mu.Lock()
-	reason, err, unanswered := c.closeReason, c.closeError, c.unanswered
+	reason, err, unanswered := c.closeReason, c.closeError, c.unansweredCount
 	c.mu.Unlock()
 	if c.front.Closed != nil {
 		c.front.Closed(reason)
@@ -70,35 +70,36 @@
 	if unanswered == 0 {
 		return
 	}
-	args := []any{"client", c.client, "reason", reason.String(), "unanswered", unanswered, "last", c.lastUnanswered}
+	args := []any{"client", c.client, "reason", reason.String(), "unanswered", unanswered, "last", c.lastUnansweredID}
 	if err != nil {
 		args = append(args, "err", err)
 	}
 	slog.Info("client connection ended unanswered", args...)
 }
 
-// leftUnanswered notes a request of which the answer was not written whole.
-func (c *conn) leftUnanswered(id string) {
+// recordUnanswered records a request whose answer was not written completely.
+func (c *conn) recordUnanswered(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unanswered++
-	c.lastUnanswered = id
+	c.unansweredCount++
+	c.lastUnansweredID = id
 }
 
-// valueCut logs a long answer that a client got in part, and whose end it was.
-func (c *conn) valueCut(id string, given, length int, err error, unwritable bool) {
+// recordTruncatedAnswer logs a long answer that a client received only in part. unwritable reports that writing to the client
+// failed; otherwise reading the value failed.
+func (c *conn) recordTruncatedAnswer(id string, written, length int, err error, unwritable bool) {
 	reason := CloseValueFailed
 	if unwritable {
-		reason = CloseUnwritable
+		reason = CloseWriteFailed
 	}
-	c.closing(reason, err)
-	slog.Info("long answer cut off", "request", id, "given", given, "length", length, "reason", reason.String(), "err", err)
+	c.setCloseReason(reason, err)
+	slog.Info("long answer cut off", "request", id, "given", written, "length", length, "reason", reason.String(), "err", err)
 }
 
-// whyLast tells why a connection takes no further commands, where that was not noted.
-func (c *conn) whyLast() CloseReason {
-	if c.faults > 0 {
-		return CloseFaults
+// lastCommandReason returns the reason for which a connection takes no further commands, to be used if none was recorded.
+func (c *conn) lastCommandReason() CloseReason {
+	if c.invalidCommands > 0 {
+		return CloseInvalidCommands
 	}
 	return CloseQuit
 }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -15,111 +15,113 @@
 )
 
 const (
-	firstTime    = 2500 * time.Millisecond // for a new client to ask something
-	commandTime  = 2500 * time.Millisecond // for the rest of a command that has begun
-	idleTime     = 2500 * time.Millisecond // without an open command; the client asks again on a new connection
-	headTime     = 2100 * time.Millisecond // that a client may need for a command
-	noticeTime   = 800 * time.Millisecond  // for clients to notice that the router is drained
-	closeTimeout = 500 * time.Millisecond  // for a client to close its side
-	mostAhead    = 2 << 20                 // bytes of all clients together that wait behind their commands
-	mostAheadOne = 64 << 10                // and of one
+	firstCommandTimeout = 2500 * time.Millisecond // for the first command of a new client
+	commandTimeout      = 2500 * time.Millisecond // for the rest of a command of which a part has arrived
+	idleTimeout         = 2500 * time.Millisecond // without an open command; the client opens a new connection for its next one
+	maxCommandTime      = 2100 * time.Millisecond // that a client may need to send a complete command
+	drainNoticeTime     = 800 * time.Millisecond  // for clients to notice that the router drains and to disconnect
+	closeTimeout        = 500 * time.Millisecond  // for a client to close its side of the connection
+	maxReadAhead        = 2 << 20                 // bytes of all clients together that are read but wait for earlier commands
+	maxReadAheadPerConn = 64 << 10                // the same for one client
 )
 
 // conn is one client connection.
 type conn struct {
 	net.Conn
-	front   *Front
-	reader  *buffer.Reader
-	pending chan pendingAnswer // answers to come, in the order of the commands
-	freed   chan struct{}      // told when one has been written
-	faults  int                // commands that made no sense
-	client  netip.Addr
-	refused bool // it has no place: whatever it asks is refused
+	front           *Front
+	reader          *buffer.Reader
+	pending         chan pendingAnswer // the answers still to be written, in the order of their commands
+	answerWritten   chan struct{}      // receives a value after each answer that is written
+	invalidCommands int                // number of invalid commands
+	client          netip.Addr
+	rejectsRequests bool // the client has no connection slot: all its requests are rejected
 
-	long    *relay.Request // a write of which the value is still to come
-	longLen int
+	longWrite    *relay.Request // a write request whose long value has not been read yet
+	longWriteLen int            // length of that value in bytes
 
-	mu    sync.Mutex
-	out   int       // commands taken and not answered
-	asked bool      // a whole command has come
-	part  bool      // a command has come in part
-	since time.Time // when the part came, or else since when nothing is out
-	end   bool      // once nothing is out
-	ahead bool      // what is read now has to wait, since too much is out
-	woken bool      // and need not any more
+	mu                sync.Mutex
+	openCommands      int       // number of commands taken and not answered yet
+	receivedCommand   bool      // at least one complete command has arrived
+	hasPartialCommand bool      // the first part of a command has arrived
+	waitingSince      time.Time // when that part arrived, or since when no command is open
+	endWhenIdle       bool      // the connection ends as soon as no command is open
+	readingAhead      bool      // what is read now has to wait, since too many commands are open
+	readAheadDone     bool      // a command was answered meanwhile: the wait is over
 
-	pieceBy time.Time // when a long value is coming: until when there must be more of it
-	restBy  time.Time // when end is set: until when the rest of a command may come
+	pieceDeadline time.Time // while a long value is read: the time by which more of it must arrive
+	restDeadline  time.Time // with endWhenIdle: the time by which the rest of a command must arrive
 
-	closeReason    CloseReason // why it ends, if that is known
-	closeError     error       // what reading or writing failed with; nil: nothing did
-	unanswered     int         // requests of which the answer was not written whole
-	lastUnanswered string      // the id of the last of them
+	closeReason      CloseReason // why the connection ends, if that is known
+	closeError       error       // the error of a read or write; nil if none failed
+	unansweredCount  int         // number of requests whose answer was not written completely
+	lastUnansweredID string      // the id of the last such request
 
-	// Guarded by the front's conns.
-	entry      *list.Element
+	// The following fields are guarded by the lock of the front's connTable.
+	listEntry  *list.Element
 	state      connState
 	stateSince time.Time
 }
 
-// track tells the others what this connection is to them. c.mu is held.
-func (c *conn) track() {
-	to := silent
+// updateState moves the connection to its current state in the connTable. c.mu is held.
+func (c *conn) updateState() {
+	state := silent
 	switch {
-	case c.out > 0:
-		to = busy
-	case c.end && (c.asked && !c.part || !c.restBy.After(time.Now())):
-		to = going
-	case c.part:
-		to = halfway
-	case c.asked:
-		to = idle
+	case c.openCommands > 0:
+		state = busy
+	case c.endWhenIdle && (c.receivedCommand && !c.hasPartialCommand || !c.restDeadline.After(time.Now())):
+		state = ending
+	case c.hasPartialCommand:
+		state = midCommand
+	case c.receivedCommand:
+		state = idle
 	}
-	c.front.conns.move(c, to)
+	c.front.conns.setState(c, state)
 }
 
-// endIfIdle ends a connection if nothing is out on it. A command that has begun, or may be on its way where there was none
-// yet, has a while to come whole; that may be cut short later, when its place is needed.
-func (c *conn) endIfIdle(rest time.Duration, reason CloseReason) {
+// endIfIdle ends a connection if no command is open on it. A command that has arrived in part, or a first command that may
+// be on its way, has the time grace to arrive completely. A later call with a shorter grace, made when the connection slot
+// is needed, shortens that time.
+func (c *conn) endIfIdle(grace time.Duration, reason CloseReason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if by := time.Now().Add(rest); c.out == 0 && (!c.end || by.Before(c.restBy)) {
-		c.end, c.restBy = true, by
+	if deadline := time.Now().Add(grace); c.openCommands == 0 && (!c.endWhenIdle || deadline.Before(c.restDeadline)) {
+		c.endWhenIdle, c.restDeadline = true, deadline
 		if c.closeReason == CloseUnknown {
 			c.closeReason = reason
 		}
-		c.arm()
+		c.updateReadDeadline()
 	}
 }
 
-// arm sets how long the next read may take: a client that says nothing, or never the rest of a command,
-// must hold neither a place nor, after SIGTERM, the program. c.mu is held.
-func (c *conn) arm() {
-	c.track()
-	var by time.Time
+// updateReadDeadline sets how long the next read may take. A client that sends nothing, or never sends the rest of a
+// command, must not occupy a connection slot and must not delay the end of the process after SIGTERM. c.mu is held.
+func (c *conn) updateReadDeadline() {
+	c.updateState()
+	var deadline time.Time
 	switch {
-	case c.woken:
-		by = time.Unix(1, 0)
-	case !c.pieceBy.IsZero():
-		by = c.pieceBy
-	case c.part:
-		by = c.since.Add(commandTime)
-	case c.out > 0:
-	case c.end && c.asked:
-		by = time.Unix(1, 0)
-	case c.asked:
-		by = c.since.Add(idleTime)
+	case c.readAheadDone:
+		deadline = time.Unix(1, 0)
+	case !c.pieceDeadline.IsZero():
+		deadline = c.pieceDeadline
+	case c.hasPartialCommand:
+		deadline = c.waitingSince.Add(commandTimeout)
+	case c.openCommands > 0:
+	case c.endWhenIdle && c.receivedCommand:
+		deadline = time.Unix(1, 0)
+	case c.receivedCommand:
+		deadline = c.waitingSince.Add(idleTimeout)
 	default:
-		by = c.since.Add(firstTime)
+		deadline = c.waitingSince.Add(firstCommandTimeout)
 	}
-	if c.pieceBy.IsZero() && c.end && by.After(c.restBy) {
-		by = c.restBy
+	if c.pieceDeadline.IsZero() && c.endWhenIdle && deadline.After(c.restDeadline) {
+		deadline = c.restDeadline
 	}
-	c.SetReadDeadline(by)
+	c.SetReadDeadline(deadline)
 }
 
+// serve reads the commands of the client and writes the answers until the connection ends or ctx is done.
 func (c *conn) serve(ctx context.Context) {
-	defer c.tellClosed()
+	defer c.reportClosed()
 	defer c.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -130,56 +132,56 @@
 		defer close(done)
 		c.writeAnswers(ctx, cancel)
 	}()
-	own, unread := c.readCommands(ctx)
-	if !own {
-		cancel() // the client has left: nothing that it asked for is wanted any more
+	endedHere, unread := c.readCommands(ctx)
+	if !endedHere {
+		cancel() // the client has disconnected: its requests are cancelled
 	}
 	close(c.pending)
 	<-done
-	if tcp, ok := c.Conn.(*net.TCPConn); ok && (unread || c.answeredLately()) && ctx.Err() == nil {
-		// To close with something unread, or before something comes that is on its way, resets the connection, and the last
-		// answer may be lost with it. Where there was none the place is needed: a client that says nothing does not close its
-		// side either.
-		// A request that crosses the end must not be read: its client may ask again elsewhere only because it was not.
+	if tcp, ok := c.Conn.(*net.TCPConn); ok && (unread || c.answeredRecently()) && ctx.Err() == nil {
+		// Closing a connection while data is unread or still on its way resets the connection, and the client may lose the
+		// last answer. If no answer was written, the connection is closed at once, since its slot is needed and a silent
+		// client does not close its side either.
+		// A request that arrives after CloseWrite must not be read: the client may only retry elsewhere because it was not.
 		tcp.CloseWrite()
 		c.SetReadDeadline(time.Now().Add(closeTimeout))
 		c.reader.AwaitEnd()
 	}
 }
 
-// answeredLately tells whether a client may not have read its last answer yet.
-func (c *conn) answeredLately() bool {
+// answeredRecently reports whether a client may not have read its last answer yet.
+func (c *conn) answeredRecently() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.asked && time.Since(c.since) < closeTimeout
+	return c.receivedCommand && time.Since(c.waitingSince) < closeTimeout
 }
 
-// readCommands reads until the connection ends. It tells whether it ended it itself, so that the answers
-// to what came before are still to be written, and whether there may be more that is not read.
-func (c *conn) readCommands(ctx context.Context) (own, unread bool) {
+// readCommands reads commands until the connection ends. endedHere reports that the router ended the connection: the answers
+// to the commands taken so far are still to be written. unread reports that there may be data that was not read.
+func (c *conn) readCommands(ctx context.Context) (endedHere, unread bool) {
 	c.mu.Lock()
-	c.arm()
+	c.updateReadDeadline()
 	c.mu.Unlock()
 	for next := c.reader.Next; ; {
-		var gone bool
-		var got int
-		what := takenPart
+		var disconnected bool
+		var consumed int
+		outcome := outcomeIncomplete
 		err := next(func(b []byte) (used int) {
-			if gone = c.reader.Gone(); !gone { // else it came and has left: nothing that it asked for is wanted
-				used, what = c.commands(ctx, b)
+			if disconnected = c.reader.Gone(); !disconnected { // else the client has disconnected already and wants no answer
+				used, outcome = c.takeCommands(ctx, b)
 			}
-			got = used
+			consumed = used
 			return used
 		})
-		last, later := what == takenLast, what == takenLater
+		last, mustWait := outcome == outcomeLast, outcome == outcomeMustWait
 		next = c.reader.Next
-		if gone {
-			c.closing(CloseClientLeft, nil)
+		if disconnected {
+			c.setCloseReason(CloseClientDisconnected, nil)
 			return false, false
 		}
-		if c.long != nil && err == nil {
-			if last, err = c.gather(ctx); err != nil {
-				c.closing(CloseRequestBroken, err)
+		if c.longWrite != nil && err == nil {
+			if last, err = c.readLongValue(ctx); err != nil {
+				c.setCloseReason(CloseRequestBroken, err)
 				return errors.Is(err, os.ErrDeadlineExceeded), false
 			}
 			if !last {
@@ -187,32 +189,35 @@
 				continue
 			}
 		}
-		// One that is to go and was not silent for that is ended behind what it has asked by now.
-		last = last || got > 0 && !later && c.front.rest() > 0 && c.ending() && c.reader.Unread() == 0
+		// A connection that is to end while its client still sends ends behind the commands that have been taken so far.
+		last = last || consumed > 0 && !mustWait && c.front.grace() > 0 && c.endsWhenIdle() && c.reader.Unread() == 0
 		c.mu.Lock()
-		if part := c.reader.Unread() > 0 && !later; part != c.part || part && got > 0 { // another command has begun, or none is left
-			c.part, c.since = part, time.Now()
+		if partial := c.reader.Unread() > 0 && !mustWait; partial != c.hasPartialCommand || partial && consumed > 0 {
+			// Another command has begun, or no partial one is left.
+			c.hasPartialCommand, c.waitingSince = partial, time.Now()
 		}
-		if c.arm(); errors.Is(err, os.ErrDeadlineExceeded) && (c.out == 0 || c.part) && c.reader.Waiting() {
-			// A command that has come by now, or the rest of one, is not to be lost. The last look is just before the close: a program with a
-			// part of a core may stand still for a while anywhere, and all that came in that time would be reset.
+		if c.updateReadDeadline(); errors.Is(err, os.ErrDeadlineExceeded) && (c.openCommands == 0 || c.hasPartialCommand) &&
+			c.reader.Waiting() {
+			// A command, or the rest of one, that has already arrived must not be lost. The final check is made right before the
+			// close: a process with a fraction of a core may be paused at any point, and the close would reset all that arrived
+			// during the pause.
 			err = nil
 			c.SetReadDeadline(time.Now().Add(closeTimeout))
 		}
 		c.mu.Unlock()
 		switch {
 		case last:
-			c.closing(c.whyLast(), nil)
+			c.setCloseReason(c.lastCommandReason(), nil)
 			return true, true
 		case err != nil && errors.Is(err, os.ErrDeadlineExceeded):
-			c.readFailed(err)
+			c.setReadError(err)
 			return true, false
 		case err != nil:
-			c.readFailed(err)
+			c.setReadError(err)
 			return false, false
-		case later:
+		case mustWait:
 			if err := c.awaitAnswer(ctx); err != nil {
-				c.readFailed(err)
+				c.setReadError(err)
 				return false, false
 			}
 			next = c.reader.Again
@@ -220,58 +225,60 @@
 	}
 }
 
-// commands takes the commands at the start of b, and tells what became of the last of them. A long value ends them: it is gathered first.
-func (c *conn) commands(ctx context.Context, b []byte) (used int, what taken) {
-	for what = takenOne; what == takenOne && c.long == nil && used < len(b); {
+// takeCommands takes the commands at the start of b. It returns the number of bytes used and the outcome of the last command.
+// It stops at a command with a long value, which is read before the next command.
+func (c *conn) takeCommands(ctx context.Context, b []byte) (used int, outcome commandOutcome) {
+	for outcome = outcomeTaken; outcome == outcomeTaken && c.longWrite == nil && used < len(b); {
 		var n int
-		n, what = c.command(ctx, b, used)
+		n, outcome = c.takeCommand(ctx, b, used)
 		used += n
 	}
-	return used, what
+	return used, outcome
 }
 
-// awaitAnswer waits until one of a client's commands is answered. Where the connection ends behind them nothing more is read: whatever is
-// has to be answered.
+// awaitAnswer waits until one of the client's commands is answered. If the connection is about to end, it reads nothing
+// meanwhile, since every command that is read has to be answered.
 func (c *conn) awaitAnswer(ctx context.Context) error {
-	if c.front.rest() == 0 || !c.ending() && !c.front.over() {
+	if c.front.grace() == 0 || !c.endsWhenIdle() && !c.front.hasFailedOpenRequests() {
 		return c.readAhead(ctx)
 	}
 	select {
-	case <-c.freed:
+	case <-c.answerWritten:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// readAhead waits until one of a client's commands is answered, as whoever sends much ahead must. It reads on meanwhile, so that
-// a client which goes is seen to be gone; but only so much is kept that is not yet taken, of one and of all.
+// readAhead waits until one of the client's commands is answered. A client that sends too many commands at once has to wait
+// here. readAhead reads on meanwhile to notice when the client disconnects, but it keeps at most maxReadAheadPerConn bytes
+// of one client and maxReadAhead bytes of all clients that are not taken yet.
 func (c *conn) readAhead(ctx context.Context) (err error) {
 	c.mu.Lock()
-	c.ahead = true
-	c.arm()
+	c.readingAhead = true
+	c.updateReadDeadline()
 	c.mu.Unlock()
-	c.front.ahead.Add(int64(c.reader.Unread()))
+	c.front.readAheadBytes.Add(int64(c.reader.Unread()))
 	defer func() {
-		c.front.ahead.Add(-int64(c.reader.Unread()))
+		c.front.readAheadBytes.Add(-int64(c.reader.Unread()))
 		c.mu.Lock()
-		c.ahead, c.woken = false, false
-		c.arm()
+		c.readingAhead, c.readAheadDone = false, false
+		c.updateReadDeadline()
 		c.mu.Unlock()
 	}()
 	for {
-		select { // before ahead was set
-		case <-c.freed:
+		select { // an answer may have been written before readingAhead was set
+		case <-c.answerWritten:
 			return nil
 		default:
 		}
 		before := c.reader.Unread()
-		if c.front.ahead.Load() < mostAhead && before < mostAheadOne {
+		if c.front.readAheadBytes.Load() < maxReadAhead && before < maxReadAheadPerConn {
 			err = c.reader.Next(func([]byte) int { return 0 })
-			c.front.ahead.Add(int64(c.reader.Unread() - before))
+			c.front.readAheadBytes.Add(int64(c.reader.Unread() - before))
 		} else {
 			select {
-			case <-c.freed:
+			case <-c.answerWritten:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
@@ -285,55 +292,56 @@
 	}
 }
 
-// ending tells whether the connection goes once nothing is out on it.
-func (c *conn) ending() bool {
+// endsWhenIdle reports whether the connection ends as soon as no command is open on it.
+func (c *conn) endsWhenIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.end
+	return c.endWhenIdle
 }
 
-func (c *conn) full(most int) bool {
+// openCommandsReach reports whether at least limit commands are open.
+func (c *conn) openCommandsReach(limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.out >= most
+	return c.openCommands >= limit
 }
 
-// settle takes one off what is out. c.mu is held.
-func (c *conn) settle() {
-	if c.out--; c.out > 0 {
+// commandAnswered records that one open command has been answered. c.mu is held.
+func (c *conn) commandAnswered() {
+	if c.openCommands--; c.openCommands > 0 {
 		return
 	}
-	if rest := c.front.rest(); rest > 0 && !c.end {
-		c.end, c.restBy = true, time.Now().Add(rest)
+	if grace := c.front.grace(); grace > 0 && !c.endWhenIdle {
+		c.endWhenIdle, c.restDeadline = true, time.Now().Add(grace)
 		if c.closeReason == CloseUnknown {
 			c.closeReason = CloseDrained
 		}
 	}
-	if !c.part {
-		c.since = time.Now()
+	if !c.hasPartialCommand {
+		c.waitingSince = time.Now()
 	}
-	c.arm()
+	c.updateReadDeadline()
 }
 
 // writeAnswers writes the answers in the order of their commands.
 func (c *conn) writeAnswers(ctx context.Context, cancel context.CancelFunc) {
 	broken := false
-	for s := range c.pending {
-		broken = !c.writeAnswer(ctx, &s, broken) || broken
+	for pending := range c.pending {
+		broken = !c.writeAnswer(ctx, &pending, broken) || broken
 		if broken {
-			cancel() // ends the reading
+			cancel() // ends readCommands
 		}
 		c.mu.Lock()
-		c.settle()
+		c.commandAnswered()
 		c.mu.Unlock()
 		select {
-		case c.freed <- struct{}{}:
+		case c.answerWritten <- struct{}{}:
 		default:
 		}
 		c.mu.Lock()
-		if c.ahead {
-			c.woken = true
-			c.arm()
+		if c.readingAhead {
+			c.readAheadDone = true
+			c.updateReadDeadline()
 		}
 		c.mu.Unlock()
 	}
--- a/internal/front/conntable.go
+++ b/internal/front/conntable.go
@@ -7,145 +7,147 @@
 )
 
 const (
-	settled = 100 * time.Millisecond // without a first command after which a connection may make room for another
-	hushed  = 20 * time.Millisecond  // the same where only heads that are coming could do so instead
-	atOnce  = 16                     // connections that make room together
+	silentEvictAge = 100 * time.Millisecond // age from which a connection without a first command may be evicted
+	freshEvictAge  = 20 * time.Millisecond  // the same if otherwise only connections with a partial command could be evicted
+	maxEnding      = 16                     // connections that may be ending at the same time to free slots
 )
 
-// connState is what a connection is to those that want its place.
+// connState is the state of a connection that decides when it may be evicted.
 type connState uint8
 
 const (
-	busy    connState = iota // something is out on it
-	silent                   // it never had a command
-	halfway                  // a command has come in part
-	idle                     // it may ask again, here or on a new one
-	going                    // it ends at once
-	connStates
+	busy       connState = iota // a command is open
+	silent                      // no command has arrived yet
+	midCommand                  // a command has arrived in part
+	idle                        // all commands are answered; the client may send the next one here or on a new connection
+	ending                      // the connection ends at once
+	connStateCount
 )
 
-// connTable knows the connections by state, each in the order in which they came to it, so that to find the one that
-// goes costs the same however many there are.
+// connTable holds the connections by state. Each list is in the order in which the connections entered the state, so that
+// finding the next one to evict takes the same time for any number of connections.
 type connTable struct {
 	mu    sync.Mutex
-	lists [connStates]list.List
+	lists [connStateCount]list.List
 }
 
-// move gives a connection its state.
-func (s *connTable) move(c *conn, to connState) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if c.entry != nil {
-		if to == c.state {
+// setState moves a connection to a state. It adds a connection that the table does not hold yet.
+func (t *connTable) setState(c *conn, state connState) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if c.listEntry != nil {
+		if state == c.state {
 			return
 		}
-		s.lists[c.state].Remove(c.entry)
+		t.lists[c.state].Remove(c.listEntry)
 	}
-	c.state, c.stateSince = to, time.Now()
-	c.entry = s.lists[to].PushBack(c)
+	c.state, c.stateSince = state, time.Now()
+	c.listEntry = t.lists[state].PushBack(c)
 }
 
-// leave forgets a connection.
-func (s *connTable) leave(c *conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lists[c.state].Remove(c.entry)
+// remove removes a connection from the table.
+func (t *connTable) remove(c *conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lists[c.state].Remove(c.listEntry)
 }
 
-// all are the connections that there are.
-func (s *connTable) all() (conns []*conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for i := range s.lists {
-		for e := s.lists[i].Front(); e != nil; e = e.Next() {
+// all returns all connections in the table.
+func (t *connTable) all() (conns []*conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for i := range t.lists {
+		for e := t.lists[i].Front(); e != nil; e = e.Next() {
 			conns = append(conns, e.Value.(*conn))
 		}
 	}
 	return conns
 }
 
-// first is the connection that has had a state longest, if that is for some time; s.mu is held.
-func (s *connTable) first(of connState, now time.Time, least time.Duration) *conn {
-	if e := s.lists[of].Front(); e != nil && now.Sub(e.Value.(*conn).stateSince) >= least {
+// oldest returns the connection that has been in a state longest, or nil if that is less than minAge. t.mu is held.
+func (t *connTable) oldest(state connState, now time.Time, minAge time.Duration) *conn {
+	if e := t.lists[state].Front(); e != nil && now.Sub(e.Value.(*conn).stateSince) >= minAge {
 		return e.Value.(*conn)
 	}
 	return nil
 }
 
-// last is the connection that is to make room: one that never said anything, or was long in saying it; several of these
-// go at once, for they may come by the hundred. Else one that may ask again on a new one, then one that has only just
-// come and says nothing, and last one whose command may still come whole: the first to have begun, since most that do
-// come are shorter.
-func (s *connTable) last(now time.Time) *conn {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	ending := s.lists[going].Len()
-	if ending >= atOnce {
+// evictionCandidate returns the connection to evict next, or nil if none is to be evicted now. The order is: a connection
+// that never sent anything, then one whose command has been incomplete for maxCommandTime. Up to maxEnding of these end at
+// the same time, since they may arrive by the hundred. The others end one at a time: an idle connection, whose client may
+// open a new one, then a recent silent one, and finally one whose command may still arrive completely. Of these the oldest
+// is evicted, since most commands that do arrive take less time.
+func (t *connTable) evictionCandidate(now time.Time) *conn {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	endingCount := t.lists[ending].Len()
+	if endingCount >= maxEnding {
 		return nil
 	}
-	if c := s.first(silent, now, settled); c != nil {
+	if c := t.oldest(silent, now, silentEvictAge); c != nil {
 		return c
 	}
-	if c := s.first(halfway, now, headTime); c != nil {
+	if c := t.oldest(midCommand, now, maxCommandTime); c != nil {
 		return c
 	}
-	if ending > 0 {
+	if endingCount > 0 {
 		return nil
 	}
-	if c := s.first(idle, now, 0); c != nil {
+	if c := t.oldest(idle, now, 0); c != nil {
 		return c
 	}
-	if s.lists[silent].Len() > 0 { // perhaps not yet
-		return s.first(silent, now, hushed)
+	if t.lists[silent].Len() > 0 { // its first command may be on its way
+		return t.oldest(silent, now, freshEvictAge)
 	}
-	return s.first(halfway, now, 0)
+	return t.oldest(midCommand, now, 0)
 }
 
-// surplus is the connection that goes where clients hold too many: if those that have asked are more than kept the one
-// that was used longest ago, and if all that have begun to ask are more than held that one too, or else the one
-// that has been at its command longest.
-func (s *connTable) surplus(kept, held int) *conn {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	asked := s.lists[busy].Len() + s.lists[idle].Len()
-	begun := asked + s.lists[halfway].Len()
-	if kept > 0 && asked > kept || held > 0 && begun > held {
-		if c := s.first(idle, time.Now(), 0); c != nil {
+// surplusConn returns the connection to end if clients hold too many, else nil. If the connections that have sent a command
+// are more than maxAsked, it returns the longest idle one. If the connections that have sent at least a part of a command
+// are more than maxBegun, it returns the longest idle one as well, or else the one whose command has been incomplete longest.
+// A limit of 0 means no limit.
+func (t *connTable) surplusConn(maxAsked, maxBegun int) *conn {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	asked := t.lists[busy].Len() + t.lists[idle].Len()
+	begun := asked + t.lists[midCommand].Len()
+	if maxAsked > 0 && asked > maxAsked || maxBegun > 0 && begun > maxBegun {
+		if c := t.oldest(idle, time.Now(), 0); c != nil {
 			return c
 		}
 	}
-	if held > 0 && begun > held {
-		return s.first(halfway, time.Now(), 0)
+	if maxBegun > 0 && begun > maxBegun {
+		return t.oldest(midCommand, time.Now(), 0)
 	}
 	return nil
 }
 
-// evict takes a place, and waits for one until stop is closed. Clients that connect and say nothing, or half a command, must not
-// keep the others out, so where there is no place another connection goes.
-func (f *Front) evict(places chan struct{}, stop <-chan struct{}) (taken bool) {
+// acquireSlot takes a connection slot. It waits for a free slot until stop is closed. Clients that connect and send nothing,
+// or only a part of a command, must not keep others out, so acquireSlot evicts a connection if no slot is free.
+func (f *Front) acquireSlot(slots chan struct{}, stop <-chan struct{}) (acquired bool) {
 	for {
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 			return true
 		default:
 		}
-		if c := f.conns.last(time.Now()); c != nil {
-			c.endIfIdle(0, CloseMadeRoom)
+		if c := f.conns.evictionCandidate(time.Now()); c != nil {
+			c.endIfIdle(0, CloseEvicted)
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 			return true
 		case <-stop:
 			return false
-		case <-time.After(settled / 10):
+		case <-time.After(silentEvictAge / 10):
 		}
 	}
 }
 
-// thin ends a connection where many are kept: clients hold only so many at once, and those that ask once and keep
-// theirs, or are long in asking, would leave the others none to ask on.
-func (f *Front) thin() {
-	if c := f.conns.surplus(f.MostKept, f.MostHeld); c != nil {
-		c.endIfIdle(0, CloseMadeRoom)
+// endSurplusConn ends a connection if clients hold too many. The clients together hold a limited number of connections at
+// once. Clients that send one command and keep the connection, or that send a command slowly, would leave the others none.
+func (f *Front) endSurplusConn() {
+	if c := f.conns.surplusConn(f.MostKept, f.MostHeld); c != nil {
+		c.endIfIdle(0, CloseEvicted)
 	}
 }
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -23,60 +23,63 @@
 	"hoptiller/internal/testprog"
 )
 
-// until serves a request until its client has left, and tells of both.
-type until struct{ came, left chan string }
+// disconnectServer serves a request until its context is cancelled, which happens when its client disconnects. It sends the
+// request's id to both channels, at its arrival and at its cancellation.
+type disconnectServer struct{ arrived, cancelled chan string }
 
-func (u until) Serve(ctx context.Context, req *relay.Request) relay.Answer {
-	u.came <- string(req.ID)
+func (s disconnectServer) Serve(ctx context.Context, req *relay.Request) relay.Answer {
+	s.arrived <- string(req.ID)
 	<-ctx.Done()
-	u.left <- string(req.ID)
+	s.cancelled <- string(req.ID)
 	return relay.Answer{Kind: hoptiller.StepFail}
 }
 
-// Crossing: a client leaves while more of its commands have come than are taken at once, so that its close lies behind them, by
-// closing or by the end of its sending alone. What was taken is given up, and nothing more is taken.
-func TestLeavingBehindUnreadCommands(t *testing.T) {
+// Race: a client disconnects while more of its commands have arrived than are taken at once, so that its close is queued
+// behind them. It closes, resets or only ends its sending. The requests that were started are cancelled, and no more are
+// started.
+func TestDisconnectWithUnreadCommands(t *testing.T) {
 	t.Parallel()
 	const commands = 200
-	for name, leave := range map[string]func(*net.TCPConn) error{
+	for name, disconnect := range map[string]func(*net.TCPConn) error{
 		"closed":         (*net.TCPConn).Close,
 		"end of sending": (*net.TCPConn).CloseWrite,
 		"reset":          func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			served := until{make(chan string, commands), make(chan string, commands)}
-			connect := start(t, &Front{MostConns: 4, MostOpen: commands, Server: served})
+			server := disconnectServer{make(chan string, commands), make(chan string, commands)}
+			connect := start(t, &Front{MostConns: 4, MostOpen: commands, Server: server})
 			conn := connect().(*net.TCPConn)
 			for i := range commands {
 				fmt.Fprintf(conn, "mg k v O%d Pc=read,d=900\r\n", i)
 			}
-			for range readAhead {
-				testprog.Await(t, served.came, "command that is taken at once")
+			for range maxOpenCommands {
+				testprog.Await(t, server.arrived, "a request that is started at once")
 			}
-			if err := leave(conn); err != nil {
+			if err := disconnect(conn); err != nil {
 				t.Fatal(err)
 			}
-			for range readAhead {
-				testprog.Await(t, served.left, "end of a command whose client has left")
+			for range maxOpenCommands {
+				testprog.Await(t, server.cancelled, "cancellation of a request whose client has disconnected")
 			}
-			other := connect() // what comes of the first one has come before this
+			other := connect() // all effects of the first client happen before this one is answered
 			fmt.Fprint(other, "mn\r\n")
 			if line, err := bufio.NewReader(other).ReadString('\n'); line != "MN\r\n" {
 				t.Fatalf("got %q, %v", line, err)
 			}
-			if n := len(served.came); n > 0 {
-				t.Errorf("%d more commands were taken", n)
+			if n := len(server.arrived); n > 0 {
+				t.Errorf("%d more requests were started", n)
 			}
 		})
 	}
 }
 
-// Who waits behind commands of its own gets an answer to each, and no more of it is kept than is allowed for all.
+// A client that sends commands faster than they are answered gets an answer to each, and the router reads ahead no more of
+// them than is allowed for all clients.
 func TestReadAheadIsBounded(t *testing.T) {
 	t.Parallel()
-	const commands = 5000 // far more than is kept
-	hold := make(holder)
+	const commands = 5000 // far more than are read ahead
+	hold := make(blockingServer)
 	f := &Front{MostConns: 4, MostOpen: 9, Server: hold}
 	conn := start(t, f)()
 	go func() {
@@ -84,7 +87,7 @@
 			fmt.Fprintf(conn, "mg k v O%d Pc=read,x=%s,d=900\r\n", i, strings.Repeat("x", 100))
 		}
 	}()
-	testprog.Until(t, "as much is read ahead as is kept", func() bool { return f.ahead.Load() >= mostAheadOne })
+	testprog.Until(t, "the read-ahead bound is reached", func() bool { return f.readAheadBytes.Load() >= maxReadAheadPerConn })
 	close(hold)
 	r := bufio.NewReader(conn)
 	for i := range commands {
@@ -94,11 +97,11 @@
 		}
 	}
 	conn.Close()
-	testprog.Until(t, "nothing counts as kept", func() bool { return f.ahead.Load() == 0 })
+	testprog.Until(t, "no bytes count as read ahead", func() bool { return f.readAheadBytes.Load() == 0 })
 }
 
-// Crossing: a client has come, asked and left before any of it is read. Nothing is sent on for it.
-func TestGoneBeforeItIsRead(t *testing.T) {
+// Race: a client connects, sends a request and disconnects before the router reads any of it. The request is not passed on.
+func TestDisconnectBeforeRead(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -112,8 +115,8 @@
 		fmt.Fprintf(conn, "mg k v O%d Pc=read,d=900\r\n", i)
 		conn.Close()
 	}
-	served := until{make(chan string, 100), make(chan string, 100)}
-	f := &Front{MostConns: 99, MostOpen: 99, Server: served, Classes: []string{"read"}, Deadlines: []time.Duration{time.Second}}
+	server := disconnectServer{make(chan string, 100), make(chan string, 100)}
+	f := &Front{MostConns: 99, MostOpen: 99, Server: server, Classes: []string{"read"}, Deadlines: []time.Duration{time.Second}}
 	f.Life, f.Counts = lifecycle.New(), metrics.New(f.Classes)
 	done := make(chan error, 1)
 	ctx, end := context.WithCancel(t.Context())
@@ -128,24 +131,24 @@
 	if line, err := bufio.NewReader(conn).ReadString('\n'); line != "MN\r\n" {
 		t.Fatalf("got %q, %v", line, err)
 	}
-	testprog.Until(t, "the others are done with", func() bool { return len(f.conns.all()) == 1 })
-	if n := len(served.came); n > 0 {
-		t.Errorf("%d requests of clients that had left were sent on", n)
+	testprog.Until(t, "the other connections have ended", func() bool { return len(f.conns.all()) == 1 })
+	if n := len(server.arrived); n > 0 {
+		t.Errorf("%d requests of disconnected clients were passed on", n)
 	}
 	end()
 	testprog.Await(t, done, "end of the front")
 }
 
-// Crossing: the router ends a connection whose client has not read its last answer yet and sends more. The answer is whole, and
-// the connection ends behind it; it is not reset.
+// Race: the router ends a connection whose client has not read its last answer yet and sends more. The client receives the
+// complete answer and then the end of the connection; the connection is not reset.
 func TestLastAnswerIsNotLost(t *testing.T) {
 	t.Parallel()
-	hold := make(holder)
+	hold := make(blockingServer)
 	close(hold)
 	f := &Front{MostConns: 4, MostOpen: 4, Server: hold}
 	conn := start(t, f)().(*net.TCPConn)
 	fmt.Fprint(conn, "mg k v O1 Pc=read,d=900\r\n")
-	testprog.Until(t, "the connection rests after its answer", func() bool {
+	testprog.Until(t, "the connection is idle after its answer", func() bool {
 		f.conns.mu.Lock()
 		defer f.conns.mu.Unlock()
 		return f.conns.lists[idle].Len() == 1
@@ -155,8 +158,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testprog.Until(t, "the end has come", func() bool {
-		const closeWait = 8 // the first byte of what the kernel tells of a connection
+	testprog.Until(t, "the end of the connection has arrived at the client", func() bool {
+		const closeWait = 8 // the TCP state CLOSE_WAIT, which is the first byte of TCP_INFO
 		state := 0
 		raw.Control(func(fd uintptr) { state, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO) })
 		return err != nil || state&0xff == closeWait
@@ -164,7 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // a reset would come for the first, and show at the next
+	for range 3 { // a reset would be the reply to the first write and fail a later one
 		if _, err := fmt.Fprint(conn, "mg k v O2 Pc=read,d=900\r\n"); err != nil {
 			t.Errorf("the connection was reset: %v", err)
 		}
@@ -175,46 +178,47 @@
 	}
 }
 
-// What is still open when the time after a stop is over is answered, as failed.
-func TestOpenWhenTheTimeIsOver(t *testing.T) {
+// A request that is still open when the time Last after a stop is over is answered as failed.
+func TestOpenRequestsFailWhenShutdownExpires(t *testing.T) {
 	t.Parallel()
-	served := until{make(chan string, 9), make(chan string, 9)}
-	f := &Front{MostConns: 4, MostOpen: 4, Keep: time.Hour, Last: 50 * time.Millisecond, Server: served}
+	server := disconnectServer{make(chan string, 9), make(chan string, 9)}
+	f := &Front{MostConns: 4, MostOpen: 4, Keep: time.Hour, Last: 50 * time.Millisecond, Server: server}
 	conn := start(t, f)()
 	fmt.Fprint(conn, "mg k v O1 Pc=read,d=900\r\n")
-	testprog.Await(t, served.came, "request")
+	testprog.Await(t, server.arrived, "request")
 	f.Life.Tell(lifecycle.Stop)
 	if line, err := bufio.NewReader(conn).ReadString('\n'); line != "SERVER_ERROR failed\r\n" {
 		t.Errorf("got %q, %v", line, err)
 	}
 	conn.Close()
-	testprog.Await(t, served.left, "end of the request")
+	testprog.Await(t, server.cancelled, "end of the request")
 }
 
-// Crossing: a client leaves while its long value, which has come whole, waits for room. It is not sent on.
-func TestLeavingWhileWaitingForRoom(t *testing.T) {
+// Race: a client disconnects while its long value, which has arrived completely, waits for memory. The request is not passed on.
+func TestDisconnectWhileWaitingForMemory(t *testing.T) {
 	t.Parallel()
-	served := until{make(chan string, 9), make(chan string, 9)}
-	f := &Front{MostConns: 4, MostOpen: 4, Server: served}
-	conn, sentNothing := startWaitingForRoom(t, f, served)
+	server := disconnectServer{make(chan string, 9), make(chan string, 9)}
+	f := &Front{MostConns: 4, MostOpen: 4, Server: server}
+	conn, checkNotSent := startWaitingForMemory(t, f, server)
 	fmt.Fprintf(conn, "%s\r\n", strings.Repeat("x", waitingLength))
-	sentNothing()
+	checkNotSent()
 }
 
-// waitingLength is that of the value which waits in startWaitingForRoom, in bytes.
+// waitingLength is the length in bytes of the value that waits in startWaitingForMemory.
 const waitingLength = 100 << 10
 
-// startWaitingForRoom starts a front whose room for long values is taken, with a client that waits for some. sentNothing has the client
-// leave, gives the room back, and checks that nothing was sent on and no room kept.
-func startWaitingForRoom(t *testing.T, f *Front, served until) (conn net.Conn, sentNothing func()) {
+// startWaitingForMemory starts a front whose memory budget for long values is used up, and a client whose value waits for
+// memory. checkNotSent disconnects the client, releases the memory, and checks that the request was not passed on and that
+// it holds no memory.
+func startWaitingForMemory(t *testing.T, f *Front, served disconnectServer) (conn net.Conn, checkNotSent func()) {
 	t.Helper()
 	f.Room = semaphore.NewWeighted(meta.MaxLong)
 	if !f.Room.TryAcquire(meta.MaxLong) {
-		t.Fatal("no room")
+		t.Fatal("no memory for long values")
 	}
 	conn = start(t, f)()
 	fmt.Fprintf(conn, "ms k %d O1 Pc=read,d=900\r\n", waitingLength)
-	testprog.Until(t, "the value waits for room", func() bool {
+	testprog.Until(t, "the value waits for memory", func() bool {
 		f.conns.mu.Lock()
 		defer f.conns.mu.Unlock()
 		return f.conns.lists[busy].Len() == 1
@@ -223,17 +227,17 @@
 		t.Helper()
 		conn.Close()
 		f.Room.Release(meta.MaxLong)
-		testprog.Until(t, "the connection is done with", func() bool { return len(f.conns.all()) == 0 })
-		if n := len(served.came); n > 0 {
-			t.Error("the request was sent on")
+		testprog.Until(t, "the connection has ended", func() bool { return len(f.conns.all()) == 0 })
+		if n := len(served.arrived); n > 0 {
+			t.Error("the request was passed on")
 		}
 		if !f.Room.TryAcquire(meta.MaxLong) {
-			t.Error("its room was not given back")
+			t.Error("its memory was not released")
 		}
 	}
 }
 
-// failingListener fails with each of these errors before it accepts.
+// failingListener is a listener whose Accept fails once with each of errs before it accepts a connection.
 type failingListener struct {
 	net.Listener
 	errs []error
@@ -248,14 +252,15 @@
 	return l.Listener.Accept()
 }
 
-// Crossing: accept fails for a moment, in each way that the system has. No place is lost by it, and the next client is served.
-func TestAcceptFailsForAMoment(t *testing.T) {
+// Accept fails a few times with each error that the system can return. No connection slot is lost, and the next client
+// is served.
+func TestAcceptFailsTemporarily(t *testing.T) {
 	var errs []error
 	for range 3 {
 		errs = append(errs, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR)
 	}
-	f := &Front{MostConns: 2, MostOpen: 1, Server: &counter{}}
-	connect := startOn(t, f, func(l net.Listener) net.Listener { return &failingListener{Listener: l, errs: errs} })
+	f := &Front{MostConns: 2, MostOpen: 1, Server: &concurrencyServer{}}
+	connect := startWithListener(t, f, func(l net.Listener) net.Listener { return &failingListener{Listener: l, errs: errs} })
 	for range 2 {
 		conn := connect()
 		fmt.Fprint(conn, "mg k v O1 Pc=read,d=900\r\n")
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,6 @@
-// Package front is where clients connect. It alone knows their protocol, the
-// meta commands of the memcache text protocol.
+// Package front accepts client connections, reads requests from them and writes the answers.
+// It is the only package that implements the client protocol, the meta commands of the
+// memcache text protocol.
 package front
 
 import (
@@ -18,101 +19,105 @@
 	"hoptiller/internal/relay"
 )
 
-// Server carries a request to its final answer, as *relay.Relay does.
+// Server serves a request and returns its final answer, as *relay.Relay does.
 type Server interface {
 	Serve(ctx context.Context, req *relay.Request) relay.Answer
 }
 
-// Front serves the clients of a router, who may come by several listeners.
+// Front serves the clients of a router. They may connect to several listeners.
 type Front struct {
-	Classes   []string            // names, by number
-	AnyClass  bool                // whatever class a request names, it is of the first
-	Tenants   []string            // names, by number; none: all clients are one customer
-	Deadlines []time.Duration     // for a request that states none, by class
-	Aims      []time.Duration     // after which an answer counts as late, by class; 0 or none: never
-	MostConns int                 // client connections at once
-	MostKept  int                 // of those that have asked, beyond which idle ones are ended as others come; 0: no limit
-	MostHeld  int                 // of those that have asked or begun to; 0: no limit
-	MostOpen  int                 // requests at once beyond the first of each connection
-	Linger    time.Duration       // for which connections are still accepted after a stop
-	Keep      time.Duration       // for which those that are open are served after it, while there are any
-	Rest      time.Duration       // which commands that have begun have after that to come whole
-	Last      time.Duration       // after a stop, when whatever is still open is answered as failed; 0: it has its time
-	Room      *semaphore.Weighted // bytes of long values that are held at once, of the longest at least
-	Life      *lifecycle.State
+	Classes   []string            // names of the classes, by index
+	AnyClass  bool                // every request belongs to the first class, whatever class it names
+	Tenants   []string            // names of the tenants, by index; if empty, all clients are one tenant
+	Deadlines []time.Duration     // deadline of a request that states none, by class
+	Aims      []time.Duration     // target latency, after which an answer counts as late, by class; 0 or a nil slice: never
+	MostConns int                 // client connections at the same time
+	MostKept  int                 // connections that have sent a command; idle ones beyond that end as others connect; 0: no limit
+	MostHeld  int                 // connections that have sent at least a part of a command; 0: no limit
+	MostOpen  int                 // open requests at which a connection may have only one command open
+	Linger    time.Duration       // after a stop: for how long connections are still accepted
+	Keep      time.Duration       // after a stop: for how long open connections are served at most
+	Rest      time.Duration       // after Keep: for how long the rest of a command may arrive
+	Last      time.Duration       // after a stop: when all requests still open are answered as failed; 0: never
+	Room      *semaphore.Weighted // memory budget of long values in bytes, at least the size of the longest value
+	Life      *lifecycle.State    // the router's lifecycle, e.g. serving, draining or stopping
 	Counts    *metrics.Counters
-	Server    Server
-	Closed    func(CloseReason) // told why each client connection ended; nil: nobody is
+	Server    Server            // serves the requests
+	Closed    func(CloseReason) // called with the reason when a client connection ends; may be nil
 
 	accepting atomic.Bool
-	closing   atomic.Int64 // if set, connections end once nothing is out on them, and what has begun has so long to come
+	// endGrace is a duration in nanoseconds. If it is not 0, connections end once no command is open on them, and the rest of
+	// a partial command has this long to arrive.
+	endGrace atomic.Int64
 
-	conns connTable
-	ahead atomic.Int64 // bytes of clients that wait behind their commands
+	conns          connTable
+	readAheadBytes atomic.Int64 // bytes that are read from clients but wait for earlier commands
 
-	// answered ends when a shutdown answers all that is open, and answerOpen ends it.
-	answered   context.Context
-	answerOpen context.CancelFunc
+	// openFailed is the context that is done once a shutdown answers all open requests as failed. failOpen cancels it.
+	openFailed context.Context
+	failOpen   context.CancelFunc
 
-	left chan struct{} // told when a connection has ended
+	connEnded chan struct{} // receives a value after a connection has ended
 
-	mu   sync.Mutex
-	open map[string]bool // the ids of requests that are not answered
+	mu      sync.Mutex
+	openIDs map[string]bool // the ids of the open requests
 }
 
-// Ready tells whether new clients are taken and wanted.
+// Ready reports whether the router accepts clients and is to serve new ones.
 func (f *Front) Ready() bool { return f.accepting.Load() && f.Life.Phase() == lifecycle.Serving }
 
-// Serve accepts clients and follows the router's life: once that stops it accepts for Linger, serves those it
-// has until Keep is over, finishes what was taken and returns. When ctx ends, it drops everything.
+// Serve accepts and serves clients until the lifecycle in Life stops. Then it accepts connections for Linger more, serves
+// the open connections until Keep is over, finishes the open requests and returns. When ctx is done, it drops all
+// connections.
 func (f *Front) Serve(ctx context.Context, listeners ...net.Listener) error {
-	f.left = make(chan struct{}, 1)
-	f.answered, f.answerOpen = context.WithCancel(context.Background())
-	defer f.answerOpen()
+	f.connEnded = make(chan struct{}, 1)
+	f.openFailed, f.failOpen = context.WithCancel(context.Background())
+	defer f.failOpen()
 	f.mu.Lock()
-	f.open = map[string]bool{}
+	f.openIDs = map[string]bool{}
 	f.mu.Unlock()
 	g, ctx := errgroup.WithContext(ctx)
-	places := make(chan struct{}, max(1, f.MostConns))
+	slots := make(chan struct{}, max(1, f.MostConns))
 	stop := make(chan struct{})
 	var accepting sync.WaitGroup
 	for _, l := range listeners {
-		accepting.Go(func() { f.accept(ctx, g, l, places, stop) })
+		accepting.Go(func() { f.accept(ctx, g, l, slots, stop) })
 	}
 	f.accepting.Store(true)
-	f.follow(ctx)
+	f.followLifecycle(ctx)
 	stopped := time.Now()
 	if f.Last > 0 {
-		defer time.AfterFunc(f.Last, f.answerAll).Stop()
+		defer time.AfterFunc(f.Last, f.failOpenRequests).Stop()
 	}
-	f.wait(ctx, stopped.Add(f.Linger), false) // clients still come until the front layer has noticed
+	f.waitUntil(ctx, stopped.Add(f.Linger), false) // the layer in front still sends clients until it notices the stop
 	close(stop)
 	for _, l := range listeners {
 		stopAccepting(l)
 	}
 	accepting.Wait()
-	// Clients use the connections that they have for as long as they can; another router may be down just now.
-	f.wait(ctx, stopped.Add(f.Keep), true)
-	f.endIdle(max(f.Rest, 1))
+	// Clients use their connections for as long as they can, since another router may be down at this time.
+	f.waitUntil(ctx, stopped.Add(f.Keep), true)
+	f.endIdleConns(max(f.Rest, 1))
 	err := g.Wait()
 	slog.Info("clients served", "after", time.Since(stopped).Round(time.Millisecond))
 	return err
 }
 
-// over tells whether all that is open has been answered, and whatever comes now is answered at once.
-func (f *Front) over() bool { return f.answered.Err() != nil }
+// isOpenFailed reports whether all open requests have been answered as failed. New requests are then answered the same way
+// at once.
+func (f *Front) hasFailedOpenRequests() bool { return f.openFailed.Err() != nil }
 
-// answerAll has all open requests answered, since the process is about to be killed.
-func (f *Front) answerAll() {
+// failOpenRequests answers all open requests as failed, since the process is about to be killed.
+func (f *Front) failOpenRequests() {
 	f.mu.Lock()
-	open := len(f.open)
+	openCount := len(f.openIDs)
 	f.mu.Unlock()
-	slog.Info("answering what is open as failed", "open", open)
-	f.answerOpen()
+	slog.Info("answering what is open as failed", "open", openCount)
+	f.failOpen()
 }
 
-// follow sends clients away while the router is drained, until it stops.
-func (f *Front) follow(ctx context.Context) {
+// followLifecycle ends client connections while the router drains. It returns when the router stops.
+func (f *Front) followLifecycle(ctx context.Context) {
 	for {
 		phase, changed := f.Life.Watch()
 		var due <-chan time.Time
@@ -120,26 +125,26 @@
 		case phase.Stops():
 			return
 		case phase == lifecycle.Serving:
-			f.closing.Store(0)
-		case f.closing.Load() == 0:
-			due = time.After(noticeTime) // until then they leave by themselves
+			f.endGrace.Store(0)
+		case f.endGrace.Load() == 0:
+			due = time.After(drainNoticeTime) // until then clients disconnect by themselves
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-due:
-			f.endIdle(headTime)
+			f.endIdleConns(maxCommandTime)
 		case <-changed:
 		}
 	}
 }
 
-// wait waits until a time, or if it may until no client is left.
-func (f *Front) wait(ctx context.Context, until time.Time, orNone bool) {
+// waitUntil waits until a time or until ctx is done. With untilNoClients it returns earlier if no client is connected.
+func (f *Front) waitUntil(ctx context.Context, until time.Time, untilNoClients bool) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	for {
-		if orNone && len(f.conns.all()) == 0 {
+		if untilNoClients && len(f.conns.all()) == 0 {
 			return
 		}
 		select {
@@ -147,53 +152,55 @@
 			return
 		case <-timer.C:
 			return
-		case <-f.left:
+		case <-f.connEnded:
 		}
 	}
 }
 
-// endIdle closes the connections that are idle, and from now on each when its answers are out. Commands that have
-// begun, or may be on their way on a connection that had none yet, have a while to come whole.
-func (f *Front) endIdle(rest time.Duration) {
-	f.closing.Store(int64(rest))
+// endIdleConns ends the connections without an open command, and from now on each other connection once its answers are
+// written. Commands that have arrived in part, and first commands that may be on their way, have the time grace to arrive
+// completely.
+func (f *Front) endIdleConns(grace time.Duration) {
+	f.endGrace.Store(int64(grace))
 	for _, c := range f.conns.all() {
-		c.endIfIdle(rest, CloseDrained)
+		c.endIfIdle(grace, CloseDrained)
 	}
 }
 
-// rest is how long what has begun has to come whole if connections end once nothing is out on them, and 0 if they
-// don't. A router that was called back serves from that moment on, however late follow hears of it.
-func (f *Front) rest() time.Duration {
-	rest := f.closing.Load()
-	if rest > 0 && f.Life.Phase() == lifecycle.Serving {
+// grace returns how long a partial command may take to arrive if connections end once no command is open on them, and 0 if
+// they do not end. A router that was activated again serves from that moment on, even if followLifecycle has not been
+// notified yet.
+func (f *Front) grace() time.Duration {
+	grace := f.endGrace.Load()
+	if grace > 0 && f.Life.Phase() == lifecycle.Serving {
 		return 0
 	}
-	return time.Duration(rest)
+	return time.Duration(grace)
 }
 
-// crowded tells that a connection may have only one more request open, so that those which send
-// hundreds ahead take no places of those which wait for their answers.
-func (f *Front) crowded() bool {
+// hasMaxOpen reports whether MostOpen requests are open. A connection may then have only one command open, so that clients
+// that send hundreds of commands at once don't crowd out clients that wait for each answer.
+func (f *Front) hasMaxOpen() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.open) >= f.MostOpen
+	return len(f.openIDs) >= f.MostOpen
 }
 
-// begin takes an id. The answers of two requests with one id could not be told apart, at a server
-// either, whoever sent them.
-func (f *Front) begin(id string) bool {
+// reserveID reserves a request id and reports whether it was free. The answers to two open requests with the same id could
+// not be told apart, neither by a client nor at a cache server, even if different clients sent them.
+func (f *Front) reserveID(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.open[id] {
+	if f.openIDs[id] {
 		return false
 	}
-	f.open[id] = true
+	f.openIDs[id] = true
 	return true
 }
 
-// ended gives an id back.
-func (f *Front) ended(id string) {
+// releaseID frees the id of a request.
+func (f *Front) releaseID(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.open, id)
+	delete(f.openIDs, id)
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -17,24 +17,25 @@
 	"hoptiller/internal/testprog"
 )
 
-// counter serves every request and keeps count of how many it had at once.
-type counter struct{ open, most atomic.Int64 }
+// concurrencyServer serves every request and records the most requests that it served at the same time.
+type concurrencyServer struct{ running, peak atomic.Int64 }
 
-func (c *counter) Serve(context.Context, *relay.Request) relay.Answer {
-	n := c.open.Add(1)
-	for most := c.most.Load(); n > most && !c.most.CompareAndSwap(most, n); most = c.most.Load() {
+func (c *concurrencyServer) Serve(context.Context, *relay.Request) relay.Answer {
+	n := c.running.Add(1)
+	for peak := c.peak.Load(); n > peak && !c.peak.CompareAndSwap(peak, n); peak = c.peak.Load() {
 	}
 	for range 100 {
 		runtime.Gosched()
 	}
-	c.open.Add(-1)
+	c.running.Add(-1)
 	return relay.Answer{Kind: hoptiller.StepServed, Data: []byte("x")}
 }
 
-// However many commands clients send ahead, only so many are open, and each is answered in its place.
+// However many commands a client sends without waiting, at most MostOpen requests are open at once, and the answers come in
+// the order of the commands.
 func TestOpenRequestsAreBounded(t *testing.T) {
-	served := &counter{}
-	conn := start(t, &Front{MostConns: 4, MostOpen: 3, Server: served})()
+	server := &concurrencyServer{}
+	conn := start(t, &Front{MostConns: 4, MostOpen: 3, Server: server})()
 	const commands = 200
 	go func() {
 		for i := range commands {
@@ -49,31 +50,32 @@
 			t.Fatalf("answer %d is %q %q, %v", i, head, value, err)
 		}
 	}
-	if most := served.most.Load(); most < 1 || most > 3 {
-		t.Errorf("%d requests at once, 3 are allowed", most)
+	if peak := server.peak.Load(); peak < 1 || peak > 3 {
+		t.Errorf("%d requests were open at once, at most 3 are allowed", peak)
 	}
 }
 
 // start serves clients until the test ends and returns a function that connects one.
 func start(t *testing.T, f *Front) (connect func() net.Conn) {
-	return startOn(t, f, func(l net.Listener) net.Listener { return l })
+	return startWithListener(t, f, func(l net.Listener) net.Listener { return l })
 }
 
-// startOn does so on what is made of the listener.
-func startOn(t *testing.T, f *Front, on func(net.Listener) net.Listener) (connect func() net.Conn) {
-	return startServing(t, f, func(ctx context.Context, l net.Listener) error { return f.Serve(ctx, on(l)) })
+// startWithListener does the same as start with the listener that wrap returns.
+func startWithListener(t *testing.T, f *Front, wrap func(net.Listener) net.Listener) (connect func() net.Conn) {
+	return startServing(t, f, func(ctx context.Context, l net.Listener) error { return f.Serve(ctx, wrap(l)) })
 }
 
-// startServing is start for a front that serves in a way of its own.
+// startServing does the same as start and calls serve in place of Front.Serve.
 func startServing(t *testing.T, f *Front, serve func(context.Context, net.Listener) error) (connect func() net.Conn) {
 	f.Classes, f.Deadlines = []string{"read"}, []time.Duration{time.Second}
 	f.Life, f.Counts = lifecycle.New(), metrics.New(f.Classes)
 	return testprog.Serve(t, serve)
 }
 
-// A crowd that says nothing, many times the places, cuts off none who is long in asking, and holds off none who asks.
-func TestCrowd(t *testing.T) {
-	hold := make(holder)
+// Silent clients, many times as many as there are connection slots, neither cut off a client that sends its command slowly nor
+// keep out one that sends a request.
+func TestManySilentClients(t *testing.T) {
+	hold := make(blockingServer)
 	close(hold)
 	connect := start(t, &Front{MostConns: 20, MostOpen: 20, Server: hold})
 	slow := connect()
@@ -91,21 +93,21 @@
 	}
 }
 
-// untilOpen waits until so many requests are open.
-func untilOpen(t *testing.T, f *Front, n int) {
+// awaitOpen waits until n requests are open.
+func awaitOpen(t *testing.T, f *Front, n int) {
 	t.Helper()
 	testprog.Until(t, fmt.Sprint(n, " requests are open"), func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return len(f.open) == n
+		return len(f.openIDs) == n
 	})
 }
 
-// Clients that say nothing, or half a command, make room for one that asks; one that waits for its
-// answer keeps its place.
-func TestRoomForClients(t *testing.T) {
+// Clients that send nothing, or half a command, are evicted for one that sends a request. A client that waits for its
+// answer keeps its connection.
+func TestEvictionAdmitsActiveClients(t *testing.T) {
 	hold := make(chan struct{})
-	connect := start(t, &Front{MostConns: 3, MostOpen: 3, Server: holder(hold)})
+	connect := start(t, &Front{MostConns: 3, MostOpen: 3, Server: blockingServer(hold)})
 	waiting := connect()
 	fmt.Fprint(waiting, "mg k v O1 Pc=read,d=900\r\n")
 	for range 5 {
@@ -123,14 +125,15 @@
 	}
 }
 
-// One that leaves gives its place back at once, however long its call is still out; its id is taken until then.
-func TestLeavingFreesThePlace(t *testing.T) {
-	hold := make(holder)
+// A client that disconnects frees its connection slot at once, even while its request is still in flight. The request's id
+// stays in use until the request ends.
+func TestDisconnectFreesTheSlot(t *testing.T) {
+	hold := make(blockingServer)
 	f := &Front{MostConns: 1, MostOpen: 9, Server: hold}
 	connect := start(t, f)
 	first := connect()
 	fmt.Fprint(first, "mg k v O1 Pc=read,d=900\r\n")
-	untilOpen(t, f, 1)
+	awaitOpen(t, f, 1)
 	first.Close()
 	second := connect()
 	fmt.Fprint(second, "mg k v O1 Pc=read,d=900\r\nmn\r\n")
@@ -141,16 +144,16 @@
 		}
 	}
 	close(hold)
-	untilOpen(t, f, 0)
+	awaitOpen(t, f, 0)
 	if s := f.Counts.Snapshot(); s.Pending != 0 || s.Downstream["read"].Failed != 1 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// After a stop nobody new is let in, but those who are there are served for as long as they stay; then
-// nothing is waited for.
-func TestStopKeepsClients(t *testing.T) {
-	hold := make(holder)
+// After a stop no new client is accepted, but the connected ones are served for as long as they stay. Once they have
+// disconnected, Serve returns without waiting any longer.
+func TestStopServesConnectedClients(t *testing.T) {
+	hold := make(blockingServer)
 	close(hold)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -166,111 +169,114 @@
 	}
 	conn.SetDeadline(time.Now().Add(testprog.Patience))
 	r := bufio.NewReader(conn)
-	ask := func(id int) {
+	request := func(id int) {
 		fmt.Fprintf(conn, "mg k v O%d Pc=read,d=900\r\n", id)
 		head, _ := r.ReadString('\n')
 		if value, err := r.ReadString('\n'); head != fmt.Sprintf("VA 1 O%d\r\n", id) || err != nil {
 			t.Fatalf("answer %q %q, %v", head, value, err)
 		}
 	}
-	ask(1)
+	request(1)
 	f.Life.Tell(lifecycle.Stop)
-	testprog.Until(t, "nobody new is let in", func() bool {
+	testprog.Until(t, "no new client is accepted", func() bool {
 		other, err := net.Dial("tcp", l.Addr().String())
 		if err == nil {
 			other.Close()
 		}
 		return err != nil
 	})
-	ask(2)
+	request(2)
 	conn.Close()
 	if err := testprog.Await(t, done, "end of the front"); err != nil {
 		t.Error(err)
 	}
 }
 
-// Clients that ask once and keep their connection leave the others none, since they hold only so many at once:
-// beyond a number the one that was used longest ago goes, but none that is open or silent in its stead.
-func TestThinEndsTheLongestIdle(t *testing.T) {
-	f := &Front{MostConns: 9, MostOpen: 9, MostKept: 2, Server: make(holder)}
+// Clients together hold a limited number of connections, so those that send one request and keep the connection would leave
+// the others none. Beyond MostKept the connection that has been idle longest ends, and none with an open request or without
+// a first command ends in its place.
+func TestSurplusEndsTheLongestIdle(t *testing.T) {
+	f := &Front{MostConns: 9, MostOpen: 9, MostKept: 2, Server: make(blockingServer)}
 	connect := start(t, f)
 	waiting := connect()
 	fmt.Fprint(waiting, "mg k v O1 Pc=read,d=900\r\n")
 	connect()
-	var kept []net.Conn
+	var idleConns []net.Conn
 	for i := range 2 {
-		kept = append(kept, connect())
-		fmt.Fprint(kept[i], "mn\r\n")
-		bufio.NewReader(kept[i]).ReadString('\n')
-		// The answer may be here before its connection counts as idle, and the next one would be idle longer.
+		idleConns = append(idleConns, connect())
+		fmt.Fprint(idleConns[i], "mn\r\n")
+		bufio.NewReader(idleConns[i]).ReadString('\n')
+		// The answer may arrive before its connection counts as idle. Without this wait the next connection could count as
+		// idle for longer.
 		testprog.Until(t, "the connection is idle", func() bool {
 			f.conns.mu.Lock()
 			defer f.conns.mu.Unlock()
 			return f.conns.lists[idle].Len() == i+1
 		})
 	}
-	untilOpen(t, f, 1) // the first client's command has been read too
-	f.thin()
+	awaitOpen(t, f, 1) // the first client's command has been read too
+	f.endSurplusConn()
 	ended, all := 0, f.conns.all()
 	for _, c := range all {
 		c.mu.Lock()
-		if c.end {
+		if c.endWhenIdle {
 			ended++
 		}
-		if c.end && c.RemoteAddr().String() != kept[0].LocalAddr().String() {
-			t.Errorf("%v was ended, not the one that is idle longest", c.RemoteAddr())
+		if c.endWhenIdle && c.RemoteAddr().String() != idleConns[0].LocalAddr().String() {
+			t.Errorf("%v was ended, not the connection that has been idle longest", c.RemoteAddr())
 		}
 		c.mu.Unlock()
 	}
-	left := len(all)
-	if ended+4-left != 1 {
-		t.Errorf("%d connections are left, %d of them ending", left, ended)
+	remaining := len(all)
+	if ended+4-remaining != 1 {
+		t.Errorf("%d connections remain, %d of them ending", remaining, ended)
 	}
-	close(f.Server.(holder))
+	close(f.Server.(blockingServer))
 }
 
-// holder serves when it may.
-type holder chan struct{}
+// blockingServer answers requests once the channel is closed.
+type blockingServer chan struct{}
 
-func (h holder) Serve(context.Context, *relay.Request) relay.Answer {
-	<-h
+func (s blockingServer) Serve(context.Context, *relay.Request) relay.Answer {
+	<-s
 	return relay.Answer{Kind: hoptiller.StepServed, Data: []byte("x")}
 }
 
-// A request carries its customer's number, so that each is held to its own share; one who is not known has none,
-// and where there are no customers all are the first.
+// A request carries the number of its tenant, so that each tenant is held to its own share. An unknown tenant gets -1, and
+// without a list of tenants all requests get 0.
 func TestTenants(t *testing.T) {
 	for facts, want := range map[string]int{"c=read,t=brno,d=9": 1, "c=read,t=praha": 0, "c=read,t=nobody": -1, "c=read": -1} {
 		f := &Front{Classes: []string{"read"}, Deadlines: []time.Duration{time.Second}, Tenants: []string{"praha", "brno"}}
 		req := &relay.Request{}
-		if fault := f.facts(req, []byte(facts)); fault != "" || req.Tenant != want {
-			t.Errorf("%s: customer %d, want %d, %s", facts, req.Tenant, want, fault)
+		if fault := f.parseFacts(req, []byte(facts)); fault != "" || req.Tenant != want {
+			t.Errorf("%s: tenant %d, want %d, fault %q", facts, req.Tenant, want, fault)
 		}
-		if f.Tenants = nil; f.facts(req, []byte(facts)) != "" {
+		if f.Tenants = nil; f.parseFacts(req, []byte(facts)) != "" {
 			t.Fatal(facts)
 		}
 	}
 	req := &relay.Request{}
-	if (&Front{Classes: []string{"read"}, Deadlines: []time.Duration{time.Second}}).facts(req, []byte("c=read,t=x")); req.Tenant != 0 {
-		t.Errorf("customer %d where there are none", req.Tenant)
+	if (&Front{Classes: []string{"read"}, Deadlines: []time.Duration{time.Second}}).parseFacts(req, []byte("c=read,t=x")); req.Tenant != 0 {
+		t.Errorf("tenant %d without a list of tenants", req.Tenant)
 	}
 }
 
-// Who is told that the router was called back finds it so: a connection that comes then stays, though the router's own
-// goroutine has not heard yet. A scenario met that on a busy machine, and waited for an answer on a connection that ended.
-func TestCalledBackAtOnce(t *testing.T) {
+// Once an operator has been answered that the router is active again, new connections stay, even if the goroutine of
+// followLifecycle has not been notified yet. On a busy machine a scenario once waited for an answer on a connection that
+// had ended.
+func TestReactivationTakesEffectAtOnce(t *testing.T) {
 	f := &Front{Life: lifecycle.New()}
-	f.closing.Store(int64(time.Second))
+	f.endGrace.Store(int64(time.Second))
 	f.Life.Tell(lifecycle.Drain)
-	if f.rest() != time.Second {
-		t.Error("connections of a drained router stay")
+	if f.grace() != time.Second {
+		t.Error("connections of a draining router don't end")
 	}
 	f.Life.Tell(lifecycle.Activate)
-	if f.rest() != 0 {
-		t.Error("connections of a router that was called back end")
+	if f.grace() != 0 {
+		t.Error("connections of a reactivated router end")
 	}
 	f.Life.Tell(lifecycle.Stop)
-	if f.rest() != time.Second {
-		t.Error("connections of a stopping router stay")
+	if f.grace() != time.Second {
+		t.Error("connections of a stopping router don't end")
 	}
 }
--- a/internal/front/gather.go
+++ b/internal/front/gather.go
@@ -10,101 +10,103 @@
 )
 
 const (
-	pieceTime = 6 * time.Second // that the next piece of a long value may take
-	slowest   = 64 << 10        // bytes a second that must come beyond that
+	pieceTimeout = 6 * time.Second // for the next piece of a long value to arrive
+	minRate      = 64 << 10        // bytes a second that must arrive on average, apart from the first pieceTimeout
 )
 
-// pieceBy is when the next piece of a value must have come. Time goes by progress, but one that goes on by a byte now
-// and then would hold its room for hours, and all who wait for it.
-func pieceBy(begun, now time.Time, got int) time.Time {
-	most := begun.Add(pieceTime + time.Duration(got)*time.Second/slowest)
-	if by := now.Add(pieceTime); by.Before(most) {
-		return by
+// nextPieceDeadline returns the time by which the next piece of a value must arrive. Each piece extends the deadline, but
+// only as far as minRate allows: a client that sends a single byte now and then would otherwise hold its memory for hours
+// and block all requests that wait for memory.
+func nextPieceDeadline(begun, now time.Time, received int) time.Time {
+	latest := begun.Add(pieceTimeout + time.Duration(received)*time.Second/minRate)
+	if deadline := now.Add(pieceTimeout); deadline.Before(latest) {
+		return deadline
 	}
-	return most
+	return latest
 }
 
-// acquireRoom waits for room for a long value, at the longest until the shutdown answers all that is open.
-func (f *Front) acquireRoom(ctx context.Context, room int64) error {
+// acquireMemory waits until the memory budget has size bytes for a long value. It fails when ctx is done or when a shutdown
+// answers all open requests as failed.
+func (f *Front) acquireMemory(ctx context.Context, size int64) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(f.answered, cancel)()
-	return f.Room.Acquire(ctx, room)
+	defer context.AfterFunc(f.openFailed, cancel)()
+	return f.Room.Acquire(ctx, size)
 }
 
-// gather reads the long value of the write that has begun, and starts its request when it is whole. It takes room
-// for all of it first: with a part each, all would wait for each other. Until there is some the client waits
-// too, since nothing is read. last tells that nothing more is read.
-func (c *conn) gather(ctx context.Context) (last bool, err error) {
-	req, length := c.long, c.longLen
-	c.long = nil
-	// From now on the connection counts as one on which something is out: it must not make room.
+// readLongValue reads the value of c.longWrite and starts the request when the value is complete. It first acquires memory
+// for the whole value, since requests that each held a part of their memory could deadlock. While it waits, nothing is read,
+// so the client has to wait as well. stopReading reports that the connection must not be read any further.
+func (c *conn) readLongValue(ctx context.Context) (stopReading bool, err error) {
+	req, length := c.longWrite, c.longWriteLen
+	c.longWrite = nil
+	// The command counts as open from now on, so that the connection is not evicted.
 	c.mu.Lock()
-	c.out++
-	c.track()
+	c.openCommands++
+	c.updateState()
 	c.mu.Unlock()
 	defer func() {
 		c.reader.Long = false
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.part, c.pieceBy = false, time.Time{}
-		c.settle()
+		c.hasPartialCommand, c.pieceDeadline = false, time.Time{}
+		c.commandAnswered()
 	}()
-	ended := func() { c.front.ended(string(req.ID)) }
-	room := int64(length)
-	if err := c.front.acquireRoom(ctx, room); err != nil {
-		ended()
-		if !c.front.over() {
+	releaseID := func() { c.front.releaseID(string(req.ID)) }
+	size := int64(length)
+	if err := c.front.acquireMemory(ctx, size); err != nil {
+		releaseID()
+		if !c.front.hasFailedOpenRequests() {
 			return false, err
 		}
-		c.put(pendingAnswer{line: string(meta.AppendFailed(nil))})
+		c.enqueue(pendingAnswer{line: string(meta.AppendFailed(nil))})
 		return true, nil
 	}
 	value := &buffer.Chain{}
-	free := func() {
+	release := func() {
 		value.Free()
-		c.front.Room.Release(room)
+		c.front.Room.Release(size)
 	}
 	c.reader.Long = true
 	begun := time.Now()
-	left, tail := length, "\r\n"
-	for next := c.reader.Again; left > 0 || tail != ""; next = c.reader.Next {
+	remaining, terminator := length, "\r\n"
+	for next := c.reader.Again; remaining > 0 || terminator != ""; next = c.reader.Next {
 		c.mu.Lock()
-		c.pieceBy = pieceBy(begun, time.Now(), value.Len())
-		c.arm()
+		c.pieceDeadline = nextPieceDeadline(begun, time.Now(), value.Len())
+		c.updateReadDeadline()
 		c.mu.Unlock()
-		bad := false
+		badTerminator := false
 		if err := next(func(b []byte) (used int) {
-			used = min(left, len(b))
+			used = min(remaining, len(b))
 			value.Append(b[:used])
-			if left -= used; left == 0 {
-				n := min(len(tail), len(b)-used)
-				bad = string(b[used:used+n]) != tail[:n]
-				tail = tail[n:]
+			if remaining -= used; remaining == 0 {
+				n := min(len(terminator), len(b)-used)
+				badTerminator = string(b[used:used+n]) != terminator[:n]
+				terminator = terminator[n:]
 				used += n
 			}
-			if left == 0 && tail == "" {
+			if remaining == 0 && terminator == "" {
 				req.Arrived = c.reader.Arrived(used)
 			}
 			return used
 		}); err != nil {
-			free()
-			ended()
+			release()
+			releaseID()
 			return false, err
 		}
-		if bad {
-			free()
-			ended()
-			c.fault(meta.ErrChunk.Error())
+		if badTerminator {
+			release()
+			releaseID()
+			c.answerInvalid(meta.ErrChunk.Error())
 			return true, nil
 		}
 	}
 	if c.reader.Gone() {
-		free()
-		ended()
+		release()
+		releaseID()
 		return false, io.EOF
 	}
 	req.Long = value
-	c.invoke(ctx, req, free)
+	c.startRequest(ctx, req, release)
 	return false, nil
 }
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -15,50 +15,52 @@
 )
 
 const (
-	// mostWaiting bounds how many clients a listener that closes still accepts: the longest backlog that the system allows by default.
-	mostWaiting = 4096
+	// maxBacklog bounds how many waiting clients are accepted when a listener closes. It is the longest backlog that the system
+	// allows by default.
+	maxBacklog = 4096
 
-	acceptPause   = 5 * time.Millisecond // after an accept that failed
-	acceptRetries = 10                   // in a row, of a listener that closes while the system lacks what a connection needs
+	acceptPause   = 5 * time.Millisecond // pause after a failed accept
+	acceptRetries = 10                   // failed accepts in a row before a closing listener gives up, e.g. when descriptors run out
 )
 
-// errNobodyWaits tells that a listener has nobody to accept.
-var errNobodyWaits = errors.New("nobody waits to be accepted")
+// errNoneWaiting is returned by acceptNow if no client waits to be accepted.
+var errNoneWaiting = errors.New("no connection waits to be accepted")
 
-// deadliner is a listener whose Accept can be told to end.
+// deadliner is a listener whose Accept can be ended by a deadline.
 type deadliner interface{ SetDeadline(time.Time) error }
 
-// SharedListener is a listener whose socket another process accepts from as well. Who waits at a stop is left to that one.
+// SharedListener is a listener whose socket is shared with another process that accepts from it too. At a stop, the clients
+// that wait to be accepted are left to that process.
 type SharedListener struct{ *net.TCPListener }
 
-// stopAccepting has a listener's Accept end with os.ErrDeadlineExceeded, or with net.ErrClosed where it knows no deadline.
+// stopAccepting makes a listener's Accept return os.ErrDeadlineExceeded, or net.ErrClosed if it has no deadline.
 func stopAccepting(l net.Listener) {
 	if d, ok := l.(deadliner); !ok || d.SetDeadline(time.Now()) != nil {
 		l.Close()
 	}
 }
 
-// accept takes the clients of one listener until stop is closed, and then closes it.
-func (f *Front) accept(ctx context.Context, g *errgroup.Group, l net.Listener, places chan struct{}, stop <-chan struct{}) {
-	for f.evict(places, stop) {
+// accept accepts clients from one listener until stop is closed, and then closes the listener.
+func (f *Front) accept(ctx context.Context, g *errgroup.Group, l net.Listener, slots chan struct{}, stop <-chan struct{}) {
+	for f.acquireSlot(slots, stop) {
 		nc, err := l.Accept()
 		if err == nil {
-			f.admit(ctx, g, nc, places)
+			f.admit(ctx, g, nc, slots)
 			continue
 		}
-		<-places
+		<-slots
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			break
 		}
-		slog.Warn("accept failed", "err", err) // out of descriptors, or the client has left again: not the end of the listener
+		slog.Warn("accept failed", "err", err) // e.g. no descriptors are left, or the client has disconnected: the listener still works
 		time.Sleep(acceptPause)
 	}
-	f.closeListener(ctx, g, l, places)
+	f.closeListener(ctx, g, l, slots)
 }
 
-// closeListener closes a listener and serves the clients who waited to be accepted by then, since the close resets those who still wait.
-// Whoever finds no place is told to go elsewhere: the listener waits for none.
-func (f *Front) closeListener(ctx context.Context, g *errgroup.Group, l net.Listener, places chan struct{}) {
+// closeListener closes a listener. It first accepts the clients that wait in its backlog, since the close resets the
+// connections that still wait. A client for which no slot is free is refused, since the listener must not wait for a slot.
+func (f *Front) closeListener(ctx context.Context, g *errgroup.Group, l net.Listener, slots chan struct{}) {
 	var waiting []net.Conn
 	if _, shared := l.(SharedListener); !shared {
 		waiting = acceptWaiting(l)
@@ -66,28 +68,28 @@
 	l.Close()
 	for _, nc := range waiting {
 		select {
-		case places <- struct{}{}:
-			f.admit(ctx, g, nc, places)
+		case slots <- struct{}{}:
+			f.admit(ctx, g, nc, slots)
 		default:
-			f.turnAway(ctx, g, nc)
+			f.refuse(ctx, g, nc)
 		}
 	}
 }
 
-// acceptWaiting accepts the clients who wait, and no more than can have been waiting.
+// acceptWaiting accepts the clients that wait in the backlog of l, at most maxBacklog.
 func acceptWaiting(l net.Listener) (waiting []net.Conn) {
-	system, ok := l.(syscall.Conn)
+	sysConn, ok := l.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	raw, err := system.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return nil
 	}
-	for retries := 0; len(waiting) < mostWaiting && retries < acceptRetries; {
+	for retries := 0; len(waiting) < maxBacklog && retries < acceptRetries; {
 		nc, err := acceptNow(raw)
 		switch {
-		case errors.Is(err, errNobodyWaits):
+		case errors.Is(err, errNoneWaiting):
 			return waiting
 		case err != nil:
 			slog.Warn("accept failed as the listener closes", "err", err)
@@ -101,74 +103,74 @@
 	return waiting
 }
 
-// acceptNow accepts a client that waits already, whatever the listener's deadline.
+// acceptNow accepts a client that already waits, regardless of the listener's deadline. It returns errNoneWaiting if none does.
 func acceptNow(raw syscall.RawConn) (net.Conn, error) {
 	fd := -1
 	var err error
-	closed := raw.Control(func(listener uintptr) {
+	controlErr := raw.Control(func(listener uintptr) {
 		for err = syscall.EINTR; err == syscall.EINTR || err == syscall.ECONNABORTED; {
 			fd, _, err = syscall.Accept4(int(listener), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 		}
 	})
 	switch {
-	case closed != nil, err == syscall.EAGAIN:
-		return nil, errNobodyWaits
+	case controlErr != nil, err == syscall.EAGAIN:
+		return nil, errNoneWaiting
 	case err != nil:
 		return nil, os.NewSyscallError("accept4", err)
 	}
 	file := os.NewFile(uintptr(fd), "client")
-	defer file.Close() // the connection has its own descriptor
+	defer file.Close() // net.FileConn duplicates the descriptor
 	return net.FileConn(file)
 }
 
-// admit serves a client that has a place, and gives the place back when it is gone.
-func (f *Front) admit(ctx context.Context, g *errgroup.Group, nc net.Conn, places chan struct{}) {
+// admit serves a client that has a slot, and frees the slot when the connection has ended.
+func (f *Front) admit(ctx context.Context, g *errgroup.Group, nc net.Conn, slots chan struct{}) {
 	c, err := f.newConn(nc)
 	if err != nil {
-		<-places
+		<-slots
 		nc.Close()
 		return
 	}
-	f.conns.move(c, silent)
-	f.thin()
-	f.serve(ctx, g, c, func() { <-places })
+	f.conns.setState(c, silent)
+	f.endSurplusConn()
+	f.serve(ctx, g, c, func() { <-slots })
 }
 
-// turnAway refuses what a client without a place asks, and ends its connection.
-func (f *Front) turnAway(ctx context.Context, g *errgroup.Group, nc net.Conn) {
+// refuse rejects the requests of a client that has no slot, and ends its connection.
+func (f *Front) refuse(ctx context.Context, g *errgroup.Group, nc net.Conn) {
 	c, err := f.newConn(nc)
 	if err != nil {
 		nc.Close()
 		return
 	}
-	c.refused = true
-	f.conns.move(c, silent)
+	c.rejectsRequests = true
+	f.conns.setState(c, silent)
 	c.endIfIdle(max(f.Rest, 1), CloseDrained)
 	f.serve(ctx, g, c, func() {})
 }
 
-// newConn makes a client connection that is not served yet.
+// newConn wraps an accepted connection. It does not start to serve it.
 func (f *Front) newConn(nc net.Conn) (*conn, error) {
 	reader, err := buffer.NewReader(nc)
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: nc, front: f, reader: reader, pending: make(chan pendingAnswer, readAhead), freed: make(chan struct{}, 1),
-		since: time.Now()}
+	c := &conn{Conn: nc, front: f, reader: reader, pending: make(chan pendingAnswer, maxOpenCommands),
+		answerWritten: make(chan struct{}, 1), waitingSince: time.Now()}
 	if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
 		c.client = a.AddrPort().Addr().Unmap()
 	}
 	return c, nil
 }
 
-// serve serves a client until it is gone, and then calls left.
-func (f *Front) serve(ctx context.Context, g *errgroup.Group, c *conn, left func()) {
+// serve starts a goroutine that serves a client until its connection has ended and then calls onEnd.
+func (f *Front) serve(ctx context.Context, g *errgroup.Group, c *conn, onEnd func()) {
 	g.Go(func() error {
-		defer left()
+		defer onEnd()
 		c.serve(ctx)
-		f.conns.leave(c)
+		f.conns.remove(c)
 		select {
-		case f.left <- struct{}{}:
+		case f.connEnded <- struct{}{}:
 		default:
 		}
 		return nil
--- a/internal/front/listener_test.go
+++ b/internal/front/listener_test.go
@@ -19,36 +19,38 @@
 	"hoptiller/internal/testprog"
 )
 
-// heldUpListener accepts nobody until it goes on, as where the process stands still.
-type heldUpListener struct {
+// pausedListener accepts no client until resume is closed, as if the process were paused.
+type pausedListener struct {
 	*net.TCPListener
-	goOn    chan struct{}
+	resume  chan struct{}
 	once    sync.Once
-	stopped chan struct{} // closed when it is told to end
+	stopped chan struct{} // closed by the first SetDeadline or Close
 }
 
-func (l *heldUpListener) Accept() (net.Conn, error) {
-	<-l.goOn
+func (l *pausedListener) Accept() (net.Conn, error) {
+	<-l.resume
 	return l.TCPListener.Accept()
 }
 
-func (l *heldUpListener) SetDeadline(at time.Time) error {
+func (l *pausedListener) SetDeadline(at time.Time) error {
 	l.once.Do(func() { close(l.stopped) })
 	return l.TCPListener.SetDeadline(at)
 }
 
-func (l *heldUpListener) Close() error {
+func (l *pausedListener) Close() error {
 	l.once.Do(func() { close(l.stopped) })
 	return l.TCPListener.Close()
 }
 
-// Crossing: the time in which clients still come is over while the process stands still. Those who came meanwhile are served, and not reset.
-func TestClientsWhoWaitWhenTheListenerCloses(t *testing.T) {
-	held := &heldUpListener{goOn: make(chan struct{}), stopped: make(chan struct{})}
-	f := &Front{MostConns: 4, MostOpen: 4, Server: &counter{}, Life: lifecycle.New(), Linger: time.Millisecond, Keep: testprog.Patience}
-	connect := startOn(t, f, func(l net.Listener) net.Listener {
-		held.TCPListener = l.(*net.TCPListener)
-		return held
+// Race: the time Linger, in which clients still connect, ends while the process is paused. Clients that connected during the
+// pause are served and not reset.
+func TestBacklogIsServedWhenTheListenerCloses(t *testing.T) {
+	paused := &pausedListener{resume: make(chan struct{}), stopped: make(chan struct{})}
+	f := &Front{MostConns: 4, MostOpen: 4, Server: &concurrencyServer{}, Life: lifecycle.New(), Linger: time.Millisecond,
+		Keep: testprog.Patience}
+	connect := startWithListener(t, f, func(l net.Listener) net.Listener {
+		paused.TCPListener = l.(*net.TCPListener)
+		return paused
 	})
 	var clients []net.Conn
 	for i := range 3 {
@@ -56,8 +58,8 @@
 		fmt.Fprintf(clients[i], "mg k v O%d Pc=read,d=900\r\n", i)
 	}
 	f.Life.Tell(lifecycle.Stop)
-	testprog.Await(t, held.stopped, "the listener's end")
-	close(held.goOn)
+	testprog.Await(t, paused.stopped, "the listener's end")
+	close(paused.resume)
 	for i, client := range clients {
 		client.SetReadDeadline(time.Now().Add(testprog.Patience))
 		if line, err := bufio.NewReader(client).ReadString('\n'); line != fmt.Sprintf("VA 1 O%d\r\n", i) {
@@ -66,42 +68,42 @@
 	}
 }
 
-// answered is a Server that takes a while over each request.
-type answered time.Duration
+// slowServer is a Server that takes this long for each request.
+type slowServer time.Duration
 
-func (a answered) Serve(ctx context.Context, _ *relay.Request) relay.Answer {
+func (s slowServer) Serve(ctx context.Context, _ *relay.Request) relay.Answer {
 	select {
-	case <-time.After(time.Duration(a)):
+	case <-time.After(time.Duration(s)):
 	case <-ctx.Done():
 	}
 	return relay.Answer{Kind: hoptiller.StepServed, Data: []byte("x")}
 }
 
-// shutdownTally is what clients saw that connect again and again until nobody listens any more.
-type shutdownTally struct {
-	mu                     sync.Mutex
-	served, refused, other int
-	refusedAt              time.Time // when a client found the listener closed first
-	firstOther             error
+// shutdownResults counts the answers to clients that connect again and again until the listener is closed.
+type shutdownResults struct {
+	mu                          sync.Mutex
+	served, refused, unexpected int
+	refusedAt                   time.Time // when a client first found the listener closed
+	firstUnexpected             error
 }
 
-// askUntilClosed asks one request on each of many new connections, until nobody listens.
-func (s *shutdownTally) askUntilClosed(addr string, name int) {
+// requestUntilClosed sends one request on each of many new connections, until the listener is closed.
+func (s *shutdownResults) requestUntilClosed(addr string, clientNumber int) {
 	for n := 0; ; n++ {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
-			s.closed()
+			s.recordClosed()
 			return
 		}
 		conn.SetDeadline(time.Now().Add(testprog.Patience))
-		fmt.Fprintf(conn, "mg k v O%d-%d Pc=read,d=900\r\n", name, n)
+		fmt.Fprintf(conn, "mg k v O%d-%d Pc=read,d=900\r\n", clientNumber, n)
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		conn.Close()
-		s.count(line, err)
+		s.record(line, err)
 	}
 }
 
-func (s *shutdownTally) closed() {
+func (s *shutdownResults) recordClosed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refusedAt.IsZero() {
@@ -109,7 +111,7 @@
 	}
 }
 
-func (s *shutdownTally) count(line string, err error) {
+func (s *shutdownResults) record(line string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -118,57 +120,57 @@
 	case err == nil && strings.HasPrefix(line, "SERVER_ERROR busy"):
 		s.refused++
 	default:
-		s.other++
-		s.firstOther = cmp.Or(s.firstOther, fmt.Errorf("%q, %w", line, err))
+		s.unexpected++
+		s.firstUnexpected = cmp.Or(s.firstUnexpected, fmt.Errorf("%q, %w", line, err))
 	}
 }
 
-// A full client table does not keep closing listeners open: they close when they are told to, and whoever connected before is answered or
-// told to go elsewhere.
+// A full client table does not keep listeners open at a stop: they close when Linger is over, and clients that connected
+// before are answered or rejected.
 func TestFullTableWhenTheListenersClose(t *testing.T) {
 	const linger = 100 * time.Millisecond
-	const mostLate = 500 * time.Millisecond // of the listeners' end, on a busy machine
-	f := &Front{MostConns: 2, MostOpen: 2, Server: answered(30 * time.Millisecond), Linger: linger, Keep: 2 * time.Second,
+	const maxDelay = 500 * time.Millisecond // tolerated delay of the listeners' close, on a busy machine
+	f := &Front{MostConns: 2, MostOpen: 2, Server: slowServer(30 * time.Millisecond), Linger: linger, Keep: 2 * time.Second,
 		Rest: time.Second, Last: 3 * time.Second}
-	second := testprog.Listen(t)
+	secondListener := testprog.Listen(t)
 	addresses := make(chan string, 2)
 	connect := startServing(t, f, func(ctx context.Context, l net.Listener) error {
 		addresses <- l.Addr().String()
-		addresses <- second.Addr().String()
-		return f.Serve(ctx, l, second)
+		addresses <- secondListener.Addr().String()
+		return f.Serve(ctx, l, secondListener)
 	})
 	connect().Close()
-	all := []string{testprog.Await(t, addresses, "address"), testprog.Await(t, addresses, "address")}
-	tallies := []*shutdownTally{{}, {}}
+	addrs := []string{testprog.Await(t, addresses, "address"), testprog.Await(t, addresses, "address")}
+	results := []*shutdownResults{{}, {}}
 	var clients sync.WaitGroup
 	for i := range 16 {
-		clients.Go(func() { tallies[i%2].askUntilClosed(all[i%2], i) })
+		clients.Go(func() { results[i%2].requestUntilClosed(addrs[i%2], i) })
 	}
 	testprog.Until(t, "both listeners serve", func() bool {
-		tallies[0].mu.Lock()
-		defer tallies[0].mu.Unlock()
-		tallies[1].mu.Lock()
-		defer tallies[1].mu.Unlock()
-		return tallies[0].served > 2 && tallies[1].served > 2
+		results[0].mu.Lock()
+		defer results[0].mu.Unlock()
+		results[1].mu.Lock()
+		defer results[1].mu.Unlock()
+		return results[0].served > 2 && results[1].served > 2
 	})
 	f.Life.Tell(lifecycle.Stop)
 	stopped := time.Now()
 	clients.Wait()
-	for i, tally := range tallies {
-		if late := tally.refusedAt.Sub(stopped) - linger; late > mostLate {
-			t.Errorf("listener %d was open for %v longer than it may be", i, late)
+	for i, result := range results {
+		if delay := result.refusedAt.Sub(stopped) - linger; delay > maxDelay {
+			t.Errorf("listener %d was open %v longer than Linger", i, delay)
 		}
-		if tally.other > 0 {
-			t.Errorf("listener %d: %d clients were served, %d refused, %d got something else, first %v",
-				i, tally.served, tally.refused, tally.other, tally.firstOther)
+		if result.unexpected > 0 {
+			t.Errorf("listener %d: %d requests were served, %d rejected, %d had other results, the first was %v",
+				i, result.served, result.refused, result.unexpected, result.firstUnexpected)
 		}
 	}
 }
 
-// A process that shares its socket with another leaves it who waits at a stop.
-func TestSharedSocketLeavesWhoWaits(t *testing.T) {
+// At a stop, a process that shares its socket with another one leaves the clients in the backlog to that one.
+func TestSharedSocketLeavesBacklog(t *testing.T) {
 	l := testprog.Listen(t).(*net.TCPListener)
-	file, err := l.File() // the other process's
+	file, err := l.File() // the other process's descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +186,7 @@
 	g := &errgroup.Group{}
 	go func() {
 		defer close(served)
-		f.accept(t.Context(), g, SharedListener{l}, make(chan struct{}), stop) // without a place: it accepts nobody
+		f.accept(t.Context(), g, SharedListener{l}, make(chan struct{}), stop) // without a connection slot, so it accepts no client
 	}()
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -197,7 +199,7 @@
 	other.(*net.TCPListener).SetDeadline(time.Now().Add(testprog.Patience))
 	taken, err := other.Accept()
 	if err != nil {
-		t.Fatalf("the other process finds nobody: %v", err)
+		t.Fatalf("the other process finds no client to accept: %v", err)
 	}
 	taken.Close()
 }
--- a/internal/front/pieces_test.go
+++ b/internal/front/pieces_test.go
@@ -9,12 +9,13 @@
 	"hoptiller/internal/testprog"
 )
 
-// A client sends command behind command in pieces, each of which ends one and begins the next, so that there is always half a
-// command. Each comes whole long before the time for one is over, and the client goes on for longer than that: it is served on.
-func TestPiecesThatOverlap(t *testing.T) {
+// A client sends commands in pieces, each of which ends one command and begins the next, so that there is always a partial
+// command. Each command is complete long before commandTimeout. The client goes on for longer than commandTimeout, and all its
+// commands are answered.
+func TestOverlappingCommandPieces(t *testing.T) {
 	t.Parallel()
 	const pause = 100 * time.Millisecond
-	hold := make(holder)
+	hold := make(blockingServer)
 	close(hold)
 	conn := start(t, &Front{MostConns: 4, MostOpen: 4, Server: hold})()
 	r := bufio.NewReader(conn)
@@ -22,7 +23,7 @@
 	tick := time.NewTicker(pause)
 	defer tick.Stop()
 	fmt.Fprint(conn, command(0)[:5])
-	for i, began := 0, time.Now(); time.Since(began) < commandTime+10*pause; i++ {
+	for i, began := 0, time.Now(); time.Since(began) < commandTimeout+10*pause; i++ {
 		<-tick.C
 		if _, err := fmt.Fprint(conn, command(i)[5:]+command(i + 1)[:5]); err != nil {
 			t.Fatalf("command %d, after %v: %v", i, time.Since(began), err)
@@ -34,31 +35,31 @@
 	}
 }
 
-// Crossing: the time for the rest of a command is over just as the rest has come and is not read yet, where nothing else is out and
-// where another command is. It is answered.
-func TestRestOfACommandInTheMomentOfTheClose(t *testing.T) {
+// Race: commandTimeout is over when the rest of a command has arrived but is not read yet, once with no other command open and
+// once with another one open. The command is answered.
+func TestRestOfCommandArrivesAtDeadline(t *testing.T) {
 	t.Parallel()
 	for name, first := range map[string]string{"alone": "", "behind another": "mg k v O1 Pc=read,d=900\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hold := make(holder)
+			hold := make(blockingServer)
 			f := &Front{MostConns: 4, MostOpen: 4, Server: hold}
 			client := start(t, f)()
 			fmt.Fprintf(client, "%smg k v O2 Pc=re", first)
 			var c *conn
-			testprog.Until(t, "half a command has come", func() bool {
+			testprog.Until(t, "half a command has arrived", func() bool {
 				if all := f.conns.all(); len(all) == 1 {
 					c = all[0]
 					c.mu.Lock()
 					defer c.mu.Unlock()
-					return c.part
+					return c.hasPartialCommand
 				}
 				return false
 			})
 			c.mu.Lock()
-			c.since = c.since.Add(-commandTime)
-			c.arm()                            // the read ends, and whoever reads waits for the lock
-			fmt.Fprint(client, "ad,d=900\r\n") // over loopback it has come when this returns
+			c.waitingSince = c.waitingSince.Add(-commandTimeout)
+			c.updateReadDeadline()             // the read ends, and the reading goroutine waits for the lock
+			fmt.Fprint(client, "ad,d=900\r\n") // over loopback the data has arrived when this returns
 			c.mu.Unlock()
 			close(hold)
 			r := bufio.NewReader(client)
--- a/internal/front/protocol.go
+++ b/internal/front/protocol.go
@@ -13,183 +13,185 @@
 )
 
 const (
-	readAhead    = 16               // commands of one connection that are begun before the first is answered
-	mostFaults   = 8                // commands of one connection that make no sense before it is ended
-	writeTimeout = 10 * time.Second // for a client that does not read its answers
+	maxOpenCommands    = 16               // open commands of one connection
+	maxInvalidCommands = 8                // invalid commands after which a connection ends
+	writeTimeout       = 10 * time.Second // for a client to read an answer, or a piece of a long one
 )
 
-// pendingAnswer is the place of one answer.
+// pendingAnswer is an answer that is still to be written.
 type pendingAnswer struct {
-	line   string // an answer that was known at once
-	id     string
-	class  int
-	write  bool
-	answer chan relay.Answer
-	over   context.CancelFunc // ends the request: no attempt begins for it any more
-	at     time.Time          // when it came
+	line      string // the answer itself if it was known at once; answer is nil then
+	id        string
+	class     int
+	write     bool
+	answer    chan relay.Answer
+	cancel    context.CancelFunc // cancels the request: no further attempt is started for it
+	startedAt time.Time          // when the request was started
 }
 
-// taken is what became of a command that may stand at the start of what was read.
-type taken uint8
+// commandOutcome says what became of the command at the start of the data that was read.
+type commandOutcome uint8
 
 const (
-	takenPart  taken = iota // it has not come whole
-	takenOne                // it is taken, and the next may be
-	takenLast               // it is the last: nothing behind it is read
-	takenLater              // it must wait until another one is answered
+	outcomeIncomplete commandOutcome = iota // the command has not arrived completely
+	outcomeTaken                            // the command is taken; the next one may be taken too
+	outcomeLast                             // the command is the last one: nothing after it is read
+	outcomeMustWait                         // the command must wait until an earlier one is answered
 )
 
-// command takes the command that begins in b at an offset, if it is whole.
-func (c *conn) command(ctx context.Context, b []byte, offset int) (used int, what taken) {
-	if c.full(readAhead) || c.front.rest() > 0 && c.full(1) {
-		return 0, takenLater
+// takeCommand takes the command that begins at an offset in b, if it is complete. It returns the number of bytes used.
+func (c *conn) takeCommand(ctx context.Context, b []byte, offset int) (used int, outcome commandOutcome) {
+	if c.openCommandsReach(maxOpenCommands) || c.front.grace() > 0 && c.openCommandsReach(1) {
+		return 0, outcomeMustWait
 	}
 	cmd, n, err := meta.ParseCommand(b[offset:])
 	switch {
 	case err != nil && meta.Fatal(err):
-		c.fault(err.Error())
-		return n, takenLast
+		c.answerInvalid(err.Error())
+		return n, outcomeLast
 	case err != nil:
-		c.fault(err.Error())
-		return n, c.afterFault()
+		c.answerInvalid(err.Error())
+		return n, c.outcomeAfterInvalid()
 	case n == 0:
-		return 0, takenPart
+		return 0, outcomeIncomplete
 	}
 	switch cmd.Verb {
 	case meta.Noop:
-		c.put(pendingAnswer{line: c.front.here()})
+		c.enqueue(pendingAnswer{line: c.front.noopAnswer()})
 	case meta.Version:
-		c.put(pendingAnswer{line: "VERSION hoptiller\r\n"})
+		c.enqueue(pendingAnswer{line: "VERSION hoptiller\r\n"})
 	case meta.Quit:
-		return n, takenLast
+		return n, outcomeLast
 	case meta.Unknown:
-		c.fault("ERROR")
+		c.answerInvalid("ERROR")
 	default:
-		if c.front.crowded() && c.full(1) {
-			return 0, takenLater
+		if c.front.hasMaxOpen() && c.openCommandsReach(1) {
+			return 0, outcomeMustWait
 		}
-		req, fault := c.request(&cmd)
+		req, fault := c.newRequest(&cmd)
 		switch {
-		case fault != "" && cmd.Long > 0: // what follows is a value
-			c.fault(fault)
-			return n, takenLast
+		case fault != "" && cmd.Long > 0: // the value that follows can't be read as commands
+			c.answerInvalid(fault)
+			return n, outcomeLast
 		case fault != "":
-			c.fault(fault)
+			c.answerInvalid(fault)
 		case cmd.Long > 0:
-			c.long, c.longLen = req, cmd.Long
-			return n, takenOne
+			c.longWrite, c.longWriteLen = req, cmd.Long
+			return n, outcomeTaken
 		default:
 			req.Arrived = c.reader.Arrived(offset + n)
-			c.invoke(ctx, req, func() {})
+			c.startRequest(ctx, req, func() {})
 		}
 	}
-	return n, c.afterFault()
+	return n, c.outcomeAfterInvalid()
 }
 
-// afterFault tells whether commands are taken from a client that has sent some that make no sense.
-func (c *conn) afterFault() taken {
-	if c.faults >= mostFaults {
-		return takenLast
+// outcomeAfterInvalid returns outcomeLast if the client has sent too many invalid commands, else outcomeTaken.
+func (c *conn) outcomeAfterInvalid() commandOutcome {
+	if c.invalidCommands >= maxInvalidCommands {
+		return outcomeLast
 	}
-	return takenOne
+	return outcomeTaken
 }
 
-// here answers whoever asks whether this router wants clients.
-func (f *Front) here() string {
+// noopAnswer returns the answer to a no-op, by which clients ask whether this router is to serve them.
+func (f *Front) noopAnswer() string {
 	if !f.Life.Phase().Wanted() {
 		return "SERVER_ERROR draining\r\n"
 	}
 	return "MN\r\n"
 }
 
-// fault answers what makes no sense. A client that goes on with it is ended.
-func (c *conn) fault(line string) {
-	c.faults++
-	c.put(pendingAnswer{line: line + "\r\n"})
+// answerInvalid answers an invalid command and counts it.
+func (c *conn) answerInvalid(line string) {
+	c.invalidCommands++
+	c.enqueue(pendingAnswer{line: line + "\r\n"})
 }
 
-func (c *conn) put(s pendingAnswer) {
+// enqueue adds an answer to those that are to be written.
+func (c *conn) enqueue(pending pendingAnswer) {
 	c.mu.Lock()
-	c.out++
-	c.asked = true
-	c.track()
+	c.openCommands++
+	c.receivedCommand = true
+	c.updateState()
 	c.mu.Unlock()
-	c.pending <- s // has room: see command
+	c.pending <- pending // does not block: takeCommand takes at most maxOpenCommands
 }
 
-// request makes one of a command, or tells what is wrong with it.
-func (c *conn) request(cmd *meta.Command) (req *relay.Request, fault string) {
+// newRequest makes a request from a command. If the command is invalid, fault is the error line to answer with.
+func (c *conn) newRequest(cmd *meta.Command) (req *relay.Request, fault string) {
 	req = &relay.Request{Write: cmd.Verb == meta.Set, Client: c.client, Gone: c.reader.Gone}
-	if fault := c.front.facts(req, cmd.Facts); fault != "" {
+	if fault := c.front.parseFacts(req, cmd.Facts); fault != "" {
 		return nil, "CLIENT_ERROR " + fault
 	}
-	if !c.front.begin(string(cmd.ID)) {
+	if !c.front.reserveID(string(cmd.ID)) {
 		return nil, "CLIENT_ERROR request id is in use"
 	}
-	// The command must outlive the buffer that it was read into, at its own size: most are short.
-	b := make([]byte, 0, len(cmd.Key)+len(cmd.ID)+len(cmd.Facts)+len(cmd.Value))
-	keep := func(s []byte) []byte {
-		from := len(b)
-		b = append(b, s...)
-		return b[from:len(b):len(b)]
+	// The request must outlive the read buffer, so its fields are copied. The copy has exactly their size, since most are short.
+	copied := make([]byte, 0, len(cmd.Key)+len(cmd.ID)+len(cmd.Facts)+len(cmd.Value))
+	copyBytes := func(s []byte) []byte {
+		from := len(copied)
+		copied = append(copied, s...)
+		return copied[from:len(copied):len(copied)]
 	}
-	req.Key, req.ID, req.Facts, req.Value = keep(cmd.Key), keep(cmd.ID), keep(cmd.Facts), keep(cmd.Value)
+	req.Key, req.ID, req.Facts, req.Value = copyBytes(cmd.Key), copyBytes(cmd.ID), copyBytes(cmd.Facts), copyBytes(cmd.Value)
 	return req, ""
 }
 
-// invoke starts a request; free is called once nothing is out for it.
-func (c *conn) invoke(ctx context.Context, req *relay.Request, free func()) {
+// startRequest starts a request. It calls release when no attempt for the request is in flight any more.
+func (c *conn) startRequest(ctx context.Context, req *relay.Request, release func()) {
 	c.front.Counts.Accepted()
-	if c.front.over() || c.refused {
-		free()
-		c.front.ended(string(req.ID))
+	if c.front.hasFailedOpenRequests() || c.rejectsRequests {
+		release()
+		c.front.releaseID(string(req.ID))
 		c.answerUnserved(req)
 		return
 	}
-	ctx, over := context.WithCancel(ctx)
-	s := pendingAnswer{id: string(req.ID), class: req.Class, write: req.Write, answer: make(chan relay.Answer), over: over, at: time.Now()}
+	ctx, cancel := context.WithCancel(ctx)
+	pending := pendingAnswer{id: string(req.ID), class: req.Class, write: req.Write, answer: make(chan relay.Answer),
+		cancel: cancel, startedAt: time.Now()}
 	go func() {
-		a := c.front.Server.Serve(ctx, req)
-		free()
-		c.front.ended(s.id)
+		answer := c.front.Server.Serve(ctx, req)
+		release()
+		c.front.releaseID(pending.id)
 		select {
-		case s.answer <- a:
-		case <-ctx.Done(): // the client has left, and its connection does not wait for what is still out
-			if a.Body != nil {
-				a.Body.Close()
+		case pending.answer <- answer:
+		case <-ctx.Done(): // the client has disconnected, and its connection doesn't wait for attempts in flight
+			if answer.Body != nil {
+				answer.Body.Close()
 			}
 		}
 	}()
-	c.put(s)
+	c.enqueue(pending)
 }
 
-// answerUnserved answers a request of which nothing was sent on: as refused where its client has no place, else as failed.
+// answerUnserved answers a request that was not passed to the Server: as rejected if its client has no slot, else as failed.
 func (c *conn) answerUnserved(req *relay.Request) {
-	if c.refused {
+	if c.rejectsRequests {
 		c.front.Counts.Finished(req.Class, metrics.Rejected)
-		c.put(pendingAnswer{line: string(meta.AppendBusy(nil, 0))})
+		c.enqueue(pendingAnswer{line: string(meta.AppendBusy(nil, 0))})
 		return
 	}
 	c.front.Counts.Finished(req.Class, metrics.Failed)
-	c.put(pendingAnswer{line: string(meta.AppendFailed(nil))})
+	c.enqueue(pendingAnswer{line: string(meta.AppendFailed(nil))})
 }
 
-// facts reads the names and values that come with a request and tells what is wrong with them.
-func (f *Front) facts(req *relay.Request, facts []byte) (fault string) {
+// parseFacts reads the facts of a request, which are name=value pairs, into req. If they are invalid, fault says why.
+func (f *Front) parseFacts(req *relay.Request, facts []byte) (fault string) {
 	class, _ := meta.Fact(facts, "c")
 	if f.AnyClass {
 		req.Class = 0
 	} else if req.Class = slices.Index(f.Classes, string(class)); req.Class < 0 || len(class) == 0 {
 		return "unknown class"
 	}
-	wait, stated, err := meta.Deadline(facts)
+	timeout, stated, err := meta.Deadline(facts)
 	if err != nil {
 		return err.Error()
 	}
-	if req.Wait = wait; !stated {
+	if req.Wait = timeout; !stated {
 		req.Wait = f.Deadlines[req.Class]
 	}
-	if len(f.Tenants) > 0 { // one that is not known has no share to go beyond
+	if len(f.Tenants) > 0 { // an unknown tenant has the number -1 and no share that it could exceed
 		tenant, _ := meta.Fact(facts, "t")
 		if req.Tenant = slices.Index(f.Tenants, string(tenant)); len(tenant) == 0 {
 			req.Tenant = -1
@@ -200,88 +202,91 @@
 	return ""
 }
 
-func (c *conn) writeAnswer(ctx context.Context, s *pendingAnswer, broken bool) bool {
-	if s.answer == nil {
-		return !broken && c.write([]byte(s.line))
+// writeAnswer waits for an answer and writes it, unless the connection is broken. It counts how the request ended and reports
+// whether the answer was written completely.
+func (c *conn) writeAnswer(ctx context.Context, pending *pendingAnswer, broken bool) bool {
+	if pending.answer == nil {
+		return !broken && c.write([]byte(pending.line))
 	}
-	defer s.over()
-	var a relay.Answer
+	defer pending.cancel()
+	var answer relay.Answer
 	select {
-	case a = <-s.answer:
-	case <-c.front.answered.Done(): // this process ends: the client must hear so before that, and nothing may be sent on after that
-		s.over()
-		a.Kind = hoptiller.StepFail
+	case answer = <-pending.answer:
+	case <-c.front.openFailed.Done(): // the client must get an answer before the process ends, and no attempt may be sent after it
+		pending.cancel()
+		answer.Kind = hoptiller.StepFail
 	case <-ctx.Done():
-		c.leftUnanswered(s.id)
-		c.front.Counts.Finished(s.class, metrics.Failed)
+		c.recordUnanswered(pending.id)
+		c.front.Counts.Finished(pending.class, metrics.Failed)
 		return false
 	}
-	written := !broken && c.writeFinal(ctx, s, &a)
-	if a.Body != nil {
-		a.Body.Close()
+	written := !broken && c.writeFinal(ctx, pending, &answer)
+	if answer.Body != nil {
+		answer.Body.Close()
 	}
 	if !written {
-		c.leftUnanswered(s.id)
+		c.recordUnanswered(pending.id)
 	}
-	how := metrics.Failed
+	result := metrics.Failed
 	switch {
-	case a.Kind == hoptiller.StepServed && written:
-		how = metrics.Completed
-		if aim := c.front.Aims; aim != nil && aim[s.class] > 0 && time.Since(s.at) > aim[s.class] {
-			c.front.Counts.Late(s.class)
+	case answer.Kind == hoptiller.StepServed && written:
+		result = metrics.Completed
+		if aim := c.front.Aims; aim != nil && aim[pending.class] > 0 && time.Since(pending.startedAt) > aim[pending.class] {
+			c.front.Counts.Late(pending.class)
 		}
-	case a.Kind == hoptiller.StepReject:
-		how = metrics.Rejected
+	case answer.Kind == hoptiller.StepReject:
+		result = metrics.Rejected
 	}
-	c.front.Counts.Finished(s.class, how)
+	c.front.Counts.Finished(pending.class, result)
 	return written
 }
 
-// writeFinal writes the final answer to a request.
-func (c *conn) writeFinal(ctx context.Context, s *pendingAnswer, a *relay.Answer) bool {
+// writeFinal writes the final answer to a request and reports whether that succeeded.
+func (c *conn) writeFinal(ctx context.Context, pending *pendingAnswer, answer *relay.Answer) bool {
 	var b []byte
 	switch {
-	case a.Kind == hoptiller.StepServed && s.write:
-		b = meta.AppendStored(b, s.id, a.Data)
-	case a.Kind == hoptiller.StepServed && a.Body != nil:
-		return c.writeBody(ctx, s.id, a.Body)
-	case a.Kind == hoptiller.StepServed:
-		return c.write(meta.AppendValueHead(b, s.id, len(a.Data)), a.Data, []byte("\r\n"))
-	case a.Kind == hoptiller.StepReject:
-		b = meta.AppendBusy(b, a.RetryAfter.Milliseconds())
+	case answer.Kind == hoptiller.StepServed && pending.write:
+		b = meta.AppendStored(b, pending.id, answer.Data)
+	case answer.Kind == hoptiller.StepServed && answer.Body != nil:
+		return c.writeBody(ctx, pending.id, answer.Body)
+	case answer.Kind == hoptiller.StepServed:
+		return c.write(meta.AppendValueHead(b, pending.id, len(answer.Data)), answer.Data, []byte("\r\n"))
+	case answer.Kind == hoptiller.StepReject:
+		b = meta.AppendBusy(b, answer.RetryAfter.Milliseconds())
 	default:
 		b = meta.AppendFailed(b)
 	}
 	return c.write(b)
 }
 
-// writeBody passes a long value on as it comes. One that does not come whole ends the connection before the line's
-// end that would make it so.
+// writeBody writes a long value to the client piece by piece as it arrives. If the value does not arrive completely, the
+// connection ends without the final line end, so that the client sees that the value is incomplete.
 func (c *conn) writeBody(ctx context.Context, id string, body relay.Body) bool {
 	defer context.AfterFunc(ctx, body.Close)()
 	if !c.write(meta.AppendValueHead(nil, id, body.Len())) {
 		return false
 	}
-	given := 0
+	written := 0
 	var unwritable error
 	if err := body.Copy(func(piece []byte) error {
 		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		n, err := c.Write(piece)
-		given, unwritable = given+n, err
+		written, unwritable = written+n, err
 		return err
 	}); err != nil {
-		c.valueCut(id, given, body.Len(), err, unwritable != nil)
+		c.recordTruncatedAnswer(id, written, body.Len(), err, unwritable != nil)
 		return false
 	}
 	return c.write([]byte("\r\n"))
 }
 
+// write writes parts to the client and reports whether that succeeded.
 func (c *conn) write(parts ...[]byte) bool {
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	b := net.Buffers(parts)
 	_, err := b.WriteTo(c.Conn)
 	if err != nil {
-		c.closing(CloseUnwritable, err)
+		c.setCloseReason(CloseWriteFailed, err)
 	}
 	return err == nil
 }
