--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,7 +1,7 @@
-// Package admin is where operators call: HTTP/1.1 on an address of its own, one call to a connection. It has
-// nothing in common with the clients' side, neither limits nor locks, so that it answers however busy that is.
+// Package admin serves the operators' interface: HTTP/1.1 on an address of its own, one call for each connection. It
+// shares neither limits nor locks with the client side, so that it answers however busy that side is.
 //
-// It decides nothing: what a call does is told it by path.
+// It makes no decisions: the caller of Serve sets what the call of each path does.
 package admin
 
 import (
@@ -22,150 +22,152 @@
 )
 
 const (
-	headTime  = 2 * time.Second        // for a caller to say what it wants; callers wait for half of that
-	writeTime = time.Second            // for it to take the answer
-	closeTime = 200 * time.Millisecond // for it to close its side
-	mostRest  = 256 << 10              // bytes that it may send without need
+	headTimeout  = 2 * time.Second        // for a caller to send the head of its request; callers themselves wait for half of that
+	writeTimeout = time.Second            // for a caller to take the answer
+	closeTimeout = 200 * time.Millisecond // for a caller to close its side of the connection
+	maxDiscarded = 256 << 10              // bytes after the head that are read and discarded
 )
 
-// Call is what one path does.
+// Call defines what the call of one path does. Either Do or Ask is set.
 type Call struct {
-	Method string
-	// Do carries the call out. Where it is not yes, the body says why.
-	Do func() (yes bool, body []byte)
-	// Ask is for calls that say more than their path, in its place: it is given what stands behind the question mark, and
-	// answers with a status of HTTP. Only a body of 200 is JSON.
+	Method string // HTTP method of the call
+	// Do carries out a call without parameters. If ok is false, the body says why, and the status is 503.
+	Do func() (ok bool, body []byte)
+	// Ask carries out a call with parameters. It gets the parsed query and returns an HTTP status. The body is JSON with
+	// status 200 and plain text otherwise.
 	Ask func(query url.Values) (status int, body []byte)
 }
 
 // Server answers operators' calls, by path.
 type Server struct {
-	Calls  map[string]Call
-	Places int // connections at once; one descriptor more may be in use, and one for the listener
+	Calls  map[string]Call // by path
+	Places int             // connections at once; one more descriptor may be in use, and another one for the listener
 
 	mu      sync.Mutex
-	callers []net.Conn // that have not asked yet, the oldest first
+	pending []net.Conn // connections whose request head has not arrived yet, the oldest first
 }
 
-// Serve answers calls until ctx ends.
+// Serve answers calls on l until ctx is done.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	var g errgroup.Group
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
-	free := make(chan struct{}, max(1, s.Places))
+	slots := make(chan struct{}, max(1, s.Places))
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			s.drop(s.Places)
+			s.closeOldest(s.Places)
 			return g.Wait()
 		}
-		if err != nil { // out of descriptors, or the caller has left again: not the end of the listener
+		if err != nil { // e.g. no descriptors are left, or the caller has disconnected: the listener still works
 			slog.Warn("admin accept failed", "err", err)
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
 		select {
-		case free <- struct{}{}:
-		default: // whoever has waited longest without asking for anything makes room
-			s.drop(1)
-			free <- struct{}{}
+		case slots <- struct{}{}:
+		default: // the oldest connection without a request is closed to free a slot
+			s.closeOldest(1)
+			slots <- struct{}{}
 		}
 		s.mu.Lock()
-		s.callers = append(s.callers, c)
+		s.pending = append(s.pending, c)
 		s.mu.Unlock()
 		g.Go(func() error {
-			defer func() { <-free }()
+			defer func() { <-slots }()
 			defer c.Close()
-			s.answer(c)
+			s.handle(c)
 			return nil
 		})
 	}
 }
 
-// drop ends the connections of those that have waited longest without asking for anything.
-func (s *Server) drop(n int) {
+// closeOldest closes the n oldest connections whose request head has not arrived yet.
+func (s *Server) closeOldest(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n = min(n, len(s.callers))
-	for _, c := range s.callers[:n] {
+	n = min(n, len(s.pending))
+	for _, c := range s.pending[:n] {
 		c.Close()
 	}
-	s.callers = slices.Delete(s.callers, 0, n)
+	s.pending = slices.Delete(s.pending, 0, n)
 }
 
-// asked takes a caller off those that have not asked yet.
-func (s *Server) asked(c net.Conn) {
+// removePending takes a connection off the list of those whose request head has not arrived yet.
+func (s *Server) removePending(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.callers = slices.DeleteFunc(s.callers, func(o net.Conn) bool { return o == c })
+	s.pending = slices.DeleteFunc(s.pending, func(o net.Conn) bool { return o == c })
 }
 
-func (s *Server) answer(c net.Conn) {
-	c.SetReadDeadline(time.Now().Add(headTime))
+// handle reads one call from a connection and answers it.
+func (s *Server) handle(c net.Conn) {
+	c.SetReadDeadline(time.Now().Add(headTimeout))
 	head, n := make([]byte, 0, 512), 0
-	var q http1.Request
+	var req http1.Request
 	var err error
 	for n == 0 && err == nil {
 		head = slices.Grow(head, 1)
-		got, failed := c.Read(head[len(head):cap(head)])
-		if head = head[:len(head)+got]; failed != nil {
-			s.asked(c)
+		read, readErr := c.Read(head[len(head):cap(head)])
+		if head = head[:len(head)+read]; readErr != nil {
+			s.removePending(c)
 			return
 		}
-		q, n, err = http1.ParseRequest(head)
+		req, n, err = http1.ParseRequest(head)
 	}
-	s.asked(c)
-	c.SetWriteDeadline(time.Now().Add(writeTime))
-	if _, err := c.Write(s.reply(q, err)); err != nil {
+	s.removePending(c)
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if _, err := c.Write(s.makeAnswer(req, err)); err != nil {
 		return
 	}
-	// To close with something unread resets the connection, and the answer may be lost with it.
+	// Closing a connection with unread data resets it, and the caller may lose the answer.
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
-	c.SetReadDeadline(time.Now().Add(closeTime))
-	for rest := 0; rest < mostRest; {
+	c.SetReadDeadline(time.Now().Add(closeTimeout))
+	for discarded := 0; discarded < maxDiscarded; {
 		n, err := c.Read(head[:cap(head)])
-		if rest += n; err != nil {
+		if discarded += n; err != nil {
 			return
 		}
 	}
 }
 
-// reply makes the answer to a call.
-func (s *Server) reply(q http1.Request, err error) []byte {
+// makeAnswer carries out a call and returns its answer. err is the error of reading the request head.
+func (s *Server) makeAnswer(req http1.Request, err error) []byte {
 	switch {
 	case errors.Is(err, http1.ErrLarge):
-		return text(431, "Request Header Fields Too Large", "the head is too long")
+		return textAnswer(431, "Request Header Fields Too Large", "the head is too long")
 	case err != nil:
-		return text(400, "Bad Request", "the head can't be read")
+		return textAnswer(400, "Bad Request", "the head can't be read")
 	}
-	call, ok := s.Calls[string(q.Path)]
+	call, ok := s.Calls[string(req.Path)]
 	if !ok {
-		return text(404, "Not Found", "no such call")
+		return textAnswer(404, "Not Found", "this path does not exist")
 	}
-	if string(q.Method) != call.Method {
-		return text(405, "Method Not Allowed", "to be called with "+call.Method, http1.Header{Name: "Allow", Value: call.Method})
+	if string(req.Method) != call.Method {
+		return textAnswer(405, "Method Not Allowed", "the method must be "+call.Method, http1.Header{Name: "Allow", Value: call.Method})
 	}
 	if call.Ask != nil {
-		query, err := url.ParseQuery(string(q.Query))
+		query, err := url.ParseQuery(string(req.Query))
 		if err != nil {
-			return text(400, "Bad Request", "what stands behind the question mark can't be read")
+			return textAnswer(400, "Bad Request", "the query can't be parsed")
 		}
 		status, body := call.Ask(query)
 		if status != http.StatusOK {
-			return text(status, http.StatusText(status), string(body))
+			return textAnswer(status, http.StatusText(status), string(body))
 		}
 		return http1.AppendAnswer(nil, 200, "OK", body, http1.Header{Name: "Content-Type", Value: "application/json"})
 	}
-	yes, body := call.Do()
-	if !yes {
-		return text(503, "Service Unavailable", string(body))
+	succeeded, body := call.Do()
+	if !succeeded {
+		return textAnswer(503, "Service Unavailable", string(body))
 	}
 	return http1.AppendAnswer(nil, 200, "OK", body, http1.Header{Name: "Content-Type", Value: "application/json"})
 }
 
-func text(status int, reason, body string, headers ...http1.Header) []byte {
+// textAnswer returns an HTTP answer with a plain text body.
+func textAnswer(status int, reason, body string, headers ...http1.Header) []byte {
 	headers = append(headers, http1.Header{Name: "Content-Type", Value: "text/plain; charset=utf-8"})
 	return http1.AppendAnswer(nil, status, reason, []byte(strings.TrimSpace(body)+"\n"), headers...)
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,7 +13,8 @@
 	"hoptiller/internal/testprog"
 )
 
-func ask(t *testing.T, conn net.Conn, text string) (status int, allow, body string) {
+// request sends text over conn and returns what was answered.
+func request(t *testing.T, conn net.Conn, text string) (status int, allow, body string) {
 	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
@@ -28,13 +29,14 @@
 	return r.StatusCode, r.Header.Get("Allow"), string(b)
 }
 
-var yes = true
+// stateOK is the result of the call /state.
+var stateOK = true
 
 var server = Server{Places: 8, Calls: map[string]Call{
-	"/state": {Method: "GET", Do: func() (bool, []byte) { return yes, []byte("as it is") }},
+	"/state": {Method: "GET", Do: func() (bool, []byte) { return stateOK, []byte("as it is") }},
 }}
 
-// Each call has its answer, and so has each that is none; bytes behind the head harm neither.
+// Each valid call gets its answer, and each invalid one an error. Bytes after the head do no harm.
 func TestAnswers(t *testing.T) {
 	dial := testprog.Serve(t, server.Serve)
 	for _, c := range []struct {
@@ -55,35 +57,36 @@
 		{"GET /" + strings.Repeat("x", 2*http1.MaxHead), 431},
 		{"GET /state HTTP/1.1\r\n" + strings.Repeat("a: b\r\n", http1.MaxHead/3), 431},
 	} {
-		status, allow, body := ask(t, dial(), c.text)
+		status, allow, body := request(t, dial(), c.text)
 		if status != c.status || (allow == "GET") != (status == 405) || body == "" {
 			t.Errorf("%.30q: %d, allow %q, %q", c.text, status, allow, body)
 		}
 	}
-	yes = false
-	defer func() { yes = true }()
-	if status, _, body := ask(t, dial(), "GET /state HTTP/1.1\r\n\r\n"); status != 503 || body != "as it is\n" {
-		t.Errorf("no is answered %d %q", status, body)
+	stateOK = false
+	defer func() { stateOK = true }()
+	if status, _, body := request(t, dial(), "GET /state HTTP/1.1\r\n\r\n"); status != 503 || body != "as it is\n" {
+		t.Errorf("a call that fails is answered %d %q", status, body)
 	}
 }
 
-// Callers that connect and finish nothing, more than there are places, hold off nobody; those that came first go.
-func TestStalledCallersMakeRoom(t *testing.T) {
+// Callers that connect and never send a complete request, more of them than there are slots, don't keep out another caller: the
+// oldest of these connections are closed.
+func TestStalledCallersAreEvicted(t *testing.T) {
 	dial := testprog.Serve(t, server.Serve)
 	first := dial()
 	for range 3 * server.Places {
 		fmt.Fprint(dial(), "GET /sta")
 	}
-	if status, _, _ := ask(t, dial(), "GET /state HTTP/1.1\r\n\r\n"); status != 200 {
+	if status, _, _ := request(t, dial(), "GET /state HTTP/1.1\r\n\r\n"); status != 200 {
 		t.Errorf("status %d", status)
 	}
 	if _, err := first.Read(make([]byte, 1)); err == nil {
-		t.Error("the one that waited longest is still there")
+		t.Error("the oldest connection is still open")
 	}
 }
 
-// One that says nothing is ended, though there is room.
-func TestStalledCallerEnds(t *testing.T) {
+// A connection on which nothing is sent is closed after a time, even if there are free slots.
+func TestStalledCallerTimesOut(t *testing.T) {
 	if _, err := io.ReadAll(testprog.Serve(t, server.Serve)()); err != nil {
 		t.Error(err)
 	}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,11 +1,11 @@
 // Package admission applies an operator's plan to requests. It decides which requests pass the
 // plan's rate and concurrency limits before the decision module sees them, and how the plan
-// constrains what the module may do with a request (package hoptiller's Narrowing). The router
-// and the lab run the same code.
+// constrains what the module may do with a request (hoptiller.Narrowing). The router and the
+// lab run the same code.
 //
 // The package does no I/O, starts no goroutines and reads no clock: the caller passes the time in.
-// It never widens what the module may do. The time in a queue is bounded, and a request that is
-// rejected is rejected at once.
+// It never permits the module more than it may do without a plan. The time in a queue is
+// bounded, and a request that can't be queued is rejected at once.
 package admission
 
 import (
@@ -39,8 +39,8 @@
 	servers  map[uint32]Server
 }
 
-// activePlan is the plan in force with all that is derived from it. It is immutable, so the table
-// of one plan is never used with the limits of another.
+// activePlan is the plan in force together with what is derived from it. It is immutable, so the
+// table of one plan is never used with the limits of another.
 type activePlan struct {
 	plan        *plan.Plan
 	constraints map[*plan.Entry]*Constraints
@@ -70,6 +70,7 @@
 	since       time.Duration // arrival, or admission once it is admitted
 }
 
+// stage says how far a request has got.
 type stage uint8
 
 const (
@@ -122,12 +123,13 @@
 	if previous := c.active.Load(); previous != nil && previous.sharedGate != nil {
 		gate = previous.sharedGate
 	}
-	gate.Adopt(concurrency(limits.Concurrency), limits.Queue, limits.QueueFor)
+	gate.Reconfigure(concurrencyBounds(limits.Concurrency), limits.Queue, limits.QueueFor)
 	return gate
 }
 
-func concurrency(c plan.Concurrency) limit.Concurrency {
-	return limit.Concurrency{Adaptive: c.Adaptive, Least: c.Least, Most: c.Most}
+// concurrencyBounds converts the bounds of a plan.
+func concurrencyBounds(c plan.Concurrency) limit.Concurrency {
+	return limit.Concurrency{Adaptive: c.Adaptive, Min: c.Least, Max: c.Most}
 }
 
 // Lookup returns the constraints that the plan in force puts on a request.
@@ -143,42 +145,42 @@
 	defer c.mu.Unlock()
 	limits := constraints.limits
 	if limits != nil {
-		limits.budget.Taken(now)
+		limits.budget.CountRequest(now)
 	}
 	if constraints.Unlimited() {
 		return Decision{RequestID: id, Verdict: limit.Go}, nil
 	}
-	q := &request{constraints: constraints, since: now}
+	req := &request{constraints: constraints, since: now}
 	if limits == nil {
-		return c.admitShared(now, id, q, others)
+		return c.admitShared(now, id, req, others)
 	}
 	if constraints.entry.Policy.Rate > 0 {
 		if ok, wait := limits.bucket.Take(now); !ok {
 			return c.reject(id, wait, limits.rateName), nil
 		}
 	}
-	verdict, shed := limits.gate.Ask(now, id, constraints.entry.Policy.Priority)
+	verdict, shed := limits.gate.Acquire(now, id, constraints.entry.Policy.Priority)
 	others = c.rejectShed(shed, &limits.gate, limits.concurrencyName, others)
 	switch verdict {
 	case limit.No:
-		return c.reject(id, limits.gate.After(), limits.concurrencyName), others
+		return c.reject(id, limits.gate.RetryAfter(), limits.concurrencyName), others
 	case limit.Wait:
-		c.requests[id] = q
-		return Decision{RequestID: id, Verdict: limit.Wait, WaitUntil: now + limits.gate.QueueFor}, others
+		c.requests[id] = req
+		return Decision{RequestID: id, Verdict: limit.Wait, WaitUntil: now + limits.gate.MaxWait}, others
 	}
-	return c.admitShared(now, id, q, others)
+	return c.admitShared(now, id, req, others)
 }
 
 // admitShared passes a request that has passed its route's gate to the shared gate. It appends the
 // decisions on other requests to others.
-func (c *Controller) admitShared(now time.Duration, id uint64, q *request, others []Decision) (Decision, []Decision) {
-	c.requests[id] = q
-	gate := q.constraints.sharedGate
+func (c *Controller) admitShared(now time.Duration, id uint64, req *request, others []Decision) (Decision, []Decision) {
+	c.requests[id] = req
+	gate := req.constraints.sharedGate
 	if gate == nil {
-		q.stage, q.since = admitted, now
+		req.stage, req.since = admitted, now
 		return Decision{RequestID: id, Verdict: limit.Go}, others
 	}
-	verdict, shed := gate.Ask(now, id, q.constraints.entry.Policy.Priority)
+	verdict, shed := gate.Acquire(now, id, req.constraints.entry.Policy.Priority)
 	if shed != 0 {
 		others = c.rejectShed(shed, gate, sharedConcurrencyName, others)
 		others = c.releaseRoute(now, shed, others)
@@ -186,12 +188,12 @@
 	switch verdict {
 	case limit.No:
 		others = c.releaseRoute(now, id, others)
-		return c.reject(id, gate.After(), sharedConcurrencyName), others
+		return c.reject(id, gate.RetryAfter(), sharedConcurrencyName), others
 	case limit.Wait:
-		q.stage = waitingForShared
-		return Decision{RequestID: id, Verdict: limit.Wait, WaitUntil: now + gate.QueueFor}, others
+		req.stage = waitingForShared
+		return Decision{RequestID: id, Verdict: limit.Wait, WaitUntil: now + gate.MaxWait}, others
 	}
-	q.stage, q.since = admitted, now
+	req.stage, req.since = admitted, now
 	return Decision{RequestID: id, Verdict: limit.Go}, others
 }
 
@@ -203,27 +205,27 @@
 	if c.requests[id].stage == waitingForRoute {
 		delete(c.requests, id)
 	}
-	return append(others, c.reject(id, gate.After(), name))
+	return append(others, c.reject(id, gate.RetryAfter(), name))
 }
 
 // releaseRoute forgets a request that passed its route's gate but not the shared one, and gives its
-// place at the route's gate to the next in the queue.
+// place at the route's gate to the next request in the queue.
 func (c *Controller) releaseRoute(now time.Duration, id uint64, others []Decision) []Decision {
-	q := c.requests[id]
+	req := c.requests[id]
 	delete(c.requests, id)
-	if q.constraints.limits == nil {
+	if req.constraints.limits == nil {
 		return others
 	}
-	next := q.constraints.limits.gate.Done(now, q.constraints.entry.Policy.Priority, 0, limit.Unknown)
+	next := req.constraints.limits.gate.Release(now, req.constraints.entry.Policy.Priority, 0, limit.Unknown)
 	return c.admitNext(now, next, others)
 }
 
 // admitNext passes requests that have just passed their route's gate to the shared gate.
 func (c *Controller) admitNext(now time.Duration, ids []uint64, others []Decision) []Decision {
 	for _, id := range ids {
-		if q := c.requests[id]; q != nil {
+		if req := c.requests[id]; req != nil {
 			var decision Decision
-			decision, others = c.admitShared(now, id, q, others)
+			decision, others = c.admitShared(now, id, req, others)
 			others = append(others, decision)
 		}
 	}
@@ -235,12 +237,12 @@
 	hashMultiplier = 0x9e3779b97f4a7c15 // 2^64 over the golden ratio (Fibonacci hashing)
 	hashShift      = 11                 // leaves the 53 bits that a float64 holds exactly
 	hashRange      = 1 << (64 - hashShift)
-	maxJitter      = 0.5 // part of RetryAfter that is added at most
+	maxJitter      = 0.5 // largest fraction of RetryAfter that is added
 	minRetryAfter  = time.Millisecond
 )
 
-// reject makes the decision to reject a request. RetryAfter is spread by a hash of the id, so that
-// clients which were rejected together don't retry together.
+// reject returns the decision to reject a request. RetryAfter gets a jitter from a hash of the id,
+// so that clients that were rejected together don't retry together.
 func (c *Controller) reject(id uint64, after time.Duration, name string) Decision {
 	settings := &c.Plan().Platform().Settings
 	if !settings.RetryAfter {
@@ -257,53 +259,53 @@
 func (c *Controller) CancelWait(now time.Duration, id uint64) (waited bool, decision Decision, others []Decision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	q := c.requests[id]
-	if q == nil || q.stage == admitted {
+	req := c.requests[id]
+	if req == nil || req.stage == admitted {
 		return false, Decision{}, nil
 	}
-	if q.stage == waitingForRoute {
-		limits := q.constraints.limits
-		limits.gate.Leave(id)
+	if req.stage == waitingForRoute {
+		limits := req.constraints.limits
+		limits.gate.Remove(id)
 		delete(c.requests, id)
-		return true, c.reject(id, limits.gate.After(), limits.queueName), nil
+		return true, c.reject(id, limits.gate.RetryAfter(), limits.queueName), nil
 	}
-	q.constraints.sharedGate.Leave(id)
+	req.constraints.sharedGate.Remove(id)
 	others = c.releaseRoute(now, id, others)
-	return true, c.reject(id, q.constraints.sharedGate.After(), sharedQueueName), others
+	return true, c.reject(id, req.constraints.sharedGate.RetryAfter(), sharedQueueName), others
 }
 
 // Finish records how an admitted request ended and returns the decisions on the requests that take
-// its place. An id that has no limits is ignored.
-func (c *Controller) Finish(now time.Duration, id uint64, how limit.Ended) (others []Decision) {
+// its place. It ignores the id of a request without limits.
+func (c *Controller) Finish(now time.Duration, id uint64, outcome limit.Ended) (others []Decision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	q := c.requests[id]
-	if q == nil {
+	req := c.requests[id]
+	if req == nil {
 		return nil
 	}
 	delete(c.requests, id)
-	priority := q.constraints.entry.Policy.Priority
-	took := now - q.since
-	if gate := q.constraints.sharedGate; gate != nil {
-		for _, nextID := range gate.Done(now, priority, took, how) {
+	priority := req.constraints.entry.Policy.Priority
+	duration := now - req.since
+	if gate := req.constraints.sharedGate; gate != nil {
+		for _, nextID := range gate.Release(now, priority, duration, outcome) {
 			if next := c.requests[nextID]; next != nil {
 				next.stage, next.since = admitted, now
 				others = append(others, Decision{RequestID: nextID, Verdict: limit.Go})
 			}
 		}
 	}
-	if limits := q.constraints.limits; limits != nil {
-		others = c.admitNext(now, limits.gate.Done(now, priority, took, how), others)
+	if limits := req.constraints.limits; limits != nil {
+		others = c.admitNext(now, limits.gate.Release(now, priority, duration, outcome), others)
 	}
 	return others
 }
 
-// Counts returns the number of requests with limits that are admitted and that wait.
+// Counts returns how many of the requests with limits are admitted and how many wait.
 func (c *Controller) Counts() (admittedCount, waitingCount int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, q := range c.requests {
-		if q.stage == admitted {
+	for _, req := range c.requests {
+		if req.stage == admitted {
 			admittedCount++
 		} else {
 			waitingCount++
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -39,10 +39,11 @@
 
 func TestRateAndQueue(t *testing.T) {
 	c := New(load(t, "policy p {\n\tconcurrency 1\n\tqueue 1 for 50ms\n\trate 10/s burst 4\n}\nroute r {\n\tpolicy p\n}\n"))
-	b := constraintsFor(c, 0, "k")
+	constraints := constraintsFor(c, 0, "k")
 	for id, want := range []limit.Verdict{limit.Go, limit.Wait, limit.No, limit.No, limit.No} {
-		decision, _ := c.Admit(0, uint64(id+1), b)
-		if decision.Verdict != want || want == limit.Wait && decision.WaitUntil != 50*time.Millisecond || want == limit.No && (decision.RetryAfter <= 0 || decision.Limit == "") {
+		decision, _ := c.Admit(0, uint64(id+1), constraints)
+		if decision.Verdict != want || want == limit.Wait && decision.WaitUntil != 50*time.Millisecond ||
+			want == limit.No && (decision.RetryAfter <= 0 || decision.Limit == "") {
 			t.Errorf("%d: %+v", id+1, decision)
 		}
 		if id == 4 && decision.Limit != "rate of route r" {
@@ -53,11 +54,11 @@
 		t.Errorf("%+v", others)
 	}
 	if waited, _, _ := c.CancelWait(2*time.Millisecond, 2); waited {
-		t.Error("one that is in leaves the queue")
+		t.Error("an admitted request leaves the queue")
 	}
 }
 
-// A request of high priority sheds one of the lowest; and a request that is shed from the shared queue gives back its
+// A request of high priority sheds a queued one of the lowest priority. A request that is shed from the shared queue frees its
 // place at its route's limit.
 func TestPriorities(t *testing.T) {
 	c := New(load(t, "limits {\n\tconcurrency 1\n\tqueue 1 for 50ms\n}\npolicy low {\n\tconcurrency 2\n}\npolicy high {\n\tpriority 9\n}\n"+
@@ -71,25 +72,26 @@
 		t.Errorf("%+v", decision)
 	}
 	decision, others := c.Admit(0, 4, book)
-	if decision.Verdict != limit.Wait || len(others) != 1 || others[0].RequestID != 2 || others[0].Verdict != limit.No || others[0].Limit != sharedConcurrencyName {
+	if decision.Verdict != limit.Wait || len(others) != 1 || others[0].RequestID != 2 || others[0].Verdict != limit.No ||
+		others[0].Limit != sharedConcurrencyName {
 		t.Fatalf("%+v, %+v", decision, others)
 	}
 	if decision, _ := c.Admit(0, 5, view); decision.Limit != sharedConcurrencyName {
-		t.Errorf("the place was not given back: %+v", decision)
+		t.Errorf("the shed request still has its place at the route's limit: %+v", decision)
 	}
 	if others := c.Finish(0, 1, limit.Well); len(others) != 1 || others[0].RequestID != 4 {
 		t.Errorf("%+v", others)
 	}
 }
 
-// A pool that loses its last servers falls back, and one without a fallback is empty; it doesn't get all servers.
+// A pool with too few servers uses its fallback. A pool without a fallback is empty then; it doesn't get all servers.
 func TestPools(t *testing.T) {
 	c := New(load(t, "pool a {\n\tzone a\n\tat-least 2\n\tfallback y\n}\npool y {\n\tkind y\n\taddress 10.0.0.1:1\n}\nroute r {\n\tpool a\n}\n"))
-	b := constraintsFor(c, 0, "k")
+	constraints := constraintsFor(c, 0, "k")
 	allowed := func(servers ...Server) (ids []uint32) {
 		c.SetServers(servers)
 		for id := uint32(1); id <= 4; id++ {
-			if b.Narrowing().Allows(id) {
+			if constraints.Narrowing().Allows(id) {
 				ids = append(ids, id)
 			}
 		}
@@ -113,29 +115,30 @@
 	}
 }
 
-func TestNarrowing(t *testing.T) {
+func TestConstraints(t *testing.T) {
 	c := New(load(t, "policy p {\n\tattempts 2\n\trepeat on full timeout\n\ttimeout 30ms\n\tbudget 0% least 0.1/s\n}\nroute r {\n\tclass view\n\tpolicy p\n}\n"))
-	b := constraintsFor(c, 0, "k")
-	n := b.Narrowing()
-	if n.Timeout() != 30*time.Millisecond || !n.Repeats(1, hoptiller.Full) || !n.Repeats(1, hoptiller.Cancelled) || n.Repeats(1, hoptiller.Reset) ||
-		n.Repeats(2, hoptiller.Full) || n.Copies() {
-		t.Error("the policy is not kept")
+	constraints := constraintsFor(c, 0, "k")
+	narrowing := constraints.Narrowing()
+	if narrowing.Timeout() != 30*time.Millisecond || !narrowing.Repeats(1, hoptiller.Full) ||
+		!narrowing.Repeats(1, hoptiller.Cancelled) || narrowing.Repeats(1, hoptiller.Reset) ||
+		narrowing.Repeats(2, hoptiller.Full) || narrowing.Copies() {
+		t.Error("the constraints differ from the policy")
 	}
-	if !n.Spend(0) || n.Spend(0) {
-		t.Error("the budget is not kept")
+	if !narrowing.Spend(0) || narrowing.Spend(0) {
+		t.Error("the retry budget does not allow exactly one retry")
 	}
 	c.SetPlan(load(t, "route r {\n\tclass view\n}\n"))
-	if n.Timeout() != 30*time.Millisecond || !n.Repeats(1, hoptiller.Full) {
-		t.Error("what had begun goes on otherwise after a reload")
+	if narrowing.Timeout() != 30*time.Millisecond || !narrowing.Repeats(1, hoptiller.Full) {
+		t.Error("the constraints of a running request change at a reload")
 	}
 	if constraintsFor(c, 0, "k").Narrowing() != nil {
-		t.Error("what begins after a reload goes on as before")
+		t.Error("a request after a reload has the old constraints")
 	}
 }
 
-// Whatever state a request is in when another plan is loaded: each request gets one final verdict, no more are admitted
-// than the limits allow, and no state is left behind.
-func TestEachHasOneVerdict(t *testing.T) {
+// Another plan may be loaded in any state of a request. Each request still gets exactly one final verdict, and no state
+// remains when all requests have ended.
+func TestEachRequestHasOneVerdict(t *testing.T) {
 	texts := []string{"",
 		"limits {\n\tconcurrency 3\n\tqueue 2 for 20ms\n}\npolicy p {\n\tconcurrency 2\n\tqueue 2 for 10ms\n}\npolicy q {\n\tpriority 5\n}\nroute v {\n\tclass view\n\tpolicy p\n}\nroute b {\n\tclass book\n\tpolicy q\n}\n",
 		"limits {\n\tconcurrency adaptive 1 2\n}\npolicy p {\n\trate 100/s burst 2\n\tbudget 10%\n}\nroute v {\n\tclass view\n\tpolicy p\n}\n",
@@ -143,39 +146,39 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		c := New(load(t, texts[1]))
-		now, next := time.Duration(0), uint64(0)
-		waiting, in := []uint64{}, []uint64{}
-		drop := func(list []uint64, id uint64) []uint64 {
+		now, lastID := time.Duration(0), uint64(0)
+		waiting, running := []uint64{}, []uint64{}
+		remove := func(list []uint64, id uint64) []uint64 {
 			i := slices.Index(list, id)
 			if i < 0 {
-				t.Fatalf("a verdict on %d, which has one", id)
+				t.Fatalf("a second final verdict on request %d", id)
 			}
 			return slices.Delete(list, i, i+1)
 		}
-		take := func(decisions ...Decision) {
-			for _, x := range decisions {
-				if waiting = drop(waiting, x.RequestID); x.Verdict == limit.Go {
-					in = append(in, x.RequestID)
-				} else if x.Verdict == limit.Wait {
-					waiting = append(waiting, x.RequestID)
+		apply := func(decisions ...Decision) {
+			for _, decision := range decisions {
+				if waiting = remove(waiting, decision.RequestID); decision.Verdict == limit.Go {
+					running = append(running, decision.RequestID)
+				} else if decision.Verdict == limit.Wait {
+					waiting = append(waiting, decision.RequestID)
 				}
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
-				next++
-				waiting = append(waiting, next)
-				decision, others := c.Admit(now, next, constraintsFor(c, rapid.IntRange(0, 1).Draw(t, "class"), "k"))
-				take(decision)
-				take(others...)
+				lastID++
+				waiting = append(waiting, lastID)
+				decision, others := c.Admit(now, lastID, constraintsFor(c, rapid.IntRange(0, 1).Draw(t, "class"), "k"))
+				apply(decision)
+				apply(others...)
 			},
 			"done": func(t *rapid.T) {
-				if len(in) == 0 {
+				if len(running) == 0 {
 					t.Skip()
 				}
-				id := rapid.SampledFrom(in).Draw(t, "which")
-				in = drop(in, id)
-				take(c.Finish(now, id, limit.Ended(rapid.IntRange(0, 2).Draw(t, "how")))...)
+				id := rapid.SampledFrom(running).Draw(t, "which")
+				running = remove(running, id)
+				apply(c.Finish(now, id, limit.Ended(rapid.IntRange(0, 2).Draw(t, "how")))...)
 			},
 			"leave": func(t *rapid.T) {
 				if len(waiting) == 0 {
@@ -184,20 +187,20 @@
 				id := rapid.SampledFrom(waiting).Draw(t, "which")
 				waited, decision, others := c.CancelWait(now, id)
 				if !waited || decision.Verdict != limit.No {
-					t.Fatalf("%d did not wait: %+v", id, decision)
+					t.Fatalf("request %d did not wait: %+v", id, decision)
 				}
-				take(append([]Decision{decision}, others...)...)
+				apply(append([]Decision{decision}, others...)...)
 			},
 			"reload": func(t *rapid.T) { c.SetPlan(load(t, rapid.SampledFrom(texts).Draw(t, "plan"))) },
 			"time":   func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond },
 		})
-		for len(in) > 0 {
-			id := in[0]
-			in = in[1:]
-			take(c.Finish(now, id, limit.Well)...)
+		for len(running) > 0 {
+			id := running[0]
+			running = running[1:]
+			apply(c.Finish(now, id, limit.Well)...)
 		}
 		if a, b := c.Counts(); a+b > 0 || len(waiting) > 0 {
-			t.Fatalf("%d in and %d waiting are left behind, %v", a, b, waiting)
+			t.Fatalf("%d admitted and %d waiting requests remain, %v", a, b, waiting)
 		}
 	})
 }
--- a/internal/admission/constraints.go
+++ b/internal/admission/constraints.go
@@ -8,16 +8,16 @@
 	"hoptiller/internal/plan"
 )
 
-// Constraints is what a plan says about the requests of one entry of its table: their limits and
-// what the decision module may do with them. A request keeps its Constraints until it ends,
-// whatever plan is loaded meanwhile.
+// Constraints holds what a plan says about the requests of one entry of its table: their limits
+// and what the decision module may do with them. A request keeps its Constraints until it ends,
+// even if another plan is loaded meanwhile.
 type Constraints struct {
 	entry      *plan.Entry
 	controller *Controller
 	limits     *routeLimits // nil if the route has no limits
 	sharedGate *limit.Gate  // nil if no limit covers all routes
 	pool       *pool        // nil if the route names no pool
-	narrows    bool
+	constrains bool         // the plan constrains what the module may do
 }
 
 var _ hoptiller.Narrowing = (*Constraints)(nil)
@@ -25,18 +25,18 @@
 const (
 	unboundedConcurrency = 1 << 30
 	unboundedTimeout     = time.Hour
-	singleAttempt        = 1 // value of a policy's copies that forbids concurrent attempts
+	singleAttempt        = 1 // value of a policy's Copies that forbids hedging
 )
 
-// newConstraints makes the constraints of a table entry. It takes the route's limits from those of
-// the previous plan if they are there. c.mu is held.
+// newConstraints returns the constraints of a table entry. It reuses the route's limits of the
+// previous plan if there are any. c.mu is held.
 func (c *Controller) newConstraints(entry *plan.Entry, previous map[string]*routeLimits) *Constraints {
 	constraints := &Constraints{entry: entry, controller: c}
 	if entry.Route == nil {
 		return constraints
 	}
 	policy := entry.Route.Policy
-	constraints.narrows = policy != nil || entry.Pool != nil
+	constraints.constrains = policy != nil || entry.Pool != nil
 	if entry.Pool != nil {
 		constraints.pool = c.pools[entry.Pool.Name]
 	}
@@ -62,71 +62,71 @@
 		}
 	}
 	limits.bucket.Rate, limits.bucket.Burst = policy.Rate, policy.Burst
-	limits.budget.Part, limits.budget.Least = policy.Budget, policy.BudgetLeast
-	bounds := concurrency(policy.Concurrency)
-	if bounds.Most == 0 { // admitted requests are counted all the same: the next plan may bound them
-		bounds = limit.Concurrency{Least: unboundedConcurrency, Most: unboundedConcurrency}
+	limits.budget.Ratio, limits.budget.MinPerSecond = policy.Budget, policy.BudgetLeast
+	bounds := concurrencyBounds(policy.Concurrency)
+	if bounds.Max == 0 { // admitted requests are counted nevertheless, since the next plan may bound them
+		bounds = limit.Concurrency{Min: unboundedConcurrency, Max: unboundedConcurrency}
 	}
-	limits.gate.Adopt(bounds, policy.Queue, policy.QueueFor)
+	limits.gate.Reconfigure(bounds, policy.Queue, policy.QueueFor)
 	return limits
 }
 
-// Unlimited reports that no limit applies: Admit would return Go, and Finish need not be called.
-func (b *Constraints) Unlimited() bool { return b.limits == nil && b.sharedGate == nil }
+// Unlimited reports whether no limit applies. Admit would then return Go, and Finish need not be called.
+func (c *Constraints) Unlimited() bool { return c.limits == nil && c.sharedGate == nil }
 
-// Narrowing returns what the module is given with a request; nil if nothing is narrowed.
-func (b *Constraints) Narrowing() hoptiller.Narrowing {
-	if !b.narrows {
+// Narrowing returns the constraints that the module gets with a request, or nil if there are none.
+func (c *Constraints) Narrowing() hoptiller.Narrowing {
+	if !c.constrains {
 		return nil
 	}
-	return b
+	return c
 }
 
 // Allows reports whether a server belongs to the pool of the route.
-func (b *Constraints) Allows(server uint32) bool {
-	if b.pool == nil {
+func (c *Constraints) Allows(server uint32) bool {
+	if c.pool == nil {
 		return true
 	}
-	return (*b.pool.members.Load())[server]
+	return (*c.pool.members.Load())[server]
 }
 
 // Timeout returns the longest time that one attempt may take.
-func (b *Constraints) Timeout() time.Duration {
-	if timeout := b.entry.Policy.Timeout; timeout > 0 {
+func (c *Constraints) Timeout() time.Duration {
+	if timeout := c.entry.Policy.Timeout; timeout > 0 {
 		return timeout
 	}
 	return unboundedTimeout
 }
 
-// Repeats reports whether another attempt may follow after so many, of which the last ended with
-// the given status.
-func (b *Constraints) Repeats(attempts int, last hoptiller.Status) bool {
-	policy := &b.entry.Policy
-	if last == hoptiller.Cancelled || last == hoptiller.Moot { // withdrawn because it was silent
+// Repeats reports whether the router may retry a request after the given number of attempts, of
+// which the last one ended with the given status.
+func (c *Constraints) Repeats(attempts int, last hoptiller.Status) bool {
+	policy := &c.entry.Policy
+	if last == hoptiller.Cancelled || last == hoptiller.Moot { // the router cancelled an attempt that got no answer in time
 		last = hoptiller.Timeout
 	}
 	return (policy.Attempts == 0 || attempts < policy.Attempts) && policy.Repeat.Has(last)
 }
 
-// Spend takes a retry out of the route's retry budget and reports whether there was one left.
-func (b *Constraints) Spend(now time.Duration) bool {
-	if !b.entry.Policy.BudgetSaid {
+// Spend takes a retry out of the route's retry budget and reports whether the budget had one.
+func (c *Constraints) Spend(now time.Duration) bool {
+	if !c.entry.Policy.BudgetSaid {
 		return true
 	}
-	b.controller.mu.Lock()
-	defer b.controller.mu.Unlock()
-	return b.limits.budget.Repeat(now)
+	c.controller.mu.Lock()
+	defer c.controller.mu.Unlock()
+	return c.limits.budget.TakeRetry(now)
 }
 
-// Copies reports whether two attempts of one request may be out at once.
-func (b *Constraints) Copies() bool { return b.entry.Policy.Copies != singleAttempt }
+// Copies reports whether the router may hedge, i.e. have two attempts of one request in flight at once.
+func (c *Constraints) Copies() bool { return c.entry.Policy.Copies != singleAttempt }
 
-// Late reports whether an answer after so long misses the target latency of the request's class.
-func (b *Constraints) Late(took time.Duration) bool {
-	classes := b.controller.Plan().Platform().Settings.Classes
-	if b.entry.Class >= len(classes) {
+// Late reports whether an answer after duration misses the target latency of the request's class.
+func (c *Constraints) Late(duration time.Duration) bool {
+	classes := c.controller.Plan().Platform().Settings.Classes
+	if c.entry.Class >= len(classes) {
 		return false
 	}
-	aim := classes[b.entry.Class].Aim
-	return aim > 0 && took > aim
+	aim := classes[c.entry.Class].Aim
+	return aim > 0 && duration > aim
 }
--- a/internal/admission/middleware/middleware.go
+++ b/internal/admission/middleware/middleware.go
@@ -1,6 +1,6 @@
 // Package middleware applies an operator's plan between the client side of the router and the
 // relay. It looks up the constraints of each request, asks package admission whether the request
-// is admitted, lets it wait for a bounded time where the plan has a queue, and passes it on
+// is admitted, lets it wait for a bounded time if the plan has a queue, and passes it on
 // together with its constraints.
 //
 // It makes no decisions of its own and knows no protocol.
@@ -20,30 +20,32 @@
 	"hoptiller/internal/relay"
 )
 
-// tenantFact is the name of the fact of a request that holds its tenant.
+// tenantFact is the name of the request's fact (a name=value pair) that holds its tenant.
 const tenantFact = "customer"
 
-// Server carries a request to its final answer.
+// Server serves a request and returns its final answer.
 type Server interface {
 	Serve(ctx context.Context, req *relay.Request) relay.Answer
 }
 
 // Listener receives the updates of the server list.
 type Listener interface {
+	// Told is called with each update of the server list.
 	Told(kind hoptiller.ListKind, servers []relay.Server)
+	// Knows reports whether the listener still knows a server.
 	Knows(id uint32) bool
 }
 
-// Handler is a Server and a Listener that applies a plan and passes on to the next ones.
+// Handler is a Server and a Listener. It applies a plan and passes requests and list updates on to the next ones.
 type Handler struct {
 	next       Server
 	listener   Listener
 	controller *admission.Controller
 	start      time.Time
-	onReject   func(limit string)
+	onReject   func(limit string) // called with the name of the limit for each rejected request
 
-	lastID atomic.Uint64
-	listed map[uint32]relay.Server // needs no lock: list updates come one at a time
+	lastID      atomic.Uint64
+	serversByID map[uint32]relay.Server // needs no lock, since list updates come one at a time
 
 	mu      sync.Mutex
 	waiting map[uint64]chan admission.Decision
@@ -54,23 +56,23 @@
 // must not block.
 func New(next Server, listener Listener, p *plan.Plan, onReject func(limit string)) *Handler {
 	return &Handler{
-		next:       next,
-		listener:   listener,
-		controller: admission.New(p),
-		start:      time.Now(),
-		onReject:   onReject,
-		listed:     map[uint32]relay.Server{},
-		waiting:    map[uint64]chan admission.Decision{},
+		next:        next,
+		listener:    listener,
+		controller:  admission.New(p),
+		start:       time.Now(),
+		onReject:    onReject,
+		serversByID: map[uint32]relay.Server{},
+		waiting:     map[uint64]chan admission.Decision{},
 	}
 }
 
-// SetPlan replaces the plan. Requests that have begun end under the plan they began with.
+// SetPlan replaces the plan. Requests that have begun keep the plan under which they began.
 func (h *Handler) SetPlan(p *plan.Plan) { h.controller.SetPlan(p) }
 
-// Counts returns the number of requests with limits that are admitted and that wait.
+// Counts returns how many of the requests with limits are admitted and how many wait.
 func (h *Handler) Counts() (admitted, waiting int) { return h.controller.Counts() }
 
-// Serve carries a request to its final answer, which is a rejection if it doesn't pass a limit.
+// Serve serves a request and returns its final answer, which is a rejection if the request doesn't pass a limit.
 func (h *Handler) Serve(ctx context.Context, req *relay.Request) relay.Answer {
 	tenant, _ := meta.Fact(req.Facts, tenantFact)
 	constraints := h.controller.Lookup(req.Class, req.Key, tenant, req.Client)
@@ -86,19 +88,21 @@
 	}
 	answer := h.next.Serve(ctx, req)
 	now := time.Since(h.start)
-	how := limit.Well
+	outcome := limit.Well
 	switch {
 	case ctx.Err() != nil || answer.Kind == hoptiller.StepReject:
-		how = limit.Unknown // load shed by the module says nothing about the fleet's capacity
+		outcome = limit.Unknown // load shed by the module says nothing about the fleet's capacity
 	case answer.Kind == hoptiller.StepFail || constraints.Late(now-arrival):
-		how = limit.Badly
+		outcome = limit.Badly
 	}
-	h.deliver(h.controller.Finish(now, id, how))
+	h.deliver(h.controller.Finish(now, id, outcome))
 	return answer
 }
 
 // admit waits until a request is admitted or rejected.
-func (h *Handler) admit(ctx context.Context, now time.Duration, id uint64, constraints *admission.Constraints) admission.Decision {
+func (h *Handler) admit(
+	ctx context.Context, now time.Duration, id uint64, constraints *admission.Constraints,
+) admission.Decision {
 	h.mu.Lock() // held so that a decision on a request that waits always finds its channel
 	decision, others := h.controller.Admit(now, id, constraints)
 	var decisions chan admission.Decision
@@ -126,7 +130,9 @@
 
 // awaitDecision waits for the next decision on a queued request, until its time in the queue is up
 // or its client has disconnected.
-func (h *Handler) awaitDecision(ctx context.Context, id uint64, current admission.Decision, decisions chan admission.Decision) admission.Decision {
+func (h *Handler) awaitDecision(
+	ctx context.Context, id uint64, current admission.Decision, decisions chan admission.Decision,
+) admission.Decision {
 	timer := time.NewTimer(current.WaitUntil - time.Since(h.start))
 	defer timer.Stop()
 	select {
@@ -156,7 +162,7 @@
 	}
 }
 
-// Told takes an update of the server list. The pools learn of it before the next listener does.
+// Told applies an update of the server list. It updates the pools before it notifies the next listener.
 func (h *Handler) Told(kind hoptiller.ListKind, servers []relay.Server) {
 	if kind != hoptiller.ListFailed {
 		h.updateList(kind, servers)
@@ -165,22 +171,22 @@
 	h.listener.Told(kind, servers)
 }
 
-// updateList applies a whole list or the changes of one.
+// updateList applies a complete server list or the changes of one.
 func (h *Handler) updateList(kind hoptiller.ListKind, servers []relay.Server) {
 	if kind == hoptiller.ListFull || kind == hoptiller.ListCached {
-		clear(h.listed)
+		clear(h.serversByID)
 	}
 	for _, server := range servers {
-		if h.listed[server.ID] = server; server.Phase == hoptiller.Gone {
-			delete(h.listed, server.ID)
+		if h.serversByID[server.ID] = server; server.Phase == hoptiller.Gone {
+			delete(h.serversByID, server.ID)
 		}
 	}
 }
 
 // cacheServers returns the listed servers without the origin.
 func (h *Handler) cacheServers() []admission.Server {
-	servers := make([]admission.Server, 0, len(h.listed))
-	for _, server := range h.listed {
+	servers := make([]admission.Server, 0, len(h.serversByID))
+	for _, server := range h.serversByID {
 		if server.Origin {
 			continue
 		}
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -7,101 +7,106 @@
 	"time"
 )
 
-// Priorities is how many priorities there are: 0 is shed first.
+// Priorities is the number of priorities. Priority 0 is the lowest and is shed first.
 const Priorities = 10
 
-// Verdict is what a Gate says of an invocation.
+// Verdict is a Gate's decision about a request.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts of a Gate.
 const (
-	Go   Verdict = iota // it is in, until Done
-	Wait                // it waits, until it is named by Done or Shed, or Leave is called
-	No                  // it is refused
+	Go   Verdict = iota // the request is admitted; Release must be called when it ends
+	Wait                // the request is queued until Release admits it, Acquire sheds it, or Remove takes it out
+	No                  // the request is rejected
 )
 
-// Gate bounds what is out at once over some priorities. Of its places it keeps as
-// many for the higher priorities as those have lately had out, so that what is less
-// worth never waits for more room than there is, and never takes that of the other.
-// Some may wait in a queue, the highest priority first; where the queue is full the
-// last of the lowest priority goes.
+// Gate bounds how many requests are in flight at once, over all priorities. It reserves
+// as many places for the higher priorities as those have recently had in flight, so that
+// requests of low priority don't take the capacity that those of high priority need.
+// Requests may wait in a queue, the highest priority first. If the queue is full and a
+// request of higher priority than the lowest in the queue arrives, the newest request of
+// that lowest priority is shed.
 type Gate struct {
 	Concurrency
-	Queue    int           // most that wait
-	QueueFor time.Duration // and how long
-
-	out     [Priorities]int
-	peak    [Priorities]float64 // most that were out at once of late
-	at      time.Duration
-	all     int
-	waiting []waiter // in the order in which they go
-	took    float64  // seconds that one takes
+	MaxQueue int           // requests that may wait at once
+	MaxWait  time.Duration // longest time that a request may wait; the caller enforces it
+
+	inFlight     [Priorities]int     // by priority
+	peak         [Priorities]float64 // by priority: the most requests recently in flight at once, decaying with time
+	decayedAt    time.Duration       // when the peaks last decayed
+	total        int                 // sum of inFlight
+	waiting      []waiter            // in the order in which they are admitted
+	meanDuration float64             // moving average of the duration of a request, in seconds
 }
 
+// waiter is a request in the queue.
 type waiter struct {
 	id       uint64
 	priority int
-	since    time.Duration
+	since    time.Duration // when it entered the queue
 }
 
 const (
-	peakFade  = 10.0 // seconds over which a peak is forgotten
-	fadeEvery = 10 * time.Millisecond
+	peakDecayTime = 10.0                  // time constant of the decay of peaks, in seconds
+	decayInterval = 10 * time.Millisecond // shortest time between two updates of the peaks
 )
 
-// room tells whether one of a priority may go in.
-func (g *Gate) room(priority int) bool {
+// hasRoom reports whether a request of a priority may be admitted now.
+func (g *Gate) hasRoom(priority int) bool {
 	limit := float64(g.Limit())
-	if float64(g.all) >= limit {
+	if float64(g.total) >= limit {
 		return false
 	}
-	kept, above := 0.0, 0
+	reserved, higherInFlight := 0.0, 0
 	for p := priority + 1; p < Priorities; p++ {
-		kept, above = kept+math.Ceil(g.peak[p]), above+g.out[p]
+		reserved, higherInFlight = reserved+math.Ceil(g.peak[p]), higherInFlight+g.inFlight[p]
 	}
-	// What the higher ones have out is not kept a second time; the lowest always has one place to be served at all.
-	return float64(g.all-above) < max(1, limit-max(float64(above), kept))
+	// Places that higher priorities already use are not reserved a second time. One place is never reserved, so that the lowest
+	// priority is served at all.
+	return float64(g.total-higherInFlight) < max(1, limit-max(float64(higherInFlight), reserved))
 }
 
-// fade forgets a part of the peaks. It costs more than all else here, and ten seconds have no use for each microsecond.
-func (g *Gate) fade(now time.Duration) {
-	if now-g.at < fadeEvery {
+// decayPeaks lets the peaks decay. It does so at most once per decayInterval, since it costs more than the rest of a call, and
+// a decay over ten seconds needs no update each microsecond.
+func (g *Gate) decayPeaks(now time.Duration) {
+	if now-g.decayedAt < decayInterval {
 		return
 	}
-	f := math.Exp(-max(0, now-g.at).Seconds() / peakFade)
+	factor := math.Exp(-max(0, now-g.decayedAt).Seconds() / peakDecayTime)
 	for p := range g.peak {
-		g.peak[p] = max(float64(g.out[p]), g.peak[p]*f)
+		g.peak[p] = max(float64(g.inFlight[p]), g.peak[p]*factor)
 		if g.peak[p] < 0.5 {
 			g.peak[p] = 0
 		}
 	}
-	g.at = max(g.at, now)
+	g.decayedAt = max(g.decayedAt, now)
 }
 
-func (g *Gate) enter(priority int) {
-	g.out[priority]++
-	g.all++
-	g.peak[priority] = max(g.peak[priority], float64(g.out[priority]))
+// admit counts a request as in flight.
+func (g *Gate) admit(priority int) {
+	g.inFlight[priority]++
+	g.total++
+	g.peak[priority] = max(g.peak[priority], float64(g.inFlight[priority]))
 }
 
-// Ask asks for a place. shed names the one that has to leave the queue for it; 0 for
-// none. Numbers are the caller's, from 1. A refused one should come again after
-// about After.
-func (g *Gate) Ask(now time.Duration, id uint64, priority int) (v Verdict, shed uint64) {
+// Acquire asks for a place for a request. If verdict is Wait, shed is the id of the request
+// that was removed from the queue to make room, or 0 if none was. The caller chooses the
+// ids, from 1. A rejected request should be retried after about RetryAfter.
+func (g *Gate) Acquire(now time.Duration, id uint64, priority int) (verdict Verdict, shed uint64) {
 	priority = max(0, min(Priorities-1, priority))
-	g.fade(now)
+	g.decayPeaks(now)
 	ahead := slices.ContainsFunc(g.waiting, func(w waiter) bool { return w.priority >= priority })
-	if !ahead && g.room(priority) {
-		g.enter(priority)
+	if !ahead && g.hasRoom(priority) {
+		g.admit(priority)
 		return Go, 0
 	}
-	// Nobody comes to whom a higher one gives way, and one that asks counts as one that would be out.
-	g.peak[priority] = max(g.peak[priority], float64(g.out[priority]+1))
-	g.Pressed()
-	if g.Queue == 0 {
+	// No request of a higher priority gives way to this one. The peak counts this request as if it were in flight.
+	g.peak[priority] = max(g.peak[priority], float64(g.inFlight[priority]+1))
+	g.MarkSaturated()
+	if g.MaxQueue == 0 {
 		return No, 0
 	}
-	if len(g.waiting) >= g.Queue {
+	if len(g.waiting) >= g.MaxQueue {
 		last := g.waiting[len(g.waiting)-1]
 		if last.priority >= priority {
 			return No, 0
@@ -111,36 +116,37 @@
 	}
 	w := waiter{id, priority, now}
 	at, _ := slices.BinarySearchFunc(g.waiting, w, func(e, w waiter) int {
-		return cmp.Or(cmp.Compare(w.priority, e.priority), -1) // behind those of its own priority
+		return cmp.Or(cmp.Compare(w.priority, e.priority), -1) // after the waiters of the same priority
 	})
 	g.waiting = slices.Insert(g.waiting, at, w)
 	return Wait, shed
 }
 
-// Done takes the end of one that was in, and names those that go in now.
-func (g *Gate) Done(now time.Duration, priority int, took time.Duration, how Ended) []uint64 {
+// Release records the end of an admitted request. It returns the ids of the queued requests that are admitted in its place.
+func (g *Gate) Release(now time.Duration, priority int, duration time.Duration, outcome Ended) []uint64 {
 	priority = max(0, min(Priorities-1, priority))
-	g.fade(now)
-	g.Ended(now, took, how, g.all)
-	g.out[priority]--
-	g.all--
-	if how != Unknown {
-		if g.took == 0 {
-			g.took = took.Seconds()
+	g.decayPeaks(now)
+	g.RecordEnd(now, duration, outcome, g.total)
+	g.inFlight[priority]--
+	g.total--
+	if outcome != Unknown {
+		if g.meanDuration == 0 {
+			g.meanDuration = duration.Seconds()
 		}
-		g.took += (took.Seconds() - g.took) / 64
+		g.meanDuration += (duration.Seconds() - g.meanDuration) / 64
 	}
 	var next []uint64
-	for len(g.waiting) > 0 && g.room(g.waiting[0].priority) { // whoever is behind has no more room
+	// If the first waiter has no room, neither have those behind it, since their priority is not higher.
+	for len(g.waiting) > 0 && g.hasRoom(g.waiting[0].priority) {
 		next = append(next, g.waiting[0].id)
-		g.enter(g.waiting[0].priority)
+		g.admit(g.waiting[0].priority)
 		g.waiting = slices.Delete(g.waiting, 0, 1)
 	}
 	return next
 }
 
-// Leave takes one out of the queue, and tells whether it was there.
-func (g *Gate) Leave(id uint64) bool {
+// Remove takes a request out of the queue and reports whether it was there.
+func (g *Gate) Remove(id uint64) bool {
 	i := slices.IndexFunc(g.waiting, func(w waiter) bool { return w.id == id })
 	if i >= 0 {
 		g.waiting = slices.Delete(g.waiting, i, i+1)
@@ -148,25 +154,25 @@
 	return i >= 0
 }
 
-// Out is how many are in.
-func (g *Gate) Out() int { return g.all }
+// InFlight returns the number of admitted requests that have not ended.
+func (g *Gate) InFlight() int { return g.total }
 
-// Waiting is how many wait.
+// Waiting returns the number of requests in the queue.
 func (g *Gate) Waiting() int { return len(g.waiting) }
 
-// After is when one that is refused should come again: when about as many have
-// ended as wait.
-func (g *Gate) After() time.Duration {
-	took := max(g.took, 0.01)
-	return time.Duration(took * (1 + float64(len(g.waiting))/float64(max(1, g.Limit()))) * float64(time.Second))
+// RetryAfter returns the time after which a rejected request should be retried. By then about
+// as many requests should have ended as are waiting now.
+func (g *Gate) RetryAfter() time.Duration {
+	duration := max(g.meanDuration, 0.01)
+	return time.Duration(duration * (1 + float64(len(g.waiting))/float64(max(1, g.Limit()))) * float64(time.Second))
 }
 
-// Adopt goes on with other figures: what is out stays out, what waits stays in the
-// queue, and what has been learned is kept.
-func (g *Gate) Adopt(c Concurrency, queue int, queueFor time.Duration) {
-	g.Adaptive, g.Least, g.Most = c.Adaptive, c.Least, c.Most
-	g.Queue, g.QueueFor = queue, queueFor
-	if g.begun {
-		g.limit = max(float64(g.Least), min(float64(g.Most), g.limit))
+// Reconfigure replaces the bounds. Requests in flight still count, queued requests stay in the
+// queue, and the learned limit is kept within the new bounds.
+func (g *Gate) Reconfigure(c Concurrency, maxQueue int, maxWait time.Duration) {
+	g.Adaptive, g.Min, g.Max = c.Adaptive, c.Min, c.Max
+	g.MaxQueue, g.MaxWait = maxQueue, maxWait
+	if g.started {
+		g.limit = max(float64(g.Min), min(float64(g.Max), g.limit))
 	}
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,9 +1,9 @@
-// Package limit decides what is let in and what is repeated: token buckets, limits
-// on what is out at once (fixed, and found out by their answers), budgets for
-// repeats, and priorities, of which the lowest are shed first.
+// Package limit decides which requests are admitted and which are retried. It has token
+// buckets, concurrency limits (fixed ones, and adaptive ones that follow the durations of
+// answers), retry budgets, and priorities, of which the lowest is shed first.
 //
-// It does no I/O, starts no goroutines and reads no clock: now is the caller's, and
-// the same calls give the same decisions. Nothing here is safe for concurrent use.
+// It does no I/O, starts no goroutines and reads no clock: the caller passes the time in,
+// and the same calls give the same decisions. Its types are not safe for concurrent use.
 package limit
 
 import (
@@ -11,47 +11,48 @@
 	"time"
 )
 
-// Bucket is a token bucket: Rate tokens a second, of which Burst are kept at the
-// most. The zero value lets nothing through.
+// Bucket is a token bucket. It gains Rate tokens a second and holds at most Burst tokens.
+// The zero value admits nothing.
 type Bucket struct {
 	Rate, Burst float64
 
-	level float64
-	at    time.Duration
-	begun bool
+	tokens   float64
+	filledAt time.Duration
+	started  bool
 }
 
-// Take takes a token. Where there is none it tells how long until there is one.
+// Take takes a token. If there is none, ok is false and wait is the time until there is one.
 func (b *Bucket) Take(now time.Duration) (ok bool, wait time.Duration) {
-	if !b.begun {
-		b.begun, b.level, b.at = true, b.Burst, now
+	if !b.started {
+		b.started, b.tokens, b.filledAt = true, b.Burst, now
 	}
-	b.level = min(b.Burst, b.level+b.Rate*max(0, now-b.at).Seconds())
-	b.at = max(b.at, now)
-	if b.level >= 1 {
-		b.level--
+	b.tokens = min(b.Burst, b.tokens+b.Rate*max(0, now-b.filledAt).Seconds())
+	b.filledAt = max(b.filledAt, now)
+	if b.tokens >= 1 {
+		b.tokens--
 		return true, 0
 	}
-	return false, time.Duration((1 - b.level) / max(b.Rate, 1e-9) * float64(time.Second))
+	return false, time.Duration((1 - b.tokens) / max(b.Rate, 1e-9) * float64(time.Second))
 }
 
-// Budget bounds repeats: over any ten seconds there are no more than Part of the
-// invocations taken plus Least a second. It counts by the second, so that a repeat
-// counts for nine to ten seconds.
+// Budget bounds retries: over any ten seconds there are at most Ratio times as many retries
+// as requests, plus MinPerSecond a second. It counts in whole seconds, so a retry counts for
+// nine to ten seconds.
 type Budget struct {
-	Part, Least float64
+	Ratio, MinPerSecond float64
 
-	taken, repeats [budgetSeconds]int
-	second         int64
-	begun          bool
+	requests, retries [budgetSeconds]int
+	second            int64
+	started           bool
 }
 
-const budgetSeconds = 10
+const budgetSeconds = 10 // length of the window, one counter for each second
 
-func (b *Budget) turn(now time.Duration) int {
+// advance clears the counters of seconds that have left the window and returns the index of the current second.
+func (b *Budget) advance(now time.Duration) int {
 	second := int64(now / time.Second)
-	if !b.begun {
-		b.begun, b.second = true, second
+	if !b.started {
+		b.started, b.second = true, second
 	}
 	for n := 0; b.second < second; n++ {
 		if n >= budgetSeconds {
@@ -59,133 +60,133 @@
 			break
 		}
 		b.second++
-		b.taken[b.second%budgetSeconds], b.repeats[b.second%budgetSeconds] = 0, 0
+		b.requests[b.second%budgetSeconds], b.retries[b.second%budgetSeconds] = 0, 0
 	}
 	return int(b.second % budgetSeconds)
 }
 
-// Taken counts an invocation.
-func (b *Budget) Taken(now time.Duration) { b.taken[b.turn(now)]++ }
+// CountRequest counts a request.
+func (b *Budget) CountRequest(now time.Duration) { b.requests[b.advance(now)]++ }
 
-// Repeat takes a repeat out of the budget, if it has one.
-func (b *Budget) Repeat(now time.Duration) bool {
-	at := b.turn(now)
-	taken, repeats := 0, 0
-	for i := range b.taken {
-		taken, repeats = taken+b.taken[i], repeats+b.repeats[i]
+// TakeRetry takes a retry out of the budget and reports whether the budget had one.
+func (b *Budget) TakeRetry(now time.Duration) bool {
+	current := b.advance(now)
+	requests, retries := 0, 0
+	for i := range b.requests {
+		requests, retries = requests+b.requests[i], retries+b.retries[i]
 	}
-	if float64(repeats+1) > b.Part*float64(taken)+b.Least*budgetSeconds {
+	if float64(retries+1) > b.Ratio*float64(requests)+b.MinPerSecond*budgetSeconds {
 		return false
 	}
-	b.repeats[at]++
+	b.retries[current]++
 	return true
 }
 
-// Ended is what a limit is told of an invocation that it let in.
+// Ended says how a request that a limit admitted has ended.
 type Ended uint8
 
-// The ways in which one ends.
+// The ways in which a request can end.
 const (
-	Well    Ended = iota // answered
-	Badly                // refused by a server, timed out or failed: a sign of too much
-	Unknown              // says nothing: its client has left
+	Well    Ended = iota // the request was answered
+	Badly                // a server rejected the request, or it timed out or failed: a sign of overload
+	Unknown              // the end says nothing about the load, e.g. because the client disconnected
 )
 
-// Concurrency bounds what is out at once.
+// Concurrency bounds how many requests are in flight at once.
 //
-// An adaptive limit follows the gradient of the time that answers take, as Envoy's
-// adaptive concurrency filter and Netflix's concurrency-limits do: the limit is
-// multiplied by what an answer takes where nothing queues over what answers take
-// now, and may grow by its own square root. What it takes where nothing queues is
-// measured at the start, where little is let in, and again every half a minute with
-// half of the places; a mean of long ago would follow a queue that stays, and call
-// it usual. Signs of too much cut the limit at once, as AIMD does (Chiu and Jain,
-// 1989).
+// An adaptive limit follows the gradient of the latency, as Envoy's adaptive concurrency
+// filter and Netflix's concurrency-limits do. The limit is multiplied by the ratio of the
+// baseline, which is the latency without queueing, to the current latency, and may grow by
+// its own square root. The baseline is measured at the start, when few requests are
+// admitted, and again every half a minute with half of the limit. A long-term mean would
+// not do: a lasting queue would raise it until its latency looked normal. Signs of overload
+// cut the limit at once, as AIMD does (Chiu and Jain, 1989).
 type Concurrency struct {
-	Adaptive    bool
-	Least, Most int
-
-	limit   float64
-	base    float64 // seconds that an answer takes where nothing queues; 0: not known
-	cut     time.Duration
-	probed  time.Duration
-	skip, n int     // answers still to come of what was let in under another limit; answers since
-	sum     float64 // seconds that those took
-	probing bool
-	pressed bool // one was refused, or half of the places were in use, since the limit last moved
-	begun   bool
+	Adaptive bool
+	Min, Max int // bounds of an adaptive limit; a fixed limit is Max
+
+	limit           float64
+	baseline        float64       // latency without queueing in seconds; 0 if not known yet
+	lastCut         time.Duration // when the limit was last cut
+	lastProbe       time.Duration // when the baseline was last measured
+	toSkip, answers int           // answers to requests admitted under an earlier limit, not counted; answers counted since
+	durationSum     float64       // sum of the latencies of the counted answers, in seconds
+	probing         bool          // the baseline is being measured
+	saturated       bool          // a request was not admitted, or half of the limit was in use, since the limit last changed
+	started         bool
 }
 
 const (
-	firstLimit  = 10
-	tolerance   = 1.5  // times the base that an answer may take and count as good
-	windowLeast = 20   // answers between two moves of the limit, or as many as it lets in
-	probeOver   = 50   // answers
-	probeEvery  = 30   // seconds
-	cutBy       = 0.9  // on a sign of too much
-	cutEvery    = 0.25 // seconds
+	initialLimit  = 10
+	tolerance     = 1.5  // multiple of the baseline up to which the latency does not reduce the limit
+	minWindow     = 20   // answers between two changes of the limit; more if the limit is higher
+	probeAnswers  = 50   // answers that one measurement of the baseline needs
+	probeInterval = 30   // seconds between two measurements of the baseline
+	cutFactor     = 0.9  // factor by which a sign of overload reduces the limit
+	cutInterval   = 0.25 // shortest time between two such cuts, in seconds
 )
 
-// Limit is how many may be out now.
+// Limit returns how many requests may be in flight now.
 func (c *Concurrency) Limit() int {
 	if !c.Adaptive {
-		return c.Most
+		return c.Max
 	}
-	c.begin()
+	c.initialize()
 	limit := c.limit
-	if c.probing && c.base > 0 {
+	if c.probing && c.baseline > 0 {
 		limit /= 2
 	}
-	return max(c.Least, min(c.Most, int(limit)))
+	return max(c.Min, min(c.Max, int(limit)))
 }
 
-func (c *Concurrency) begin() {
-	if !c.begun {
-		c.begun, c.probing = true, true
-		c.limit = max(float64(c.Least), min(float64(c.Most), firstLimit))
+// initialize sets the initial limit at the first call.
+func (c *Concurrency) initialize() {
+	if !c.started {
+		c.started, c.probing = true, true
+		c.limit = max(float64(c.Min), min(float64(c.Max), initialLimit))
 	}
 }
 
-// Pressed tells that one was not let in.
-func (c *Concurrency) Pressed() { c.pressed = true }
+// MarkSaturated records that a request was not admitted.
+func (c *Concurrency) MarkSaturated() { c.saturated = true }
 
-// Ended takes the end of one after a time, while out were out.
-func (c *Concurrency) Ended(now, took time.Duration, how Ended, out int) {
-	c.pressed = c.pressed || float64(out) >= c.limit/2
-	if c.begin(); !c.Adaptive || how == Unknown {
+// RecordEnd records the end of a request that took duration. inFlight is the number of requests in flight, this one included.
+func (c *Concurrency) RecordEnd(now, duration time.Duration, outcome Ended, inFlight int) {
+	c.saturated = c.saturated || float64(inFlight) >= c.limit/2
+	if c.initialize(); !c.Adaptive || outcome == Unknown {
 		return
 	}
-	least, most := float64(c.Least), float64(c.Most)
-	if how == Badly {
-		if (now - c.cut).Seconds() > cutEvery {
-			c.cut = now
-			c.limit = max(least, cutBy*c.limit)
+	minLimit, maxLimit := float64(c.Min), float64(c.Max)
+	if outcome == Badly {
+		if (now - c.lastCut).Seconds() > cutInterval {
+			c.lastCut = now
+			c.limit = max(minLimit, cutFactor*c.limit)
 		}
 		return
 	}
-	if c.skip > 0 { // it was let in under another limit
-		c.skip--
+	if c.toSkip > 0 { // the request was admitted under an earlier limit
+		c.toSkip--
 		return
 	}
-	c.n++
-	c.sum += took.Seconds()
-	if c.n < max(windowLeast, int(c.limit)) && !c.probing || c.probing && c.n < probeOver {
+	c.answers++
+	c.durationSum += duration.Seconds()
+	if c.answers < max(minWindow, int(c.limit)) && !c.probing || c.probing && c.answers < probeAnswers {
 		return
 	}
-	mean, pressed := c.sum/float64(c.n), c.pressed
-	c.n, c.sum, c.pressed = 0, 0, false
+	mean, saturated := c.durationSum/float64(c.answers), c.saturated
+	c.answers, c.durationSum, c.saturated = 0, 0, false
 	switch {
 	case c.probing:
-		c.base, c.probing, c.probed, c.skip = mean, false, now, out
+		c.baseline, c.probing, c.lastProbe, c.toSkip = mean, false, now, inFlight
 		return
-	case !pressed:
-		return // what is not used is not tried
-	case (now - c.probed).Seconds() > probeEvery:
-		c.probing, c.skip = true, out
+	case !saturated:
+		return // a limit that is not used up is not raised, since nothing has tested it
+	case (now - c.lastProbe).Seconds() > probeInterval:
+		c.probing, c.toSkip = true, inFlight
 		return
 	}
-	c.base += min(0, (mean-c.base)/10)
-	gradient := max(0.5, min(1, tolerance*c.base/max(mean, 1e-6)))
-	c.limit = max(least, min(most, c.limit*gradient+math.Sqrt(c.limit)))
-	c.skip = out
+	c.baseline += min(0, (mean-c.baseline)/10)
+	gradient := max(0.5, min(1, tolerance*c.baseline/max(mean, 1e-6)))
+	c.limit = max(minLimit, min(maxLimit, c.limit*gradient+math.Sqrt(c.limit)))
+	c.toSkip = inFlight
 }
--- a/internal/loadreport/table.go
+++ b/internal/loadreport/table.go
@@ -1,6 +1,6 @@
-// Package loadreport keeps what servers report of their load in their answers, for operators to read. It does no I/O and
-// knows no clock. The decisions do not use it: in 36 days of a site that reports, a queue that is told half a second
-// late took more from the windows than it gave (docs/design/deployments.md).
+// Package loadreport holds the load reports that servers send in their answers, for operators to read. It does no I/O and
+// reads no clock. The router's decisions do not use the reports: in 36 days of a site whose servers report, queue lengths that
+// arrived half a second late did the concurrency windows more harm than good (docs/design/deployments.md).
 package loadreport
 
 import (
@@ -10,71 +10,71 @@
 	"hoptiller/internal/meta"
 )
 
-// Table has the latest report of each server. It may be used by many goroutines.
+// Table holds the latest report of each server. It is safe for concurrent use.
 type Table struct {
-	names []string
+	names []string // of the figures in a report
 
-	mu             sync.Mutex
-	latest         map[uint32][]float64
-	room           []float64 // into which a report is read
-	taken, dropped int64
+	mu                sync.Mutex
+	latest            map[uint32][]float64 // by server; NaN for a figure that was not reported
+	parsed            []float64            // buffer into which a report is parsed
+	accepted, dropped int64                // numbers of reports
 }
 
-// New returns a Table of reports that carry the named figures, in the settings' words; of none it takes none.
+// New returns a Table for reports that carry the named figures, as the settings name them. Without names it ignores all reports.
 func New(names []string) *Table {
-	return &Table{names: names, latest: map[uint32][]float64{}, room: make([]float64, len(names))}
+	return &Table{names: names, latest: map[uint32][]float64{}, parsed: make([]float64, len(names))}
 }
 
-// Take takes the report of a server. One that can't be read is counted and changes nothing.
+// Take records the report of a server. A report that can't be parsed is only counted as dropped.
 func (t *Table) Take(server uint32, report []byte) {
 	if len(t.names) == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !meta.ParseReport(report, t.names, t.room) {
+	if !meta.ParseReport(report, t.names, t.parsed) {
 		t.dropped++
 		return
 	}
-	t.taken++
-	kept := t.latest[server]
-	if kept == nil {
-		kept = make([]float64, len(t.names))
+	t.accepted++
+	figures := t.latest[server]
+	if figures == nil {
+		figures = make([]float64, len(t.names))
 	}
-	copy(kept, t.room)
-	t.latest[server] = kept
+	copy(figures, t.parsed)
+	t.latest[server] = figures
 }
 
-// Forget drops what is kept of a server.
+// Forget removes the report of a server.
 func (t *Table) Forget(server uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.latest, server)
 }
 
-// Summary is what all servers report.
+// Summary is a summary of the latest reports of all servers.
 type Summary struct {
-	Taken   int64              `json:"taken"`
-	Dropped int64              `json:"dropped"` // that could not be read
-	Servers int                `json:"servers"` // that have reported
-	Mean    map[string]float64 `json:"mean"`    // of each figure, over the latest of those that tell it
-	Most    map[string]float64 `json:"most"`
+	Accepted int64              `json:"taken"`
+	Dropped  int64              `json:"dropped"` // reports that could not be parsed
+	Servers  int                `json:"servers"` // number of servers that have reported
+	Mean     map[string]float64 `json:"mean"`    // of each figure, over the latest reports that contain it
+	Max      map[string]float64 `json:"most"`
 }
 
-// Summary tells what is kept; it is nil where there are no reports to take.
+// Summary returns a summary of the latest reports, or nil if the Table was made without names.
 func (t *Table) Summary() *Summary {
 	if len(t.names) == 0 {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := &Summary{Taken: t.taken, Dropped: t.dropped, Servers: len(t.latest), Mean: map[string]float64{}, Most: map[string]float64{}}
+	s := &Summary{Accepted: t.accepted, Dropped: t.dropped, Servers: len(t.latest), Mean: map[string]float64{}, Max: map[string]float64{}}
 	for i, name := range t.names {
 		sum, n := 0.0, 0
 		for _, figures := range t.latest {
 			if x := figures[i]; !math.IsNaN(x) {
 				sum, n = sum+x, n+1
-				s.Most[name] = max(s.Most[name], x)
+				s.Max[name] = max(s.Max[name], x)
 			}
 		}
 		if n > 0 {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,9 +1,9 @@
-// Package logs writes a router's events with log/slog, as text or JSON, and sees to
-// it that no flood of them floods the log: of each kind of event only so many a
-// second are written, and the next one that is says how many were not.
+// Package logs writes a router's events with log/slog, as text or JSON. It limits the
+// rate of each kind of event, so that a flood of events doesn't flood the log. The next
+// event of that kind that is written says how many were dropped before it.
 //
-// An event's kind is its message, which is a fixed text; what differs stands in the
-// attributes. Nothing is logged for each request.
+// The kind of an event is its message, which is a fixed text. What varies is in the
+// attributes. A router logs nothing for each single request.
 package logs
 
 import (
@@ -19,48 +19,49 @@
 	"hoptiller/internal/limit"
 )
 
-// Options say what is written.
+// Options sets what is written and how.
 type Options struct {
-	Level  string  // debug, info, warn or error
+	Level  string  // lowest level that is written: debug, info, warn or error
 	Format string  // text or json
-	Rate   float64 // events of a kind a second; as many, and one at least, may come at once
+	Rate   float64 // events a second of each kind; a burst of as many events, but at least one, may come at once
 }
 
-// Check tells what is impossible.
+// Check returns an error if the level or the format does not exist.
 func (o *Options) Check() error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(o.Level)); err != nil {
 		return fmt.Errorf("log level %q: debug, info, warn and error are possible", o.Level)
 	}
 	if o.Format != "text" && o.Format != "json" {
-		return fmt.Errorf("log format %q: text and json are possible", o.Format)
+		return fmt.Errorf("log format %q: must be text or json", o.Format)
 	}
 	return nil
 }
 
 // Log is a slog.Handler whose options can be changed while it is in use.
 type Log struct {
-	out  io.Writer
-	now  func() time.Duration // since the Log was made, whatever the wall clock is set to
-	next atomic.Pointer[slog.Handler]
+	out        io.Writer
+	sinceStart func() time.Duration // monotonic time since the Log was made
+	next       atomic.Pointer[slog.Handler]
 
 	mu    sync.Mutex
 	rate  float64
 	kinds map[string]*kind
 }
 
+// kind is the state of the rate limit of one kind of event.
 type kind struct {
 	bucket  limit.Bucket
-	dropped int
+	dropped int // events dropped since the last one that was written
 }
 
-// mostKinds bounds what is kept; a program has far fewer messages.
-const mostKinds = 1000
+// maxKinds bounds the number of kinds that are tracked. A program has far fewer messages.
+const maxKinds = 1000
 
-// New returns a Log that writes to out, one write for each event.
+// New returns a Log that writes to out with one call of Write for each event.
 func New(out io.Writer, o Options) *Log {
-	begun := time.Now()
-	l := &Log{out: out, now: func() time.Duration { return time.Since(begun) }, kinds: map[string]*kind{}}
+	start := time.Now()
+	l := &Log{out: out, sinceStart: func() time.Duration { return time.Since(start) }, kinds: map[string]*kind{}}
 	l.Set(o)
 	return l
 }
@@ -83,14 +84,14 @@
 	}
 }
 
-// Enabled implements slog.Handler.
+// Enabled implements slog.Handler. It reports whether events of a level are written.
 func (l *Log) Enabled(ctx context.Context, level slog.Level) bool {
 	return (*l.next.Load()).Enabled(ctx, level)
 }
 
-// Handle implements slog.Handler.
+// Handle implements slog.Handler. It writes the event unless its kind exceeds the rate.
 func (l *Log) Handle(ctx context.Context, r slog.Record) error {
-	write, dropped := l.take(r.Message)
+	write, dropped := l.allow(r.Message)
 	if !write {
 		return nil
 	}
@@ -101,19 +102,19 @@
 	return (*l.next.Load()).Handle(ctx, r)
 }
 
-// take tells whether an event of a kind is to be written, and how many before it were not.
-func (l *Log) take(message string) (write bool, dropped int) {
+// allow reports whether an event with this message is to be written, and how many events of the kind were dropped before it.
+func (l *Log) allow(message string) (write bool, dropped int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.kinds[message]
 	if k == nil {
-		if len(l.kinds) >= mostKinds {
+		if len(l.kinds) >= maxKinds {
 			clear(l.kinds)
 		}
 		k = &kind{bucket: limit.Bucket{Rate: l.rate, Burst: max(1, l.rate)}}
 		l.kinds[message] = k
 	}
-	if ok, _ := k.bucket.Take(l.now()); !ok {
+	if ok, _ := k.bucket.Take(l.sinceStart()); !ok {
 		k.dropped++
 		return false, 0
 	}
@@ -121,36 +122,36 @@
 	return true, dropped
 }
 
-// WithAttrs implements slog.Handler. Attributes of a logger belong to its events and are kept with each.
-func (l *Log) WithAttrs(attrs []slog.Attr) slog.Handler { return &with{l, attrs, ""} }
+// WithAttrs implements slog.Handler. The attributes are added to each event.
+func (l *Log) WithAttrs(attrs []slog.Attr) slog.Handler { return &attrHandler{l, attrs, ""} }
 
-// WithGroup implements slog.Handler.
-func (l *Log) WithGroup(name string) slog.Handler { return &with{l, nil, name} }
+// WithGroup implements slog.Handler. The attributes of each event are put into the group.
+func (l *Log) WithGroup(name string) slog.Handler { return &attrHandler{l, nil, name} }
 
-// with adds attributes, or a group round what comes after, to each event.
-type with struct {
+// attrHandler adds attributes to each event or, if group is set, puts the attributes of each event into that group.
+type attrHandler struct {
 	slog.Handler
 	attrs []slog.Attr
 	group string
 }
 
-func (w *with) Handle(ctx context.Context, r slog.Record) error {
-	var own []slog.Attr
-	r.Attrs(func(a slog.Attr) bool { own = append(own, a); return true })
-	n := slog.NewRecord(r.Time, r.Level, r.Message, r.PC)
-	if w.group != "" {
-		n.AddAttrs(slog.Attr{Key: w.group, Value: slog.GroupValue(own...)})
+func (h *attrHandler) Handle(ctx context.Context, r slog.Record) error {
+	var recordAttrs []slog.Attr
+	r.Attrs(func(a slog.Attr) bool { recordAttrs = append(recordAttrs, a); return true })
+	wrapped := slog.NewRecord(r.Time, r.Level, r.Message, r.PC)
+	if h.group != "" {
+		wrapped.AddAttrs(slog.Attr{Key: h.group, Value: slog.GroupValue(recordAttrs...)})
 	} else {
-		n.AddAttrs(append(append([]slog.Attr{}, w.attrs...), own...)...)
+		wrapped.AddAttrs(append(append([]slog.Attr{}, h.attrs...), recordAttrs...)...)
 	}
-	return w.Handler.Handle(ctx, n)
+	return h.Handler.Handle(ctx, wrapped)
 }
 
-func (w *with) WithAttrs(attrs []slog.Attr) slog.Handler { return &with{w, attrs, ""} }
-func (w *with) WithGroup(name string) slog.Handler       { return &with{w, nil, name} }
+func (h *attrHandler) WithAttrs(attrs []slog.Attr) slog.Handler { return &attrHandler{h, attrs, ""} }
+func (h *attrHandler) WithGroup(name string) slog.Handler       { return &attrHandler{h, nil, name} }
 
-// Field takes an attribute's value out of a line of text, where it has no spaces in
-// it; for those who start a router and have to know where it listens.
+// Field returns the value of an attribute in a log line in text format, if the value has
+// no spaces. Programs that start a router use it to find out where the router listens.
 func Field(line, name string) (string, bool) {
 	for _, word := range strings.Fields(line) {
 		if value, ok := strings.CutPrefix(word, name+"="); ok {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -11,12 +11,12 @@
 	"github.com/tidwall/gjson"
 )
 
-// A flood of one kind is cut to its rate, says how much it was, and takes no room of other kinds.
+// A flood of events of one kind is cut to its rate, the number of dropped events is logged, and other kinds are not affected.
 func TestFlood(t *testing.T) {
 	var out bytes.Buffer
 	l := New(&out, Options{"info", "text", 2})
 	var now time.Duration
-	l.now = func() time.Duration { return now }
+	l.sinceStart = func() time.Duration { return now }
 	log := slog.New(l)
 	for range 1000 {
 		log.Warn("bad client", "addr", "127.0.0.1")
@@ -30,7 +30,7 @@
 	}
 }
 
-// Level and format change while loggers are in use.
+// The level and the format can be changed while loggers are in use.
 func TestSet(t *testing.T) {
 	var out bytes.Buffer
 	l := New(&out, Options{"warn", "text", 100})
@@ -43,12 +43,12 @@
 	}
 	for _, bad := range []Options{{"loud", "text", 1}, {"info", "xml", 1}} {
 		if bad.Check() == nil {
-			t.Errorf("%+v is taken", bad)
+			t.Errorf("%+v passes Check", bad)
 		}
 	}
 }
 
-// It is a handler as log/slog asks for one.
+// Log fulfils the contract of slog.Handler.
 func TestHandler(t *testing.T) {
 	var out bytes.Buffer
 	l := New(&out, Options{"info", "json", 1e6})
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	queuedEvents = 1024                   // that wait to be written at the most
-	flushTime    = 200 * time.Millisecond // that the last events may take to be written when the program ends
+	maxQueuedEvents = 1024                   // events that may wait to be written
+	flushTimeout    = 200 * time.Millisecond // for the queued events to be written when the process ends
 )
 
-// Writer passes events on to a slower writer without ever waiting for it: whoever logs may hold a lock that requests need, and a pipe that
-// nobody reads, or a disk that hangs, would stop them all. Events that find the queue full are dropped and counted.
+// Writer passes events on to a slower writer without ever blocking the caller. The caller may hold a lock that requests need,
+// so a pipe that nobody reads, or a disk that hangs, would block all requests. If the queue is full, events are dropped and
+// counted.
 type Writer struct {
 	events  chan []byte
 	dropped atomic.Int64
-	ended   chan struct{} // closed when all that was queued before Close is written
+	flushed chan struct{} // closed when all events that were queued before Close are written
 }
 
-// NewWriter returns a Writer that passes events on to out, one write for each.
+// NewWriter returns a Writer that passes events on to out with one call of Write for each event.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{events: make(chan []byte, queuedEvents), ended: make(chan struct{})}
-	go w.pass(out)
+	w := &Writer{events: make(chan []byte, maxQueuedEvents), flushed: make(chan struct{})}
+	go w.writeQueued(out)
 	return w
 }
 
-// pass writes what is queued until Close. An event that can't be written is lost, as is one that is dropped.
-func (w *Writer) pass(out io.Writer) {
-	defer close(w.ended)
+// writeQueued writes the queued events to out until Close. An event whose write fails is lost.
+func (w *Writer) writeQueued(out io.Writer) {
+	defer close(w.flushed)
 	for event := range w.events {
 		if event == nil {
 			return
@@ -42,7 +43,7 @@
 	}
 }
 
-// Write implements io.Writer. It never waits and never fails.
+// Write implements io.Writer. It never blocks and never fails.
 func (w *Writer) Write(event []byte) (int, error) {
 	select {
 	case w.events <- bytes.Clone(event):
@@ -52,17 +53,17 @@
 	return len(event), nil
 }
 
-// Close has what is queued written, and waits for that, but not for long. What is written after it may be lost.
+// Close waits until the queued events are written, for flushTimeout at most. Events written after Close may be lost.
 func (w *Writer) Close() {
-	late := time.NewTimer(flushTime)
-	defer late.Stop()
+	timeout := time.NewTimer(flushTimeout)
+	defer timeout.Stop()
 	select {
 	case w.events <- nil:
-	case <-late.C:
+	case <-timeout.C:
 		return
 	}
 	select {
-	case <-w.ended:
-	case <-late.C:
+	case <-w.flushed:
+	case <-timeout.C:
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what a router does, at the place where it happens, and makes the one
+// Package metrics counts the requests, attempts and other events of a router and makes the
 // snapshot that operators read. Counting takes no lock.
 package metrics
 
@@ -13,8 +13,8 @@
 
 // The results of a request.
 const (
-	Completed Result = iota // answered with a value or a receipt
-	Rejected                // refused: the client may send it again
+	Completed Result = iota // answered with a value, or with the confirmation of a write
+	Rejected                // rejected: the client may retry
 	Failed                  // answered with an error
 	resultCount
 )
@@ -22,12 +22,12 @@
 // Counters counts the requests and attempts of one process from its start. Classes are given by
 // their index in the settings. It is safe for concurrent use.
 type Counters struct {
-	classes  []string
-	finished [][resultCount]atomic.Int64 // by class
-	late     []atomic.Int64              // of those completed, by class
-	pending  atomic.Int64
-	upstream atomic.Int64
-	looks    atomic.Int64 // made again
+	classes        []string
+	finished       [][resultCount]atomic.Int64 // by class
+	late           []atomic.Int64              // completed after the target latency, by class
+	pending        atomic.Int64
+	upstream       atomic.Int64
+	repeatedChecks atomic.Int64 // final checks of attempts that were repeated
 }
 
 // New returns Counters for the classes with these names.
@@ -51,11 +51,11 @@
 // Late counts a request that was completed after the target latency of its class.
 func (c *Counters) Late(class int) { c.late[class].Add(1) }
 
-// AttemptSent counts an attempt that was written whole to a cache server or the origin.
+// AttemptSent counts an attempt that was written completely to a cache server or the origin.
 func (c *Counters) AttemptSent() { c.upstream.Add(1) }
 
-// LookedAgain counts a last look at an attempt that had to be made again, since the process stood still after it.
-func (c *Counters) LookedAgain() { c.looks.Add(1) }
+// LookedAgain counts a final check of an attempt that had to be repeated because the process was paused after it.
+func (c *Counters) LookedAgain() { c.repeatedChecks.Add(1) }
 
 // AcceptedTotal returns the number of requests accepted since the start, pending ones included.
 func (c *Counters) AcceptedTotal() int64 {
@@ -79,12 +79,12 @@
 type Snapshot struct {
 	Downstream  map[string]Downstream `json:"downstream_requests"`     // by class
 	Late        map[string]int64      `json:"late_requests,omitempty"` // by class: completed after the target latency
-	Upstream    int64                 `json:"upstream_requests"`       // attempts sent
-	LooksAgain  int64                 `json:"looks_again,omitempty"`   // last looks at attempts that were made again
-	Pending     int64                 `json:"pending"`
+	Upstream    int64                 `json:"upstream_requests"`       // attempts sent to cache servers and the origin
+	LooksAgain  int64                 `json:"looks_again,omitempty"`   // final checks of attempts that were repeated
+	Pending     int64                 `json:"pending"`                 // requests accepted and not finished
 	Members     int                   `json:"members"`
 	Unavailable int                   `json:"members_unavailable"`
-	Reports     *loadreport.Summary   `json:"load_reports,omitempty"` // of the cache servers
+	Reports     *loadreport.Summary   `json:"load_reports,omitempty"` // load reports of the cache servers
 }
 
 // Snapshot returns the counters as they are now. The caller fills in what it knows of the fleet:
@@ -93,7 +93,7 @@
 	s := Snapshot{
 		Downstream: make(map[string]Downstream, len(c.classes)),
 		Upstream:   c.upstream.Load(),
-		LooksAgain: c.looks.Load(),
+		LooksAgain: c.repeatedChecks.Load(),
 		Pending:    c.pending.Load(),
 	}
 	for class, name := range c.classes {
