--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,7 +1,7 @@
 // Package admin serves the operators' interface: HTTP/1.1 on an address of its own, one call for each connection. It
 // shares neither limits nor locks with the client side, so that it answers however busy that side is.
 //
-// It makes no decisions: the caller of Serve sets what the call of each path does.
+// It makes no decisions: Server.Calls defines what the call of each path does.
 package admin
 
 import (
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -209,7 +209,7 @@
 }
 
 // releaseRoute forgets a request that passed its route's gate but not the shared one, and gives its
-// place at the route's gate to the next request in the queue.
+// slot at the route's gate to the next request in the queue.
 func (c *Controller) releaseRoute(now time.Duration, id uint64, others []Decision) []Decision {
 	req := c.requests[id]
 	delete(c.requests, id)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -59,7 +59,7 @@
 }
 
 // A request of high priority sheds a queued one of the lowest priority. A request that is shed from the shared queue frees its
-// place at its route's limit.
+// slot at its route's limit.
 func TestPriorities(t *testing.T) {
 	c := New(load(t, "limits {\n\tconcurrency 1\n\tqueue 1 for 50ms\n}\npolicy low {\n\tconcurrency 2\n}\npolicy high {\n\tpriority 9\n}\n"+
 		"route view {\n\tclass view\n\tpolicy low\n}\nroute book {\n\tclass book\n\tpolicy high\n}\n"))
@@ -77,7 +77,7 @@
 		t.Fatalf("%+v, %+v", decision, others)
 	}
 	if decision, _ := c.Admit(0, 5, view); decision.Limit != sharedConcurrencyName {
-		t.Errorf("the shed request still has its place at the route's limit: %+v", decision)
+		t.Errorf("the shed request still has its slot at the route's limit: %+v", decision)
 	}
 	if others := c.Finish(0, 1, limit.Well); len(others) != 1 || others[0].RequestID != 4 {
 		t.Errorf("%+v", others)
--- a/internal/front/conntable.go
+++ b/internal/front/conntable.go
@@ -103,20 +103,20 @@
 }
 
 // surplusConn returns the connection to end if clients hold too many, else nil. If the connections that have sent a command
-// are more than maxAsked, it returns the longest idle one. If the connections that have sent at least a part of a command
-// are more than maxBegun, it returns the longest idle one as well, or else the one whose command has been incomplete longest.
+// are more than maxUsed, it returns the longest idle one. If the connections that have sent at least a part of a command
+// are more than maxStarted, it returns the longest idle one as well, or else the one whose command has been incomplete longest.
 // A limit of 0 means no limit.
-func (t *connTable) surplusConn(maxAsked, maxBegun int) *conn {
+func (t *connTable) surplusConn(maxUsed, maxStarted int) *conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	asked := t.lists[busy].Len() + t.lists[idle].Len()
-	begun := asked + t.lists[midCommand].Len()
-	if maxAsked > 0 && asked > maxAsked || maxBegun > 0 && begun > maxBegun {
+	used := t.lists[busy].Len() + t.lists[idle].Len()
+	started := used + t.lists[midCommand].Len()
+	if maxUsed > 0 && used > maxUsed || maxStarted > 0 && started > maxStarted {
 		if c := t.oldest(idle, time.Now(), 0); c != nil {
 			return c
 		}
 	}
-	if maxBegun > 0 && begun > maxBegun {
+	if maxStarted > 0 && started > maxStarted {
 		return t.oldest(midCommand, time.Now(), 0)
 	}
 	return nil
@@ -145,7 +145,8 @@
 }
 
 // endSurplusConn ends a connection if clients hold too many. The clients together hold a limited number of connections at
-// once. Clients that send one command and keep the connection, or that send a command slowly, would leave the others none.
+// once. Clients that send one command and keep the connection, or that send a command slowly, would leave no connection to
+// the other clients.
 func (f *Front) endSurplusConn() {
 	if c := f.conns.surplusConn(f.MostKept, f.MostHeld); c != nil {
 		c.endIfIdle(0, CloseEvicted)
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -21,7 +21,7 @@
 )
 
 // Gate bounds how many requests are in flight at once, over all priorities. It reserves
-// as many places for the higher priorities as those have recently had in flight, so that
+// as many slots for the higher priorities as those have recently had in flight, so that
 // requests of low priority don't take the capacity that those of high priority need.
 // Requests may wait in a queue, the highest priority first. If the queue is full and a
 // request of higher priority than the lowest in the queue arrives, the newest request of
@@ -61,7 +61,7 @@
 	for p := priority + 1; p < Priorities; p++ {
 		reserved, higherInFlight = reserved+math.Ceil(g.peak[p]), higherInFlight+g.inFlight[p]
 	}
-	// Places that higher priorities already use are not reserved a second time. One place is never reserved, so that the lowest
+	// Slots that higher priorities already use are not reserved a second time. One slot is never reserved, so that the lowest
 	// priority is served at all.
 	return float64(g.total-higherInFlight) < max(1, limit-max(float64(higherInFlight), reserved))
 }
@@ -89,8 +89,8 @@
 	g.peak[priority] = max(g.peak[priority], float64(g.inFlight[priority]))
 }
 
-// Acquire asks for a place for a request. If verdict is Wait, shed is the id of the request
-// that was removed from the queue to make room, or 0 if none was. The caller chooses the
+// Acquire asks for a slot for a request. If verdict is Wait, shed is the id of the request
+// that was removed from the full queue for it, or 0 if none was. The caller chooses the
 // ids, from 1. A rejected request should be retried after about RetryAfter.
 func (g *Gate) Acquire(now time.Duration, id uint64, priority int) (verdict Verdict, shed uint64) {
 	priority = max(0, min(Priorities-1, priority))
@@ -100,7 +100,7 @@
 		g.admit(priority)
 		return Go, 0
 	}
-	// No request of a higher priority gives way to this one. The peak counts this request as if it were in flight.
+	// Requests of lower priority must leave a slot for this one, so the peak counts it as if it were in flight.
 	g.peak[priority] = max(g.peak[priority], float64(g.inFlight[priority]+1))
 	g.MarkSaturated()
 	if g.MaxQueue == 0 {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -8,7 +8,7 @@
 	"hoptiller/internal/loadreport"
 )
 
-// Result is how a request ended.
+// Result says how a request ended.
 type Result uint8
 
 // The results of a request.
@@ -77,24 +77,24 @@
 
 // Snapshot is what operators read. The JSON names are part of the operators' interface.
 type Snapshot struct {
-	Downstream  map[string]Downstream `json:"downstream_requests"`     // by class
-	Late        map[string]int64      `json:"late_requests,omitempty"` // by class: completed after the target latency
-	Upstream    int64                 `json:"upstream_requests"`       // attempts sent to cache servers and the origin
-	LooksAgain  int64                 `json:"looks_again,omitempty"`   // final checks of attempts that were repeated
-	Pending     int64                 `json:"pending"`                 // requests accepted and not finished
-	Members     int                   `json:"members"`
-	Unavailable int                   `json:"members_unavailable"`
-	Reports     *loadreport.Summary   `json:"load_reports,omitempty"` // load reports of the cache servers
+	Downstream     map[string]Downstream `json:"downstream_requests"`     // by class
+	Late           map[string]int64      `json:"late_requests,omitempty"` // by class: completed after the target latency
+	Upstream       int64                 `json:"upstream_requests"`       // attempts sent to cache servers and the origin
+	RepeatedChecks int64                 `json:"looks_again,omitempty"`   // final checks of attempts that were repeated
+	Pending        int64                 `json:"pending"`                 // requests accepted and not finished
+	Members        int                   `json:"members"`
+	Unavailable    int                   `json:"members_unavailable"`
+	Reports        *loadreport.Summary   `json:"load_reports,omitempty"` // load reports of the cache servers
 }
 
 // Snapshot returns the counters as they are now. The caller fills in what it knows of the fleet:
 // Members, Unavailable and Reports.
 func (c *Counters) Snapshot() Snapshot {
 	s := Snapshot{
-		Downstream: make(map[string]Downstream, len(c.classes)),
-		Upstream:   c.upstream.Load(),
-		LooksAgain: c.repeatedChecks.Load(),
-		Pending:    c.pending.Load(),
+		Downstream:     make(map[string]Downstream, len(c.classes)),
+		Upstream:       c.upstream.Load(),
+		RepeatedChecks: c.repeatedChecks.Load(),
+		Pending:        c.pending.Load(),
 	}
 	for class, name := range c.classes {
 		finished := &c.finished[class]
