--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -159,7 +159,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &Front{MostConns: 4, MostOpen: 4, Keep: time.Hour, Server: hold, Classes: []string{"read"}, Deadlines: []time.Duration{time.Second}}
+	f := &Front{MostConns: 4, MostOpen: 4, Keep: time.Hour, Server: hold,
+		Classes: []string{"read"}, Deadlines: []time.Duration{time.Second}}
 	f.Life, f.Counts = lifecycle.New(), metrics.New(f.Classes)
 	done := make(chan error, 1)
 	go func() { done <- f.Serve(context.Background(), l) }()
--- a/internal/loadreport/table.go
+++ b/internal/loadreport/table.go
@@ -68,7 +68,8 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := &Summary{Accepted: t.accepted, Dropped: t.dropped, Servers: len(t.latest), Mean: map[string]float64{}, Max: map[string]float64{}}
+	s := &Summary{Accepted: t.accepted, Dropped: t.dropped, Servers: len(t.latest),
+		Mean: map[string]float64{}, Max: map[string]float64{}}
 	for i, name := range t.names {
 		sum, n := 0.0, 0
 		for _, figures := range t.latest {
