--- a/api.go
+++ b/api.go
@@ -1,30 +1,28 @@
 // Package hoptiller decides, for a router in front of a fleet of cache servers,
 // which server gets a request, when to try another one, and when to give up.
 //
-// A Router holds the decisions of one balancer instance. The embedding proxy
-// reports what happens (list changes, requests, outcomes, timers) by calling
-// the Router's methods and carries out what the Router asks for through the
-// Actions interface. A Router never reads a clock, never sleeps, starts no
-// goroutines and shares nothing: the same events give the same actions.
-// It is not safe for concurrent use; give each instance one goroutine or lock.
+// A Router makes the decisions of one router instance. The embedding proxy reports events (changes of the server list, requests,
+// outcomes, timers) by calling the Router's methods, and carries out the Router's decisions through the Actions interface. A
+// Router never reads a clock, never sleeps, starts no goroutines and shares no state: the same events give the same actions. It
+// is not safe for concurrent use; give each instance its own goroutine or lock.
 package hoptiller
 
 import "time"
 
-// Effect says what repeating a request of a class may do.
+// Effect is what a repetition of a request of a class can do.
 type Effect uint8
 
-// The three kinds of effect.
+// Values of Effect.
 const (
 	Idempotent   Effect = iota // may be repeated freely
-	Deduplicated               // servers of one group drop repeats for a while
+	Deduplicated               // the servers of one group drop repetitions for a while
 	AtMostOnce                 // must never run twice
 )
 
-// Group names the servers that drop repeats of a Deduplicated request.
+// Group is the set of servers that together drop repetitions of a Deduplicated request.
 type Group uint8
 
-// The groups that may share their knowledge of repeats.
+// Values of Group.
 const (
 	GroupAll Group = iota
 	GroupZone
@@ -33,69 +31,68 @@
 
 // Class describes one class of request.
 type Class struct {
-	Aim       time.Duration // an answer within this earns the full worth
-	Deadline  time.Duration // the client's whole patience
-	Worth     float64
-	LateValue float64 // part of the worth that a late answer still earns
+	Aim       time.Duration // an answer within this time earns the full worth
+	Deadline  time.Duration // how long the client waits at most
+	Worth     float64       // value of an answer within the aim
+	LateValue float64       // fraction of the worth that a later answer still earns
 	Effect    Effect
 	Group     Group
-	KeyTTL    time.Duration // how long repeats are dropped
-	Stream    bool
+	KeyTTL    time.Duration // how long the servers drop repetitions
+	Stream    bool          // the answer is streamed
 }
 
-// Tenant is one customer and its allowance over all balancers.
+// Tenant is a customer with its allowance over all routers.
 type Tenant struct {
 	Allowance float64 // requests per second
 }
 
-// Settings is what an instance is told when it starts. Zero values mean
-// "not stated" and are legal everywhere.
+// Settings configures a Router. A zero value means "not stated" and is legal for every field.
 type Settings struct {
-	Self, Balancers int
-	Places          int // connections that each core of a server accepts, as its operator states; 0: not stated
-	Zone            int
+	Self, Balancers int // number of this router, and how many routers there are
+	Places          int // connections that a server accepts for each of its cores, as stated by the operator; 0: not stated
+	Zone            int // zone of this router
 	Classes         []Class
 	Tenants         []Tenant
-	OverShareWorth  float64
-	TailPart        float64 // part of the goal that counts late answers against the timely ones
+	OverShareWorth  float64 // worth of requests over their tenant's share
+	TailPart        float64 // weight of late answers, relative to those in time, in the score; if set, no request outlives its aim
 
-	Aside      bool // misses are the router's to fetch from the origin
-	OriginKind int  // machine kind of the origin in the list; -1 for none
-	Ordered    bool // one connection answers in order
+	Aside      bool // the router, not the cache server, fetches from the origin after a miss
+	OriginKind int  // machine kind of the origin in the list; -1: there is no origin
+	Ordered    bool // a connection answers its requests in order
 
-	ListOnRequest     bool // the list comes only when asked for
-	AskWithin         time.Duration
-	StopSendingWithin time.Duration
-	AnswerGrace       time.Duration
+	ListOnRequest     bool          // the list comes only on request
+	AskWithin         time.Duration // how soon the list must be requested after the start or a failure
+	StopSendingWithin time.Duration // how long after a listed drain or removal requests may still be sent
+	AnswerGrace       time.Duration // how long after the deadline an answer may still come
 
-	ColdFrom       float64       // part of its capacity a server starts with
-	Cold           time.Duration // and is warm after this at the latest
-	OverloadFactor float64       // what a cold server bears, in multiples
-	Fall           time.Duration // for how long
+	ColdFrom       float64       // fraction of its capacity that a server has at its start
+	Cold           time.Duration // after this time at the latest a server is warm
+	OverloadFactor float64       // a cold server sustains this many times its capacity
+	Fall           time.Duration // summed over any time of this length; more makes it collapse
 
-	// Attempts beyond each request's first, as far as they count, stay within BudgetFree plus
-	// BudgetRatio for each request taken, over any BudgetWindow. A window of 0 states no budget.
+	// Attempts after a request's first that count against the budget are limited to BudgetFree plus BudgetRatio for each request
+	// received, over any BudgetWindow. There is no budget if BudgetWindow is 0.
 	BudgetFree, BudgetRatio float64
 	BudgetWindow            time.Duration
-	RemovalNotBinding       bool // only a listed drain forbids sending, not absence from the list
-
-	MaxAttempts   int
-	SecondCopies  bool
-	MayCancel     bool
-	RetryAfter    bool
-	MaxRetryAfter time.Duration
-	ConnTimeout   time.Duration
-	Tick          time.Duration // least time between rounds of events
+	RemovalNotBinding       bool // only a listed drain forbids sending; absence from the list does not
+
+	MaxAttempts   int           // attempts for each request, including the first
+	SecondCopies  bool          // two attempts of a request may be in flight at once
+	MayCancel     bool          // attempts can be cancelled
+	RetryAfter    bool          // clients can be told when to retry
+	MaxRetryAfter time.Duration // longest wait before a retry that clients follow
+	ConnTimeout   time.Duration // time-out for opening a connection
+	Tick          time.Duration // shortest time between rounds of events
 }
 
-// Phase is where a server stands in its life.
+// Phase is the state of a server in its life cycle.
 type Phase uint8
 
-// The phases as the list tells them.
+// Values of Phase, as the list states them.
 const (
-	Gone Phase = iota
-	Draining
-	Ready
+	Gone     Phase = iota // is removed
+	Draining              // gets nothing new
+	Ready                 // accepts requests
 )
 
 // Server is one entry of the server list.
@@ -105,19 +102,19 @@
 	Kind    int
 	Cell    int
 	Phase   Phase
-	Weight  float64       // the rating; 0 when not stated
-	Started time.Duration // latest start on the Router's clock; 0: long past
+	Weight  float64       // relative capacity; 0: not stated
+	Started time.Duration // latest start of the process, on the Router's clock; 0: long ago
 }
 
-// ListKind says how a list event is to be read.
+// ListKind is the kind of a list event.
 type ListKind uint8
 
-// The kinds of list event.
+// Values of ListKind.
 const (
-	ListDelta  ListKind = iota // altered entries only
-	ListFull                   // all there is
-	ListCached                 // all there was when it was last held
-	ListFailed                 // a call failed or a subscription broke
+	ListDelta  ListKind = iota // only the entries that changed
+	ListFull                   // all entries
+	ListCached                 // all entries of an earlier list, which may be old
+	ListFailed                 // a call for the list failed or a watch broke
 )
 
 // Request is one client request.
@@ -125,81 +122,79 @@
 	ID        uint32
 	Class     int
 	Tenant    int
-	Key       uint64 // 0: none
+	Key       uint64 // hash of the key; 0: no key
 	Write     bool
-	Retry     bool          // the client's own further try, where clients mark it
-	Remaining time.Duration // until the client gives up
-	Narrow    Narrowing     // what its operator forbids it; nil: nothing
+	Retry     bool          // the client marks this request as its own retry
+	Remaining time.Duration // until the client stops waiting
+	Narrow    Narrowing     // what the operator forbids for this request; nil: nothing
 }
 
-// Narrowing takes from what a Router may do for a request. It can add nothing: what
-// the Router would not do it does not do with one either. The methods are called
-// within the Router's own.
+// Narrowing is the set of constraints that an operator puts on a request. They can only forbid: a Router never does anything
+// because of them that it would not do without them. Its methods are called from within the Router's own.
 type Narrowing interface {
-	// Allows tells whether a server may get the request. The origin is not asked for.
+	// Allows reports whether a server may get the request. It is not called for the origin.
 	Allows(server uint32) bool
-	// Timeout is how long one attempt may take at the most.
+	// Timeout returns the longest time that one attempt may take.
 	Timeout() time.Duration
-	// Repeats tells whether there may be another attempt after some, fetches after
-	// a miss not counted, of which the last ended with a status.
+	// Repeats reports whether another attempt may follow. The arguments are the number of attempts so far, without fetches after
+	// a miss, and the status of the last attempt.
 	Repeats(attempts int, last Status) bool
-	// Spend takes a repeat that is about to be made out of a budget, and tells
-	// whether it had one.
+	// Spend takes one retry that is about to be made out of a budget. It reports whether the budget allowed it.
 	Spend(now time.Duration) bool
-	// Copies tells whether two attempts may be out at once.
+	// Copies reports whether two attempts may be in flight at once.
 	Copies() bool
 }
 
 // Status is how an attempt ended.
 type Status uint8
 
-// The ways an attempt can end.
+// Values of Status.
 const (
 	OK            Status = iota
 	ServerError          // may have run
-	Full                 // turned away unseen
+	Full                 // the server refused it without running it
 	Timeout              // may have run, may still be running
 	ConnectFailed        // never reached the server
-	Reset                // may have run
-	Cancelled            // may have run
-	Moot                 // never sent
-	Miss                 // not held there
+	Reset                // the connection was reset; may have run
+	Cancelled            // this router or the client ended it; may have run
+	Moot                 // was never sent
+	Miss                 // the server does not hold the key
 )
 
-// Outcome is the end of one attempt.
+// Outcome reports the end of one attempt.
 type Outcome struct {
 	Request uint32
 	Attempt int
 	Server  uint32
 	Status  Status
 	Latency time.Duration
-	Closed  bool // the request is closed; nothing is owed for it
+	Closed  bool // the request is closed and needs no further answer
 }
 
-// Actions is what a Router can ask of the proxy that embeds it.
+// Actions is what a Router requests from the proxy that embeds it.
 type Actions interface {
-	// Send starts the next attempt of a request. Attempts count from 0.
+	// Send starts the next attempt of a request. Attempts are numbered from 0.
 	Send(request, server uint32, timeout time.Duration)
 	// Cancel stops waiting for an attempt.
 	Cancel(request uint32, attempt int)
 	// CloseIdle closes the proxy's idle connections to a server.
 	CloseIdle(server uint32)
-	// Refuse ends a request; trying again is harmless.
+	// Refuse ends a request and tells the client that repeating it is harmless.
 	Refuse(request uint32, retryAfter time.Duration)
-	// Fail ends a request and promises nothing.
+	// Fail ends a request without saying whether it has run.
 	Fail(request uint32)
-	// SetTimer asks for a call of Router.Timer with this token.
+	// SetTimer requests a call of Router.Timer with this token after a delay.
 	SetTimer(token uint64, delay time.Duration)
-	// FetchList asks once for the whole server list.
+	// FetchList requests the complete server list once.
 	FetchList()
-	// Watch subscribes to changes of the server list, or ends that.
+	// Watch starts or ends a watch of the server list.
 	Watch(on bool)
-	// Log writes a line for on-call staff.
+	// Log writes a line for the operators on call.
 	Log(text string)
 }
 
-// Events is the other half of the interface: what a proxy reports. *Router
-// implements it; now is the proxy's clock, which never goes back.
+// Events is what a proxy reports to a Router. *Router implements it. The argument now is the time on the proxy's clock, which
+// never goes back.
 type Events interface {
 	List(now time.Duration, kind ListKind, servers []Server)
 	Request(now time.Duration, q Request)
--- a/bench_test.go
+++ b/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkPick measures a pick and the report of its answer, by the size of the fleet.
+// BenchmarkPick measures Pick followed by Report of an answer, by number of servers.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 200, 1000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/ci_test.go
+++ b/ci_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// CI leaves out the tests that KNOWN-RED.txt names, and nothing else: it tells them, and refuses more than three, one that is not
-// there, one whose name others have too, one without the command that shows it, its seed, what was seen and an open issue, and what
-// it can't read.
+// CI passes over exactly the tests that KNOWN-RED.txt names, and prints them. It rejects a list of more than three tests, a test
+// that does not exist, a test whose name occurs more than once, an entry without its command, its seed, what was seen or an open
+// issue, and lines that it can't parse.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs(".ci/known-red")
 	if err != nil {
@@ -70,7 +70,7 @@
 		cmd.Stderr = &said
 		flag, err := cmd.Output()
 		if bad := c.flag == "" && c.says != ""; string(flag) != c.flag || (err != nil) != bad || !strings.Contains(said.String(), c.says) {
-			t.Errorf("%s: gives %q, says %q, %v", name, flag, said.String(), err)
+			t.Errorf("%s: output %q, error output %q, error %v", name, flag, said.String(), err)
 		}
 	}
 }
--- a/cold_news_test.go
+++ b/cold_late_listing_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// A server that comes back cold is called as a warm one until its start is told. What was sent to it by then is in the window of what it
-// stands, so nothing more goes to it until that has left the window.
-func TestNewsOfAStartCountsWhatWasSentBefore(t *testing.T) {
+// Guards against overloading a restarted server whose start is listed late. Until then it gets as much as a warm one, and those
+// requests count within the window over which its limit is taken: nothing more is sent to it until they have left the window.
+func TestListedStartCountsEarlierRequests(t *testing.T) {
 	const (
-		servers = 10
-		rate    = 300 // requests a second of this router
-		back    = 2   // the server that comes back
-		late    = time.Second
-		every   = time.Second / rate
+		servers      = 10
+		rate         = 300 // requests per second at this router
+		restarted    = 2   // the server that restarts
+		listingDelay = time.Second
+		interval     = time.Second / rate
 	)
 	set := testSettings()
 	set.OverloadFactor, set.Fall, set.Cold, set.Balancers = 2.5, 1500*time.Millisecond, 18*time.Second, 1
@@ -27,15 +27,15 @@
 		list := fleet(weights...)
 		r.List(time.Second, ListFull, list)
 		now, id := time.Second, uint32(0)
-		var sentTo []time.Duration // when the server that comes back was sent something
+		var sentTo []time.Duration // when the restarted server was sent a request
 		serve := func(until time.Duration) {
-			for ; now < until; now += every {
+			for ; now < until; now += interval {
 				id++
 				p.sends = p.sends[:0]
-				r.Timer(now, tokSweep)
+				r.Timer(now, tokenSweep)
 				r.Request(now, Request{ID: id, Key: mix(uint64(id)^seed) | 1, Remaining: time.Second})
 				for n, s := range p.sends {
-					if s.server == back {
+					if s.server == restarted {
 						sentTo = append(sentTo, now)
 					}
 					r.Outcome(now, Outcome{Request: id, Attempt: n, Server: s.server, Status: OK, Latency: 5 * time.Millisecond, Closed: true})
@@ -43,13 +43,13 @@
 			}
 		}
 		started := 10 * time.Second
-		serve(started + late)
-		told := now
-		r.List(now, ListDelta, []Server{{ID: back, Phase: Ready, Weight: 1, Started: started}})
-		serve(told + set.Fall)
+		serve(started + listingDelay)
+		listedAt := now
+		r.List(now, ListDelta, []Server{{ID: restarted, Phase: Ready, Weight: 1, Started: started}})
+		serve(listedAt + set.Fall)
 		const share = rate / servers
 		for i, at := range sentTo {
-			if at < told {
+			if at < listedAt {
 				continue
 			}
 			window := 0
@@ -59,8 +59,8 @@
 				}
 			}
 			warmth := set.ColdFrom + (1-set.ColdFrom)*float64(at-started)/float64(set.Cold)
-			if part := 1.5 * warmth * share * set.Fall.Seconds(); float64(window) > part {
-				t.Fatalf("seed %d: %v after the news it is sent one more after %d in the window, %.1f are its part", seed, at-told, window, part)
+			if limit := 1.5 * warmth * share * set.Fall.Seconds(); float64(window) > limit {
+				t.Fatalf("seed %d: %v after its start was listed it gets one more request after %d in the window, want at most %.1f", seed, at-listedAt, window, limit)
 			}
 		}
 	}
--- a/cold_sum_test.go
+++ b/cold_sum_test.go
@@ -10,91 +10,92 @@
 	"time"
 )
 
-// coldDay is one start of a cold server as a fleet of routers meets it.
-type coldDay struct {
-	routers    int
-	configured int           // the number of routers that the settings tell
-	skew       float64       // of the load over the routers: the nth has a part of n^-skew
-	apart      time.Duration // within which the routers are told of the start, each at a time of its own
-	late       time.Duration // later than all others one is told; 0: none
-	cold       time.Duration // until it is warm
-	coldFrom   float64
-	hot        float64 // part of the requests that are for one key, which is at home on the new server
-	down       int     // warm servers that vanish at the start, whose keys come to the others
+// coldStart is one start of a cold server in a fleet of routers.
+type coldStart struct {
+	routers           int
+	configuredRouters int           // number of routers in the settings
+	skew              float64       // of the load over the routers: router n gets a share proportional to n^-skew
+	listedWithin      time.Duration // time within which the routers receive the start, each at its own time
+	oneLaterBy        time.Duration // one router receives it later by this time; 0: none does
+	warmUp            time.Duration // length of the warm-up
+	coldFrom          float64
+	hotFraction       float64 // fraction of the requests that are for one key, whose home is the new server
+	vanished          int     // warm servers that vanish at the start; their keys go to the others
 }
 
 const (
-	coldRate    = 600.0 // requests a second of all routers
-	coldServers = 10    // warm ones beside the new
+	coldRate    = 600.0 // requests per second of all routers
+	coldServers = 10    // warm servers besides the new one
 )
 
-// carrier is a warm server that turns away what is beyond its rate, a little over its part of the load.
-type carrier struct {
-	level float64
-	at    time.Duration
+// limitedServer is a warm server that refuses what exceeds its rate, which is a little over its share of the load.
+type limitedServer struct {
+	tokens    float64
+	updatedAt time.Duration
 }
 
 const coldBurst = 20
 
-func (c *carrier) take(now time.Duration) bool {
-	c.level = math.Min(coldBurst, c.level+(now-c.at).Seconds()*1.1*coldRate/coldServers)
-	if c.at = now; c.level < 1 {
+func (c *limitedServer) accepts(now time.Duration) bool {
+	c.tokens = math.Min(coldBurst, c.tokens+(now-c.updatedAt).Seconds()*1.1*coldRate/coldServers)
+	if c.updatedAt = now; c.tokens < 1 {
 		return false
 	}
-	c.level--
+	c.tokens--
 	return true
 }
 
-// drawColdDay draws a day.
-func drawColdDay(rng *rand.Rand) coldDay {
-	pick := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
-	d := coldDay{
-		routers: int(pick(1, 5, 20, 30, 300)), skew: pick(0, 0, 0.5, 1), apart: time.Duration(pick(0, 0, 0.5, 3) * 1e9),
-		cold: time.Duration(pick(12, 24) * 1e9), coldFrom: pick(0.12, 0.2, 0.34), down: int(pick(0, 0, 3, 9)), hot: pick(0, 0, 0.1, 0.4),
+// drawColdStart draws a random coldStart.
+func drawColdStart(rng *rand.Rand) coldStart {
+	pick := func(values ...float64) float64 { return values[rng.IntN(len(values))] }
+	d := coldStart{
+		routers: int(pick(1, 5, 20, 30, 300)), skew: pick(0, 0, 0.5, 1), listedWithin: time.Duration(pick(0, 0, 0.5, 3) * 1e9),
+		warmUp: time.Duration(pick(12, 24) * 1e9), coldFrom: pick(0.12, 0.2, 0.34), vanished: int(pick(0, 0, 3, 9)), hotFraction: pick(0, 0, 0.1, 0.4),
 	}
-	d.configured = max(1, int(float64(d.routers)*pick(1, 1, 1, 0.5, 2)))
+	d.configuredRouters = max(1, int(float64(d.routers)*pick(1, 1, 1, 0.5, 2)))
 	if d.routers > 1 {
-		d.late = time.Duration(pick(0, 0, 4) * 1e9)
+		d.oneLaterBy = time.Duration(pick(0, 0, 4) * 1e9)
 	}
 	return d
 }
 
-// excess plays a day. It tells by how much the sum that a new server gets in any window goes beyond N + 2, in parts of the root of N,
-// of which it stands 2; N is what the settings allow it in that window. Its full capacity is what each
-// warm server carries: it stands no less.
-func (d coldDay) excess(seed uint64) (worst float64, sum, allowed int) {
+// excess simulates the cold start. N is what the settings allow the new server in a window; its full capacity is what each warm
+// server handles, which it can handle at least. The result worst is the largest excess of the requests in any window over N + 2,
+// in units of the square root of N, of which 2 are tolerated. With it come the number of requests in that window and the number
+// that is tolerated.
+func (d coldStart) excess(seed uint64) (worst float64, sum, allowed int) {
 	worst = math.Inf(-1)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings()
-	set.OverloadFactor, set.Fall, set.Cold, set.ColdFrom = 2.5, 1500*time.Millisecond, d.cold, d.coldFrom
-	set.Balancers = d.configured
+	set.OverloadFactor, set.Fall, set.Cold, set.ColdFrom = 2.5, 1500*time.Millisecond, d.warmUp, d.coldFrom
+	set.Balancers = d.configuredRouters
 	list := make([]Server, coldServers)
 	for i := range list {
 		list[i] = Server{ID: uint32(i + 1), Phase: Ready, Weight: 1}
 	}
-	routers, out := make([]*Router, d.routers), make([]*recorder, d.routers)
-	parts := make([]float64, d.routers) // sums of the load's parts
+	routers, recorders := make([]*Router, d.routers), make([]*recorder, d.routers)
+	loadShares := make([]float64, d.routers) // cumulative shares of the load
 	for i := range routers {
-		out[i] = newRecorder()
+		recorders[i] = newRecorder()
 		set.Self = i
-		routers[i] = New(time.Second, set, seed*1000+uint64(i), out[i])
+		routers[i] = New(time.Second, set, seed*1000+uint64(i), recorders[i])
 		routers[i].List(time.Second, ListFull, list)
-		parts[i] = math.Pow(float64(i+1), -d.skew)
+		loadShares[i] = math.Pow(float64(i+1), -d.skew)
 		if i > 0 {
-			parts[i] += parts[i-1]
+			loadShares[i] += loadShares[i-1]
 		}
 	}
 	const warm, length = 8 * time.Second, 6 * time.Second
 	started := time.Second + warm
-	told := make([]time.Duration, d.routers)
-	for i := range told {
-		told[i] = started + time.Duration(rng.Float64()*float64(d.apart))
+	listedAt := make([]time.Duration, d.routers)
+	for i := range listedAt {
+		listedAt[i] = started + time.Duration(rng.Float64()*float64(d.listedWithin))
 	}
-	if d.late > 0 {
-		told[rng.IntN(len(told))] += d.late
+	if d.oneLaterBy > 0 {
+		listedAt[rng.IntN(len(listedAt))] += d.oneLaterBy
 	}
 	newcomer := []Server{{ID: 99, Phase: Ready, Weight: 1, Started: started}}
-	for i := range d.down {
+	for i := range d.vanished {
 		newcomer = append(newcomer, Server{ID: uint32(i + 1)})
 	}
 	hot := uint64(10000)
@@ -107,45 +108,45 @@
 			}
 		}
 	}
-	carries := map[uint32]*carrier{}
+	warmServers := map[uint32]*limitedServer{}
 	for _, s := range list {
-		carries[s.ID] = &carrier{level: coldBurst}
+		warmServers[s.ID] = &limitedServer{tokens: coldBurst}
 	}
-	var at []float64 // seconds since the start at which it got one
+	var received []float64 // times at which the new server got a request, in seconds since its start
 	id := uint32(0)
 	for now := time.Second; now < started+length; {
 		now += time.Duration(rng.ExpFloat64() / coldRate * 1e9)
-		i := sort.SearchFloat64s(parts, rng.Float64()*parts[len(parts)-1])
-		r, p := routers[i], out[i]
-		if told[i] > 0 && now >= told[i] {
-			told[i] = 0
+		i := sort.SearchFloat64s(loadShares, rng.Float64()*loadShares[len(loadShares)-1])
+		r, p := routers[i], recorders[i]
+		if listedAt[i] > 0 && now >= listedAt[i] {
+			listedAt[i] = 0
 			r.List(now, ListDelta, newcomer)
 		}
-		r.Timer(now, tokSweep)
+		r.Timer(now, tokenSweep)
 		id++
 		p.sends = p.sends[:0]
 		key := rng.Uint64N(3000) + 1
-		if rng.Float64() < d.hot {
+		if rng.Float64() < d.hotFraction {
 			key = hot
 		}
 		r.Request(now, Request{ID: id, Key: key, Remaining: time.Second})
-		for n := 0; n < len(p.sends); n++ { // each that is turned away may be followed by another
+		for n := 0; n < len(p.sends); n++ { // each refused attempt may be followed by another
 			o := Outcome{Request: id, Attempt: n, Server: p.sends[n].server, Status: OK, Latency: 5 * time.Millisecond, Closed: true}
 			if o.Server == 99 {
-				at = append(at, (now - started).Seconds())
-			} else if !carries[o.Server].take(now) {
+				received = append(received, (now - started).Seconds())
+			} else if !warmServers[o.Server].accepts(now) {
 				o.Status, o.Closed = Full, false
 			}
 			r.Outcome(now, o)
 		}
 	}
 	fall, from := set.Fall.Seconds(), 0
-	for to := range at {
-		for at[to]-at[from] >= fall {
+	for to := range received {
+		for received[to]-received[from] >= fall {
 			from++
 		}
-		mid := math.Max(0, at[to]-fall/2)
-		warmth := d.coldFrom + (1-d.coldFrom)*math.Min(1, mid/d.cold.Seconds())
+		mid := math.Max(0, received[to]-fall/2)
+		warmth := d.coldFrom + (1-d.coldFrom)*math.Min(1, mid/d.warmUp.Seconds())
 		n := set.OverloadFactor * warmth * coldRate / coldServers * fall
 		got := float64(to - from + 1)
 		if x := (got - n - 2) / math.Sqrt(n); x > worst {
@@ -155,28 +156,28 @@
 	return worst, sum, allowed
 }
 
-// However many routers there are, whatever their settings tell of that, however unevenly they are loaded and whenever each is
-// told: the sum of what they send a server that has just started stays, in each window of the settings' length, within what it
-// stands and chance adds. Small fractions of a call for each router add up too.
-func TestColdSum(t *testing.T) {
+// Guards against small fractions of a request at each router that add up. However many routers there are, whatever their settings
+// say about that, however uneven their load is and whenever each receives the start: all of them together send a server that has
+// just started no more, in each window of the settings' length, than it sustains plus what chance adds.
+func TestColdServerTotalLoad(t *testing.T) {
 	const seeds = 1000
 	var mu sync.Mutex
-	worst, least := math.Inf(-1), math.Inf(1)
-	var at string
+	worst, smallest := math.Inf(-1), math.Inf(1)
+	var worstCase string
 	var all sync.WaitGroup
 	next := make(chan uint64)
 	for range 6 {
 		all.Go(func() {
 			for seed := range next {
-				d := drawColdDay(rand.New(rand.NewPCG(seed, 2)))
+				d := drawColdStart(rand.New(rand.NewPCG(seed, 2)))
 				x, sum, allowed := d.excess(seed)
 				mu.Lock()
 				if sum > allowed {
-					t.Errorf("seed %d: %d in a window, %d are stood: %+v", seed, sum, allowed, d)
+					t.Errorf("seed %d: %d in a window, %d are tolerated: %+v", seed, sum, allowed, d)
 				}
-				least = min(least, x)
+				smallest = min(smallest, x)
 				if x > worst {
-					worst, at = x, fmt.Sprintf("seed %d: %d of %d, %+v", seed, sum, allowed, d)
+					worst, worstCase = x, fmt.Sprintf("seed %d: %d of %d, %+v", seed, sum, allowed, d)
 				}
 				mu.Unlock()
 			}
@@ -187,5 +188,5 @@
 	}
 	close(next)
 	all.Wait()
-	t.Logf("worst sum over %d seeds: N + %.2f root of N, %s; least N + %.2f", seeds, worst, at, least)
+	t.Logf("largest excess over %d seeds: N + 2 + %.2f times the root of N, %s; smallest N + 2 + %.2f", seeds, worst, worstCase, smallest)
 }
--- a/defence_test.go
+++ b/defence_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// answer ends the latest attempt of a request.
+// answer ends the latest attempt of a request with a status.
 func answer(r *Router, p *recorder, id uint32, st Status, after time.Duration) {
 	n := -1
 	var to uint32
@@ -18,17 +18,17 @@
 	r.Outcome(r.now, Outcome{Request: id, Attempt: n, Server: to, Status: st, Latency: after, Closed: st == OK})
 }
 
-// A server that fails loses nearly all its keys, and gets them back once it answers. Failures
-// that the client or an own cancel caused do not count.
-func TestFailuresTakeKeys(t *testing.T) {
+// Guards against counting cancelled attempts as failures. A server that fails loses nearly all its keys and gets them back once
+// it answers, but attempts that the client or the router cancelled say nothing about it.
+func TestFailingServerLosesKeys(t *testing.T) {
 	r, p := newRouter(testSettings(), fleet(1, 1, 1))
 	home := r.homeOf(5)
 	for id := uint32(1); id <= 3; id++ {
 		r.Request(r.now, Request{ID: id, Key: 5, Remaining: time.Second})
 		answer(r, p, id, Cancelled, time.Millisecond)
 	}
-	if h := r.health(r.known[home]); h != 1 {
-		t.Fatalf("own cancels left a health of %.2f", h)
+	if h := r.health(r.servers[home]); h != 1 {
+		t.Fatalf("cancelled attempts left a health of %.2f", h)
 	}
 	for id := uint32(11); id <= 50; id++ {
 		r.now += 20 * time.Millisecond
@@ -37,95 +37,96 @@
 			r.Outcome(r.now, Outcome{Request: id, Attempt: 0, Server: home, Status: Reset})
 		}
 		answer(r, p, id, OK, 10*time.Millisecond)
-		r.Timer(r.now, tokSweep)
+		r.Timer(r.now, tokenSweep)
 	}
-	if h := r.health(r.known[home]); h > 0.5 {
+	if h := r.health(r.servers[home]); h > 0.5 {
 		t.Fatalf("with every attempt reset the server's health is %.2f", h)
 	}
-	r.now += 10 * time.Duration(healthFade) * time.Second
-	if h := r.health(r.known[home]); h != 1 {
+	r.now += 10 * time.Duration(healthDecay) * time.Second
+	if h := r.health(r.servers[home]); h != 1 {
 		t.Errorf("long after its failures the health is %.2f", h)
 	}
 }
 
-// If all fails at once the cause is shared: keys keep their homes.
-func TestSharedFailureMovesNothing(t *testing.T) {
+// If all servers fail at once, they share the cause and keys keep their homes.
+func TestSharedFailureMovesNoKeys(t *testing.T) {
 	r, p := newRouter(testSettings(), fleet(1, 1, 1))
 	home := r.homeOf(5)
 	for id := uint32(1); id <= 300; id++ {
 		r.now += 20 * time.Millisecond
 		r.pressure = 0
 		r.Request(r.now, Request{ID: id, Key: uint64(id) * 7919, Remaining: time.Second})
-		for n := 0; n < 3 && r.reqs[id] != nil; n++ {
+		for n := 0; n < 3 && r.requests[id] != nil; n++ {
 			answer(r, p, id, Reset, 10*time.Millisecond)
 		}
-		r.Timer(r.now, tokSweep)
+		r.Timer(r.now, tokenSweep)
 	}
-	least, most := 1.0, 0.0
+	lowest, highest := 1.0, 0.0
 	for _, s := range r.caches {
-		least, most = min(least, r.health(s)), max(most, r.health(s))
+		lowest, highest = min(lowest, r.health(s)), max(highest, r.health(s))
 	}
-	if least < 0.7*most || r.homeOf(5) != home {
-		t.Errorf("failures that all servers share left healths from %.2f to %.2f", least, most)
+	if lowest < 0.7*highest || r.homeOf(5) != home {
+		t.Errorf("failures shared by all servers left health values from %.2f to %.2f", lowest, highest)
 	}
 }
 
-// A server that drops what it gets without a word is found by its silence, and what is out
-// there is withdrawn and goes to the next-best well before the deadline.
-func TestSilenceIsRescued(t *testing.T) {
+// Guards against waiting for a server that drops requests without any answer. The router notices the silence, cancels the attempt
+// there and sends the request to the next-best server well before the deadline.
+func TestAttemptAtSilentServerIsRetried(t *testing.T) {
 	r, p := newRouter(testSettings(), fleet(1, 1, 1))
-	r.usual[0] = 0.03
+	r.usualLatency[0] = 0.03
 	home := r.homeOf(5)
 	r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second})
 	for i := 0; i < 40 && len(p.cancels) == 0; i++ {
-		r.Timer(r.now+sweepTick, tokSweep)
+		r.Timer(r.now+sweepInterval, tokenSweep)
 	}
 	if len(p.cancels) != 1 {
 		t.Fatal("silence was not noticed within 400 ms")
 	}
 	r.Outcome(r.now, Outcome{Request: 1, Attempt: 0, Server: home, Status: Cancelled})
-	if r.health(r.known[home]) == 1 {
+	if r.health(r.servers[home]) == 1 {
 		t.Error("a silent server keeps its full health")
 	}
 	if len(p.sends) != 2 || p.last().server == home {
-		t.Errorf("the withdrawn request did not go to the next-best: %v", p.sends)
+		t.Errorf("the cancelled request did not go to the next-best server: %v", p.sends)
 	}
 }
 
-// Where nothing can be withdrawn and second copies are allowed, work at a silent server gets one, and only one at a time.
-func TestSecondCopyOnlyForSilence(t *testing.T) {
+// If attempts can't be cancelled and hedges are allowed, a request at a silent server gets one hedge, and only if other outcomes
+// show that the server is unhealthy.
+func TestHedgeOnlyAtSilentUnhealthyServer(t *testing.T) {
 	set := testSettings()
 	set.SecondCopies, set.MayCancel = true, false
 	r, p := newRouter(set, fleet(1, 1, 1))
-	r.usual[0] = 0.03
+	r.usualLatency[0] = 0.03
 	r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second})
 	for i := 0; i < 20; i++ {
-		r.Timer(r.now+sweepTick, tokSweep)
+		r.Timer(r.now+sweepInterval, tokenSweep)
 	}
 	for i := 0; i < 20; i++ {
-		r.Timer(r.now+sweepTick, tokSweep)
+		r.Timer(r.now+sweepInterval, tokenSweep)
 	}
 	if len(p.sends) != 1 {
-		t.Fatal("a copy went out though nothing else shows the server sick: the request may be the trouble")
+		t.Fatal("a hedge was sent though nothing else shows that the server is unhealthy: the request may be the cause")
 	}
-	s := r.known[p.last().server]
-	s.seen, s.sick, s.seenAt = 2, 2, r.now
-	r.weigh()
-	r.Timer(r.now+sweepTick, tokSweep)
+	s := r.servers[p.last().server]
+	s.outcomes, s.badOutcomes, s.outcomesAt = 2, 2, r.now
+	r.updateWeights()
+	r.Timer(r.now+sweepInterval, tokenSweep)
 	if len(p.sends) != 2 || len(p.cancels) != 0 {
-		t.Errorf("%d sends and %d cancels at a sick silent server, want a copy and no cancel", len(p.sends), len(p.cancels))
+		t.Errorf("%d sends and %d cancels at an unhealthy silent server, want a hedge and no cancel", len(p.sends), len(p.cancels))
 	}
 }
 
-// A reset that no idle connection explains may be the request's own doing, and each attempt bring down
-// another server: the second is the last attempt, and the refusal tells when to come back. The first is
-// repeated, since connections end for reasons of their own far more often.
-func TestResetIsFinal(t *testing.T) {
+// Guards against a request that crashes one server after another. A reset that no idle connection explains may be caused by the
+// request, so after a second one the request is refused with a time to come back. The first one is retried, since connections far
+// more often end for other reasons.
+func TestSecondResetIsFinal(t *testing.T) {
 	r, p := newRouter(testSettings(), fleet(1, 1, 1))
 	r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second})
 	answer(r, p, 1, Reset, 10*time.Millisecond)
 	if len(p.sends) != 2 || p.refused[1] {
-		t.Errorf("%d sends, refused %v: want the first reset repeated", len(p.sends), p.refused[1])
+		t.Errorf("%d sends, refused %v: want a retry after the first reset", len(p.sends), p.refused[1])
 	}
 	answer(r, p, 1, Reset, 10*time.Millisecond)
 	if len(p.sends) != 2 || !p.refused[1] {
@@ -134,31 +135,31 @@
 	r.Request(r.now, Request{ID: 2, Key: 5, Remaining: time.Second})
 	answer(r, p, 2, ConnectFailed, 10*time.Millisecond)
 	if p.last().request != 2 || len(p.sends) != 4 {
-		t.Error("a request that never ran was not sent on")
+		t.Error("a request that never ran was not retried")
 	}
 }
 
-// now2 makes request ids that differ from one moment to the next.
-func (r *Router) now2() uint32 { return uint32(r.now/time.Millisecond) * 1000 }
+// idBase returns a base for request ids that differs from one time to the next.
+func (r *Router) idBase() uint32 { return uint32(r.now/time.Millisecond) * 1000 }
 
-// A key that makes up much of the reads gets more homes, the same few at all instances, each
-// with its part; other keys keep theirs.
+// A key with a large fraction of the reads gets more homes, the same few at all routers, and each home gets a share. Other keys
+// keep their homes.
 func TestHotKeyGetsMoreHomes(t *testing.T) {
 	list := make([]float64, 20)
 	for i := range list {
 		list[i] = 1
 	}
-	c := newCrowd(60, testSettings(), fleet(list...))
+	group := newRouterGroup(60, testSettings(), fleet(list...))
 	count := map[uint32]int{}
 	for step := 0; step < 6000; step++ {
-		c.now += 5 * time.Millisecond
+		group.now += 5 * time.Millisecond
 		key, i := uint64(step+100), step%60
 		if step/60%10 == 0 { // a tenth of all reads
 			key = 5
 		}
-		id, to := c.request(i, key, 9)
-		c.answer(i, id, to, OK, 10*time.Millisecond)
-		if home := c.routers[i].homeOf(key); key != 5 && to != home {
+		id, to := group.request(i, key, 9)
+		group.answer(i, id, to, OK, 10*time.Millisecond)
+		if home := group.routers[i].homeOf(key); key != 5 && to != home {
 			t.Fatalf("key %d went to %d, its home is %d", key, to, home)
 		} else if key == 5 && step > 3000 {
 			count[to]++
@@ -174,24 +175,24 @@
 	}
 }
 
-// Keys of a server that is bad far beyond its peers pass on, from the first outcomes where an
-// instance sees few of them; what all servers share moves none, and all of it comes back.
-func TestHealthFollowsPeers(t *testing.T) {
+// Keys of a server that is far worse than its peers move to other servers, from the first bad outcome if a router sees few
+// outcomes there. Faults that all servers share move no keys, and all keys come back in the end.
+func TestHealthIsRelativeToPeers(t *testing.T) {
 	r, _ := newRouter(testSettings(), fleet(1, 1, 1, 1))
-	q := &request{class: &r.set.Classes[0]}
-	report := func(s *server, after time.Duration) {
-		r.learnPressure(q, &attempt{to: s}, &Outcome{Status: OK, Latency: after})
+	q := &request{class: &r.settings.Classes[0]}
+	reportOutcome := func(s *server, after time.Duration) {
+		r.learnPressure(q, &attempt{target: s}, &Outcome{Status: OK, Latency: after})
 	}
-	report(r.caches[0], 450*time.Millisecond)
+	reportOutcome(r.caches[0], 450*time.Millisecond)
 	if h := r.health(r.caches[0]); h > 0.1 {
 		t.Errorf("the first bad outcome in a long time left a health of %.2f", h)
 	}
 	for i := 0; i < 40; i++ {
 		for n, s := range r.caches {
 			if r.now += 10 * time.Millisecond; n == 0 {
-				report(s, 450*time.Millisecond)
+				reportOutcome(s, 450*time.Millisecond)
 			} else {
-				report(s, 100*time.Millisecond)
+				reportOutcome(s, 100*time.Millisecond)
 			}
 		}
 	}
@@ -203,35 +204,35 @@
 	}
 	r.now += 5 * time.Minute
 	if h := r.health(r.caches[0]); h != 1 {
-		t.Errorf("health of a server long unseen is %.2f", h)
+		t.Errorf("health of a server without outcomes for a long time is %.2f", h)
 	}
 	for i := 0; i < 200; i++ {
-		report(r.caches[i%4], 450*time.Millisecond)
+		reportOutcome(r.caches[i%4], 450*time.Millisecond)
 	}
 	for _, s := range r.caches {
 		if h := r.health(s) / r.health(r.caches[0]); h < 0.8 || h > 1.25 {
-			t.Errorf("lateness that is shared left healths that differ by %.2f", h)
+			t.Errorf("lateness at all servers left health values that differ by a factor of %.2f", h)
 		}
 	}
 }
 
-// Connections that are dropped unseen while idle are told from sick servers: after a few losses
-// on idle ones, with none on others, old ones are closed before they are used, and the server
-// keeps its keys. Where others are lost as often, nothing is closed.
-func TestIdleConnectionsAreFreshened(t *testing.T) {
+// Guards against taking dead idle connections for unhealthy servers. After a few losses on idle connections and none on others,
+// old idle connections are closed before use and the server keeps its keys. If other connections are lost as often, none is
+// closed.
+func TestOldIdleConnectionsAreClosed(t *testing.T) {
 	for _, c := range []struct {
-		fresh Status // what comes of attempts on new connections
-		close bool
+		newConn Status // how attempts on new connections end
+		close   bool
 	}{{OK, true}, {ConnectFailed, false}, {Reset, false}} {
 		r, p := newRouter(testSettings(), fleet(1, 1, 1))
 		home := r.homeOf(5)
-		try := func(id uint32, gap time.Duration, st Status) {
+		send := func(id uint32, gap time.Duration, st Status) {
 			r.now += gap
-			r.pressure, p.closed = 0, nil
+			r.pressure, p.closedIdle = 0, nil
 			r.Request(r.now, Request{ID: id, Key: 5, Class: 2, Write: true, Remaining: time.Second})
 			s := p.last()
-			if len(p.closed) > 0 && st == Reset {
-				st = c.fresh // it went out on a new connection
+			if len(p.closedIdle) > 0 && st == Reset {
+				st = c.newConn // it used a new connection
 			}
 			r.now += 5 * time.Millisecond
 			r.Outcome(r.now, Outcome{Request: id, Server: s.server, Status: st, Closed: st == OK,
@@ -240,17 +241,17 @@
 		}
 		for id := uint32(1); id < 20; id += 2 {
 			for _, s := range r.caches {
-				s.idleAt = 0
+				s.idleSince = 0
 			}
-			try(id, time.Second, c.fresh)
-			try(id+1, 3*time.Second, Reset)
+			send(id, time.Second, c.newConn)
+			send(id+1, 3*time.Second, Reset)
 		}
-		p.closed = nil
+		p.closedIdle = nil
 		before := len(p.sends)
-		r.now, p.closed = r.now+3*time.Second, nil
+		r.now, p.closedIdle = r.now+3*time.Second, nil
 		r.Request(r.now, Request{ID: 99, Key: 5, Class: 2, Write: true, Remaining: time.Second})
-		if got := len(p.closed) > 0; got != c.close {
-			t.Errorf("fresh connections end in %v: closed %v, want %v", c.fresh, got, c.close)
+		if got := len(p.closedIdle) > 0; got != c.close {
+			t.Errorf("new connections end in %v: closed %v, want %v", c.newConn, got, c.close)
 		}
 		if c.close && p.sends[before].server != home {
 			t.Error("losses on idle connections cost the server its keys")
@@ -258,8 +259,8 @@
 	}
 }
 
-// Whatever the ranking says, a cold server gets no more than its budget in any window.
-func TestColdBudgetOverAnyWindow(t *testing.T) {
+// Whatever the ranking says, a cold server gets no more than its limit in any window.
+func TestColdLimitOverAnyWindow(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{200}}
 	list := fleet(1, 1, 1, 1)
@@ -270,7 +271,7 @@
 	sends := map[uint32][]time.Duration{}
 	for id := uint32(1); id <= 6000; id++ {
 		r.now += time.Millisecond
-		r.Timer(r.now, tokSweep)
+		r.Timer(r.now, tokenSweep)
 		before := len(p.sends)
 		r.Request(r.now, Request{ID: id, Key: uint64(id), Remaining: time.Second})
 		if len(p.sends) > before {
@@ -288,7 +289,7 @@
 					n++
 				}
 			}
-			// Capacity here is 200 a second over 4 servers, half of it ours: a part of 25.
+			// The capacity is 200 requests per second over 4 servers, and this router's share is half of that: 25 for each.
 			warm := set.ColdFrom + (1-set.ColdFrom)*float64(from+set.Fall-time.Second)/float64(set.Cold)
 			if allowed := set.OverloadFactor * warm * 25; float64(n) > allowed+2 {
 				t.Fatalf("server %d got %d in the second from %v, %.0f are allowed", id, n, from, allowed)
@@ -296,29 +297,29 @@
 		}
 	}
 	if total < 50 {
-		t.Errorf("only %d sends in all: the budget starves the fleet", total)
+		t.Errorf("only %d sends in all: the limit starves the fleet", total)
 	}
 }
 
-// A restarted process is new: what was learned of the old one is forgotten.
-func TestRestartForgets(t *testing.T) {
+// A new process of a server starts without anything that was learned about the old one.
+func TestRestartResetsServerState(t *testing.T) {
 	r, _ := newRouter(testSettings(), fleet(1, 1))
-	s := r.known[1]
-	s.seen, s.sick, s.seenAt, s.window = 9, 9, r.now, 1
+	s := r.servers[1]
+	s.outcomes, s.badOutcomes, s.outcomesAt, s.window = 9, 9, r.now, 1
 	r.now += time.Second
 	again := fleet(1)[0]
 	again.Started = r.now
 	r.List(r.now, ListDelta, []Server{again})
 	if r.health(s) != 1 || s.window < 100 {
-		t.Errorf("a new process inherits: %+v", s)
+		t.Errorf("a new process inherits state: %+v", s)
 	}
-	if f := r.fade(s); f > 0.05 {
+	if f := r.warmUpProgress(s); f > 0.05 {
 		t.Errorf("a new process counts with %.2f of its weight", f)
 	}
 }
 
-// Draining and gone servers get nothing new at once; answers still out from them count.
-func TestDrainIsKept(t *testing.T) {
+// Draining and removed servers get no new requests. Answers that are still in flight from them count.
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	r, p := newRouter(testSettings(), fleet(1, 1))
 	home := r.homeOf(5)
 	r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second})
@@ -330,18 +331,18 @@
 		t.Error("a draining server got a new request")
 	}
 	r.Outcome(r.now, Outcome{Request: 1, Server: home, Status: OK, Closed: true})
-	if r.known[home].out != 0 {
+	if r.servers[home].inFlight != 0 {
 		t.Error("the answer from a draining server was not counted")
 	}
 	r.List(r.now, ListFull, nil)
 	r.Request(r.now, Request{ID: 3, Key: 5, Remaining: time.Second})
 	if !p.refused[3] {
-		t.Error("with no server left a request is not refused")
+		t.Error("a request is not refused though no server is left")
 	}
 }
 
-// A client's retry comes with less time left. Where late answers are worth nothing and the
-// first try's aim has passed, it is refused without a send.
+// A client's retry comes with less time left. If late answers are worth nothing and the aim of the first request has passed, the
+// retry is refused without an attempt.
 func TestLateRetryIsRefused(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LateValue = 0
@@ -349,12 +350,13 @@
 	r.Request(r.now, Request{ID: 1, Key: 5, Remaining: 900 * time.Millisecond})
 	r.Request(r.now, Request{ID: 2, Key: 5, Retry: true, Remaining: 400 * time.Millisecond})
 	if len(p.sends) != 1 || !p.refused[2] {
-		t.Errorf("%d sends; retry refused: %v", len(p.sends), p.refused[2])
+		t.Errorf("%d attempts sent; retry refused: %v", len(p.sends), p.refused[2])
 	}
 }
 
-// Where a hundred routers share an origin that is sized for little traffic, none has half of its first window out,
-// and yet the origin is late for all: each cuts down to what it has out. 4,000 caches stopped theirs in the lab.
+// If a hundred routers share an origin sized for little traffic, none of them has half of its first window in flight, and yet the
+// origin is late for all. Each must cut its window to what it has in flight. Without that, 4,000 caches overloaded their origin
+// in the lab until it stopped.
 func TestOriginWindowOfMany(t *testing.T) {
 	set := testSettings()
 	set.Aside, set.OriginKind, set.Balancers, set.MaxAttempts = true, 2, 1, 2
@@ -375,22 +377,23 @@
 	}
 	first := miss(20)
 	if len(first) != 20 {
-		t.Fatalf("%d of 20 misses are fetched by a window of %d", len(first), int(originFirst*100))
+		t.Fatalf("%d of 20 misses are fetched with a window of %d", len(first), int(originWindowPerCache*100))
 	}
 	r.now += 400 * time.Millisecond
 	for _, id := range first {
 		answer(r, p, id, OK, 400*time.Millisecond)
 	}
 	if second := miss(100); len(second) > 40 || len(second) < 10 {
-		t.Errorf("%d fetches are out after 20 came late", len(second))
+		t.Errorf("%d fetches are in flight after 20 came late", len(second))
 	}
 }
 
-// Where the router fetches, a miss goes to the origin, and writes go straight there. No flood of misses comes to it
-// all at once, from the first moment on; while fetches are late or turned away fewer and fewer are out there, and when
-// they come in time again as many as before. Errors that come at once are no sign of a queue, and one late fetch is chance.
-// Found by a hunt in the lab: a gate that let a part of the misses through, and so few that it hardly learned of their
-// good end, stayed nearly shut for 10 s after a drain at a fifth of the load (behind-rendezvous-1-250).
+// If the router fetches, a miss goes to the origin and a write goes straight there. From the first moment on, the origin never
+// gets a flood of misses at once. While fetches are late or refused, fewer and fewer are in flight; once they come in time again,
+// as many as before. Errors that come at once are no sign of a queue, and one late fetch may be chance.
+//
+// Guards against a fault found in a lab search: a gate that let only a fraction of the misses through learned too little from so
+// few good fetches, and stayed nearly shut for 10 s after a drain at a fifth of the load (behind-rendezvous-1-250).
 func TestOriginWindow(t *testing.T) {
 	set := testSettings()
 	set.Aside, set.OriginKind, set.Balancers, set.MaxAttempts = true, 2, 1, 2
@@ -398,7 +401,7 @@
 	list[3].Kind = 2
 	r, p := newRouter(set, list)
 	id := uint32(0)
-	// flood misses on n reads at once and tells which were fetched.
+	// flood sends n reads at once, which all miss, and returns the ids of those that are fetched.
 	flood := func(n int) (out []uint32) {
 		for range n {
 			id++
@@ -412,57 +415,57 @@
 		}
 		return out
 	}
-	end := func(out []uint32, st Status, took time.Duration) {
+	endAll := func(out []uint32, st Status, took time.Duration) {
 		r.now += took
 		for _, id := range out {
 			answer(r, p, id, st, took)
 		}
 	}
 	first := flood(100)
-	if most := originFirst*3 + 1; len(first) < 4 || float64(len(first)) > most {
+	if most := originWindowPerCache*3 + 1; len(first) < 4 || float64(len(first)) > most {
 		t.Errorf("%d of 100 misses are fetched at once, want 4 to %v", len(first), most)
 	}
 	r.Request(r.now, Request{ID: 99999, Key: 5, Class: 2, Write: true, Remaining: time.Second})
-	if p.last() != (sent{99999, 4, time.Second}) {
+	if p.last() != (sentAttempt{99999, 4, time.Second}) {
 		t.Errorf("a write went to %d, not to the origin", p.last().server)
 	}
 	answer(r, p, 99999, OK, 5*time.Millisecond)
-	end(first[1:], OK, 20*time.Millisecond)
-	end(first[:1], OK, 400*time.Millisecond) // late, but alone
+	endAll(first[1:], OK, 20*time.Millisecond)
+	endAll(first[:1], OK, 400*time.Millisecond) // late, but only this one
 	second := flood(100)
 	if len(second) < len(first)-2 {
-		t.Errorf("after one late fetch %d are out, %d before", len(second), len(first))
+		t.Errorf("after one late fetch %d are in flight, %d before", len(second), len(first))
 	}
-	end(second, ServerError, 5*time.Millisecond)
-	r.help = 1
+	endAll(second, ServerError, 5*time.Millisecond)
+	r.retryHelpFraction = 1
 	if third := flood(100); len(third) < len(second) {
-		t.Errorf("after errors at once %d are out, %d before", len(third), len(second))
+		t.Errorf("after immediate errors %d are in flight, %d before", len(third), len(second))
 	} else {
-		end(third, Full, 5*time.Millisecond)
+		endAll(third, Full, 5*time.Millisecond)
 	}
 	for _, st := range []Status{Full, Timeout, Full, Timeout, Full, Timeout, Full, Timeout} {
 		r.now += time.Second
-		end(flood(20), st, 400*time.Millisecond)
+		endAll(flood(20), st, 400*time.Millisecond)
 	}
 	if few := flood(20); len(few) > 2 || len(few) == 0 {
-		t.Errorf("after many late fetches %d are out", len(few))
+		t.Errorf("after many late fetches %d are in flight", len(few))
 	} else {
-		end(few, OK, 20*time.Millisecond)
+		endAll(few, OK, 20*time.Millisecond)
 	}
 	rounds := 0
 	for out := []uint32(nil); len(out) < len(first) && rounds < 100; rounds++ {
 		out = flood(20)
-		end(out, OK, 20*time.Millisecond)
+		endAll(out, OK, 20*time.Millisecond)
 	}
 	if rounds > 30 {
-		t.Errorf("after %d rounds of 20 ms the origin, well again, is not asked as before", rounds)
+		t.Errorf("after %d rounds of 20 ms the recovered origin does not get as many fetches as before", rounds)
 	}
 }
 
-// Fetches differ by their own work: one in sixteen takes longer than the aim leaves, as writes do that have more to do.
-// That is no queue, and takes nothing of the window; two late ones of eight are. On a site whose writes take an origin
-// 2.6 times as long as reads, within half of their aim, the window fell to a third and a tenth of all reads was refused.
-func TestSlowWorkIsNoQueueAtTheOrigin(t *testing.T) {
+// Guards against taking slow work for a queue. One fetch in sixteen takes longer than the aim leaves, like writes that have more
+// to do, and must not shrink the window; two late ones in eight must. At a site where writes take an origin 2.6 times as long as
+// reads, within half of their aim, the window fell to a third and a tenth of all reads was refused.
+func TestSlowWorkKeepsOriginWindow(t *testing.T) {
 	set := testSettings()
 	set.Aside, set.OriginKind, set.Balancers, set.MaxAttempts = true, 2, 1, 2
 	list := fleet(1, 1, 1, 1)
@@ -479,14 +482,14 @@
 		if !write {
 			answer(r, p, id, Miss, 5*time.Millisecond)
 		}
-		if p.last() != (sent{id, 4, time.Second}) {
+		if p.last() != (sentAttempt{id, 4, time.Second}) {
 			t.Fatalf("request %d was not fetched", id)
 		}
 		r.now += took
 		answer(r, p, id, OK, took)
 	}
 	fetch(false, 20*time.Millisecond)
-	before := r.known[4].window
+	before := r.servers[4].window
 	for i := range 64 {
 		fetch(true, 450*time.Millisecond)
 		took := 20 * time.Millisecond
@@ -495,36 +498,36 @@
 		}
 		fetch(false, took)
 	}
-	if w := r.known[4].window; w < before {
+	if w := r.servers[4].window; w < before {
 		t.Errorf("slow writes and one slow read in sixteen took the window from %.1f to %.1f", before, w)
 	}
 	for range 4 {
 		fetch(false, 450*time.Millisecond)
 	}
-	if w := r.known[4].window; w >= before {
+	if w := r.servers[4].window; w >= before {
 		t.Errorf("four late reads in a row left the window of %.1f at %.1f", before, w)
 	}
 }
 
-// One who is refused is told to come back while an answer is still worth something, not after the site's longest wait.
-func TestRefusedComeBackInTime(t *testing.T) {
+// A refused client is told to come back while an answer is still worth something, not after the longest wait of the site.
+func TestRetryAfterFollowsAim(t *testing.T) {
 	for _, c := range []struct{ aim, most, want time.Duration }{
 		{600 * time.Millisecond, 2 * time.Second, 150 * time.Millisecond},
 		{4 * time.Second, 300 * time.Millisecond, 300 * time.Millisecond},
-		{600 * time.Millisecond, 0, 0}, // no wait is honoured
+		{600 * time.Millisecond, 0, 0}, // clients follow no wait
 	} {
 		set := testSettings()
 		set.MaxRetryAfter, set.Classes[0].Aim = c.most, c.aim
 		r, p := newRouter(set, nil)
-		p.after = -1
-		if r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second}); p.after != c.want {
-			t.Errorf("aim %v, at most %v: told to come back after %v, want %v", c.aim, c.most, p.after, c.want)
+		p.retryAfter = -1
+		if r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second}); p.retryAfter != c.want {
+			t.Errorf("aim %v, at most %v: told to come back after %v, want %v", c.aim, c.most, p.retryAfter, c.want)
 		}
 	}
 }
 
-// The watch is asked for from the start and again after each failure, later each time.
-func TestWatchIsAskedAgain(t *testing.T) {
+// The watch is requested at the start and again after each failure, each time after a longer wait.
+func TestWatchIsRetried(t *testing.T) {
 	set := testSettings()
 	set.ListOnRequest, set.AskWithin = true, 10*time.Second
 	p := newRecorder()
@@ -533,23 +536,23 @@
 		if len(p.timers) != i {
 			t.Fatalf("%d timers after %d failures", len(p.timers), i-1)
 		}
-		r.Timer(r.now, tokWatch)
-		r.Timer(r.now, tokWatch) // a spurious timer asks for nothing more
+		r.Timer(r.now, tokenWatch)
+		r.Timer(r.now, tokenWatch) // a spurious timer requests nothing
 		if p.watches != i {
 			t.Fatalf("%d watches after %d timers", p.watches, i)
 		}
 		r.List(r.now, ListFailed, nil)
 	}
-	// What comes now is the last word of a watch that ran beside the one that has failed: none is left.
+	// This list is the last message of a watch that ran beside the failed one, so no watch is left.
 	r.List(r.now, ListFull, fleet(1))
-	r.Timer(r.now, tokWatch)
+	r.Timer(r.now, tokenWatch)
 	if p.watches != 5 {
-		t.Error("not asked again though no watch is left")
+		t.Error("no new watch requested though none is left")
 	}
 	r.List(r.now, ListFull, fleet(1))
-	r.Timer(r.now, tokWatch)
+	r.Timer(r.now, tokenWatch)
 	if p.watches != 5 {
-		t.Error("asked again though subscribed")
+		t.Error("another watch requested though one is open")
 	}
 }
 
@@ -570,7 +573,7 @@
 	r.Streaming(0, 98, 0)
 	r.ClientGone(0, 97)
 	r.Timer(0, 1234)
-	r.Timer(time.Hour, tokSweep)
+	r.Timer(time.Hour, tokenSweep)
 	if !p.refused[1] {
 		t.Error("a request without any server was not refused")
 	}
@@ -588,9 +591,9 @@
 	}
 }
 
-// Where the goal counts late answers against the timely ones, what is not answered by its aim is
-// refused just before it; elsewhere it still has the client's whole time.
-func TestTailEndsAtTheAim(t *testing.T) {
+// If the score counts late answers, a request that is not answered by its aim is refused just before it. Otherwise a request has
+// the client's whole time.
+func TestTailFractionEndsRequestsAtAim(t *testing.T) {
 	for _, c := range []struct {
 		tail float64
 		left time.Duration
@@ -600,21 +603,21 @@
 		r, p := newRouter(set, fleet(1, 1))
 		r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second})
 		if got := p.last().timeout; got != c.left {
-			t.Errorf("tail part %.1f: an attempt has %v, want %v", c.tail, got, c.left)
+			t.Errorf("tail fraction %.1f: an attempt has %v, want %v", c.tail, got, c.left)
 		}
 	}
 }
 
-// A try without the client's mark is a first one, however much time another came with: a retry
-// refused at once may have more left than any first try.
-func TestMarkTellsFirstTries(t *testing.T) {
+// A request without the client's retry mark is a first one, however much time other requests have left: a retry after an
+// immediate refusal may have more time left than any first request.
+func TestOnlyMarkedRequestsAreRetries(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LateValue = 0
 	r, p := newRouter(set, fleet(1, 1))
 	r.Request(r.now, Request{ID: 1, Key: 5, Retry: true, Remaining: 990 * time.Millisecond})
 	r.Request(r.now, Request{ID: 2, Key: 5, Remaining: 600 * time.Millisecond})
 	if len(p.sends) != 2 {
-		t.Errorf("%d of 2 sent: a first try was taken for a late retry", len(p.sends))
+		t.Errorf("%d of 2 sent: a first request was taken for a late retry", len(p.sends))
 	}
 	r.Request(r.now, Request{ID: 3, Key: 5, Retry: true, Remaining: 300 * time.Millisecond})
 	if !p.refused[3] {
@@ -622,10 +625,10 @@
 	}
 }
 
-// A way to a zone that is slow or loses what is sent shows at all servers there: their weights fall
-// together, none of them is held sick, and nothing is turned away for it. What all zones share, or
-// one server alone, says nothing of the way.
-func TestBadWayIsTheZones(t *testing.T) {
+// A network path to a zone that is slow or loses requests shows at all servers there. Their weights fall together, none of them
+// counts as unhealthy, and nothing is refused because of it. Faults of all zones, or of one server alone, say nothing about a
+// path.
+func TestBadPathLowersZone(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		bad  func(*server) bool
@@ -648,24 +651,24 @@
 				continue
 			}
 			after := 10 * time.Millisecond
-			if c.bad(r.known[s.server]) {
+			if c.bad(r.servers[s.server]) {
 				after = 450 * time.Millisecond
 			}
 			answer(r, p, id, OK, after)
-			r.Timer(r.now, tokSweep)
+			r.Timer(r.now, tokenSweep)
 		}
-		if way := r.path(1) < 0.7; way != c.way || r.path(0) < 1 {
-			t.Errorf("%s bad: the ways keep %.2f and %.2f", c.name, r.path(0), r.path(1))
+		if way := r.pathHealth(1) < 0.7; way != c.way || r.pathHealth(0) < 1 {
+			t.Errorf("%s bad: the paths keep %.2f and %.2f", c.name, r.pathHealth(0), r.pathHealth(1))
 		}
 		if c.way && r.pressure > 0.5 {
-			t.Errorf("%s bad: pressure %.2f for a bad way", c.name, r.pressure)
+			t.Errorf("%s bad: pressure %.2f for a bad path", c.name, r.pressure)
 		}
 	}
 }
 
-// A kind of machine that takes clearly longer than its rating says gets less of the keys, alike at all
-// instances; small differences, and one slow server among its kind, move nothing.
-func TestSlowKindGetsLess(t *testing.T) {
+// A kind of machine that is clearly slower than its listed weight says gets fewer keys, by the same factor at all routers. Small
+// differences, and one slow server among its kind, change nothing.
+func TestSlowKindGetsFewerKeys(t *testing.T) {
 	for _, c := range []struct {
 		slow func(*server) time.Duration
 		less bool
@@ -681,37 +684,37 @@
 		for id := uint32(1); id <= 400; id++ {
 			r.now += 20 * time.Millisecond
 			r.Request(r.now, Request{ID: id, Key: uint64(id), Remaining: time.Second})
-			answer(r, p, id, OK, c.slow(r.known[p.last().server]))
-			r.Timer(r.now, tokSweep)
+			answer(r, p, id, OK, c.slow(r.servers[p.last().server]))
+			r.Timer(r.now, tokenSweep)
 		}
-		if less := r.speed(1) < 0.5; less != c.less || r.speed(0) < 1 {
-			t.Errorf("kinds keep %.2f and %.2f", r.speed(0), r.speed(1))
+		if less := r.kindSpeed(1) < 0.5; less != c.less || r.kindSpeed(0) < 1 {
+			t.Errorf("kinds keep %.2f and %.2f", r.kindSpeed(0), r.kindSpeed(1))
 		}
-		if w := r.known[2].weight / r.known[1].weight; c.less && w > 0.5 {
+		if w := r.servers[2].weight / r.servers[1].weight; c.less && w > 0.5 {
 			t.Errorf("a server of the slow kind keeps %.2f of the other's weight", w)
 		}
 	}
 }
 
-// Errors that another server repeats are the request's own, or the origin's: they blame no server,
-// and soon the first of them is final. An error that another server mends goes on being tried again.
-func TestErrorsOfTheRequestItself(t *testing.T) {
+// Errors that a second server repeats are caused by the request or the origin: they count against no server, and soon the first
+// such error is final. Errors that a second server does not repeat are still retried.
+func TestErrorsCausedByRequest(t *testing.T) {
 	for _, mends := range []bool{false, true} {
 		r, p := newRouter(testSettings(), fleet(1, 1, 1, 1))
-		r.badKept = 1 // errors say nothing of the origin here
+		r.badCachedFraction = 1 // errors say nothing about the origin here
 		for id := uint32(1); id <= 60; id++ {
 			r.now += 100 * time.Millisecond
-			r.held[uint64(id)] = r.now
+			r.cachedAt[uint64(id)] = r.now
 			r.Request(r.now, Request{ID: id, Key: uint64(id), Remaining: time.Second})
 			answer(r, p, id, ServerError, 5*time.Millisecond)
-			for r.reqs[id] != nil {
+			for r.requests[id] != nil {
 				st := ServerError
 				if mends {
 					st = OK
 				}
 				answer(r, p, id, st, 5*time.Millisecond)
 			}
-			r.Timer(r.now, tokSweep)
+			r.Timer(r.now, tokenSweep)
 		}
 		if mends && len(p.sends) != 120 {
 			t.Errorf("%d sends for 60 requests that a second server answers", len(p.sends))
@@ -721,7 +724,7 @@
 		}
 		for _, s := range r.caches {
 			if h := r.health(s); !mends && h < 0.5 {
-				t.Errorf("server %d keeps %.2f of its weight for errors that are the requests'", s.ID, h)
+				t.Errorf("server %d keeps %.2f of its weight though the requests cause the errors", s.ID, h)
 			}
 		}
 	}
--- a/deployment_test.go
+++ b/deployment_test.go
@@ -13,14 +13,14 @@
 	"testing"
 )
 
-// parsed is one source file of the router program.
-type parsed struct {
+// sourceFile is one source file of the router program.
+type sourceFile struct {
 	path string
 	file *ast.File
 }
 
-// routerSources are the sources of what the deploy file says that the router is built from, tests left out.
-func routerSources(t *testing.T) (sources []parsed) {
+// routerSources returns the source files, without tests, from which the router is built according to deploy/balancer.toml.
+func routerSources(t *testing.T) (sources []sourceFile) {
 	text, err := os.ReadFile("deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 				return err
 			}
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
-			sources = append(sources, parsed{path, file})
+			sources = append(sources, sourceFile{path, file})
 			return err
 		})
 		if err != nil {
@@ -50,9 +50,10 @@
 	return sources
 }
 
-// What the bench refuses the router: other programs (but by the command that drives releases, which is another process), copies that
-// the runtime makes by splice or sendfile, and sockets of the file system. Small writes are not to be held back either.
-func TestRouterUsesNothingThatIsRefused(t *testing.T) {
+// Guards against what the benchmark environment forbids the router: starting other programs (except for the command that drives
+// releases, which is another process), copies that the runtime makes by splice or sendfile, and Unix sockets. Delaying small
+// writes is not allowed either.
+func TestRouterAvoidsForbiddenCalls(t *testing.T) {
 	const mayStart = "internal/fleet/rollout/"
 	imports := map[string]bool{"os/exec": true, "plugin": true}
 	calls := map[string]bool{"io.Copy": true, "io.CopyN": true, "io.CopyBuffer": true, "os.StartProcess": true, "syscall.ForkExec": true,
@@ -80,7 +81,8 @@
 	}
 }
 
-// Nothing in the router is fitted to one deployment: no name of a class, a tenant or a zone of those that we play stands in its sources.
+// Guards against fitting the router to one deployment: no name of a class, tenant or zone of the deployments in deploy/sites
+// occurs in its sources.
 func TestRouterNamesNoDeployment(t *testing.T) {
 	sites, err := filepath.Glob("deploy/sites/*/*.toml")
 	if err != nil || len(sites) == 0 {
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"hoptiller"
 )
 
-// proxy stands for the program that embeds the library.
+// proxy stands for the program that embeds the package.
 type proxy struct{}
 
 func (proxy) Send(request, server uint32, timeout time.Duration) {
@@ -22,7 +22,7 @@
 func (proxy) Watch(bool)                       {}
 func (proxy) Log(string)                       {}
 
-// A request goes to its key's home; when that cannot be reached, to the next-best.
+// A request goes to its key's home server. If that can't be reached, it goes to the next-best server.
 func Example() {
 	settings := hoptiller.Settings{
 		Balancers:   2,
--- a/facade.go
+++ b/facade.go
@@ -7,76 +7,74 @@
 	"time"
 )
 
-// StepKind says what is to be done next for a request.
+// StepKind is what a request's caller has to do next.
 type StepKind uint8
 
-// The steps of a request. All but StepCall end it.
+// Values of StepKind. All but StepCall end the request.
 const (
-	StepServed StepKind = iota // its answer is the client's
+	StepServed StepKind = iota // the latest answer goes to the client
 	StepCall                   // make an attempt and report how it ended
-	StepReject                 // refuse it; trying again is harmless
-	StepFail                   // end it and promise nothing
+	StepReject                 // refuse the request; repeating it is harmless
+	StepFail                   // fail the request without saying whether it has run
 )
 
-// Step is the decision on a request's next move.
+// Step is the next step of a request.
 type Step struct {
 	Kind       StepKind
-	Server     uint32        // StepCall: whom to call
-	Attempt    int           // StepCall: the call's number
-	Timeout    time.Duration // StepCall: how long to wait for its answer
-	By         time.Duration // StepCall: when the last byte of it must be written; 0: while its time lasts
-	RetryAfter time.Duration // StepReject: when the client should come back
-	CloseIdle  []uint32      // servers whose idle connections must go before the step is taken
+	Server     uint32        // StepCall: the server to call
+	Attempt    int           // StepCall: the number of the attempt
+	Timeout    time.Duration // StepCall: how long to wait for the answer
+	By         time.Duration // StepCall: the last byte of the request must be written by this time; 0: only Timeout limits it
+	RetryAfter time.Duration // StepReject: how long the client should wait before a retry
+	CloseIdle  []uint32      // idle connections to these servers must be closed before the step is taken
 }
 
-// AttemptID names one attempt.
+// AttemptID identifies one attempt.
 type AttemptID struct {
 	Request uint32
 	Attempt int
 }
 
-// Orders are what is to be done beside the steps of requests.
+// Orders are the Router's requests that belong to no step.
 type Orders struct {
-	Cancelled []AttemptID // calls to give up and report at once
-	CloseIdle []uint32    // servers whose idle connections are to be closed
-	List      bool        // ask the directory for the whole list
-	Watch     bool        // watch the directory for changes
-	Unwatch   bool        // end the watch
-	Logs      []string
-	Next      time.Duration // when Tick is due again; 0 if it is not
+	Cancelled []AttemptID   // attempts to cancel and report at once
+	CloseIdle []uint32      // servers to which idle connections must be closed
+	List      bool          // fetch the complete list from discovery
+	Watch     bool          // watch discovery for changes of the list
+	Unwatch   bool          // end the watch
+	Logs      []string      // lines to log
+	Next      time.Duration // when Tick is due again; 0: not needed
 }
 
-// Facade puts a Router behind calls that block no longer than its lock: Pick
-// for a request that came in, Report for each call that ended, Tick when
-// time has passed. It may be used by many goroutines. Like the Router it does
-// no I/O and reads no clock: now is the caller's, and what is said with an
-// earlier now than was heard before counts as said then.
+// Facade wraps a Router in calls that block only for its lock: Pick for a request that came in, Report for an attempt that ended,
+// Tick when time has passed. It is safe for concurrent use. Like the Router it does no I/O and reads no clock: now is the
+// caller's time. A call with an earlier time than a previous call counts as made at that later time.
 type Facade struct {
-	wake func() // tells that Tick has something to do; must not block or call back
-
-	mu     sync.Mutex
-	router *Router
-	now    time.Duration
-	last   uint32
-	open   map[uint32]*open
-	timers []timer // by due time
-	idle   []uint32
-	orders Orders
-
-	counted         time.Duration
-	listed, avoided atomic.Int64 // caches, as of then
+	wake func() // called when Tick has something to do; must not block or call back
+
+	mu           sync.Mutex
+	router       *Router
+	now          time.Duration
+	lastID       uint32                  // the last id that Reserve gave out
+	openRequests map[uint32]*openRequest // by request id
+	timers       []timer                 // sorted by due time
+	idleToClose  []uint32                // servers to which idle connections must be closed with the next step or Tick
+	orders       Orders
+
+	countedAt       time.Duration // when listed and avoided were last updated
+	listed, avoided atomic.Int64  // numbers of caches, for Members
 }
 
-const countEvery = 100 * time.Millisecond // so often Members is brought up to date, and at each word of the directory
+const countInterval = 100 * time.Millisecond // Members is updated this often and on each list event
 
-// open is a request that still has a step to come.
-type open struct {
-	step  Step
-	ready bool // step is not yet handed out
-	final bool // and ends the request
-	calls int
-	out   bool // a call is out
-	gone  bool
+// openRequest is the state of a request that still has a step to come.
+type openRequest struct {
+	step         Step
+	stepReady    bool // step has not been handed out yet
+	final        bool // step ends the request
+	callCount    int  // number of attempts so far
+	inCall       bool // an attempt is in progress
+	disconnected bool // the client has disconnected
 }
 
 type timer struct {
@@ -84,164 +82,162 @@
 	token uint64
 }
 
-// NewFacade returns a Facade over a new Router. Whenever Tick should be called
-// before the time that it last gave, wake is called.
-func NewFacade(now time.Duration, set Settings, seed uint64, wake func()) *Facade {
-	// A request has one call out at a time here: a second copy would wait for the first one's end, and what the
-	// Router holds to be out there would never be. What is silent is withdrawn, which sockets always allow.
-	set.SecondCopies, set.MayCancel = false, true
-	// On sockets a list comes only on a watch, and a pushed one too: whoever pushes it has no other way here.
-	set.ListOnRequest = true
-	f := &Facade{wake: wake, now: now, open: map[uint32]*open{}}
-	f.router = New(now, set, seed, (*actions)(f))
+// NewFacade returns a Facade of a new Router. It calls wake whenever Tick should be called before the time that the last Tick
+// returned.
+func NewFacade(now time.Duration, settings Settings, seed uint64, wake func()) *Facade {
+	// A request has only one attempt in progress here. A hedge would wait for the end of the first attempt, and the Router would
+	// count it as in flight though it never was. Attempts at silent servers are cancelled instead, which is always possible on
+	// sockets.
+	settings.SecondCopies, settings.MayCancel = false, true
+	// On sockets the list comes only through a watch. This includes pushed lists, since they have no other path to this process.
+	settings.ListOnRequest = true
+	f := &Facade{wake: wake, now: now, openRequests: map[uint32]*openRequest{}}
+	f.router = New(now, settings, seed, (*facadeActions)(f))
 	return f
 }
 
-// enter takes the lock and the time; several goroutines read their clocks before they get here,
-// and the Router must never see time go back.
-func (f *Facade) enter(now time.Duration) time.Duration {
+// lock locks the Facade and returns the time, which never goes back: several goroutines read their clocks before they get the
+// lock, and the Router must not see an earlier time.
+func (f *Facade) lock(now time.Duration) time.Duration {
 	f.mu.Lock()
 	f.now = max(f.now, now)
 	return f.now
 }
 
-// Reserve gives out the number for a request's Pick, so that a call of it
-// can be found before it is made.
+// Reserve returns an unused id for a request, so that its attempts can be found before Pick is called.
 func (f *Facade) Reserve() uint32 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for f.last++; f.last == 0 || f.open[f.last] != nil; f.last++ {
+	for f.lastID++; f.lastID == 0 || f.openRequests[f.lastID] != nil; f.lastID++ {
 	}
-	f.open[f.last] = &open{}
-	return f.last
+	f.openRequests[f.lastID] = &openRequest{}
+	return f.lastID
 }
 
-// Pick decides the first step of a request, whose q.ID is from Reserve.
+// Pick returns the first step of a request. Its q.ID must come from Reserve.
 func (f *Facade) Pick(now time.Duration, q Request) Step {
-	now = f.enter(now)
+	now = f.lock(now)
 	defer f.mu.Unlock()
 	f.router.Request(now, q)
-	return f.step(q.ID)
+	return f.nextStep(q.ID)
 }
 
-// Report tells how a call ended and decides the next step. An answer that
-// came is the client's even if the Router has just given the request up:
-// nothing else has been said to the client yet.
-func (f *Facade) Report(now time.Duration, call AttemptID, server uint32, status Status, took time.Duration) Step {
-	now = f.enter(now)
+// Report handles the end of an attempt and returns the next step. An answer goes to the client even if the Router has just ended
+// the request, because nothing else has been sent to the client yet.
+func (f *Facade) Report(now time.Duration, call AttemptID, server uint32, status Status, latency time.Duration) Step {
+	now = f.lock(now)
 	defer f.mu.Unlock()
-	o := f.open[call.Request]
+	o := f.openRequests[call.Request]
 	if o == nil {
 		return Step{Kind: StepFail}
 	}
-	o.out = false
+	o.inCall = false
 	f.router.Outcome(now, Outcome{
-		Request: call.Request, Attempt: call.Attempt, Server: server, Status: status, Latency: took,
-		Closed: status == OK || o.final || o.gone,
+		Request: call.Request, Attempt: call.Attempt, Server: server, Status: status, Latency: latency,
+		Closed: status == OK || o.final || o.disconnected,
 	})
 	if status == OK {
-		delete(f.open, call.Request)
+		delete(f.openRequests, call.Request)
 		return Step{Kind: StepServed, CloseIdle: f.takeIdle()}
 	}
-	return f.step(call.Request)
+	return f.nextStep(call.Request)
 }
 
-// Gone tells that a request's client has left. A call that is out is still
-// to be reported.
+// Gone handles the disconnect of a request's client. An attempt in progress must still be reported.
 func (f *Facade) Gone(now time.Duration, id uint32) {
-	now = f.enter(now)
+	now = f.lock(now)
 	defer f.mu.Unlock()
-	if o := f.open[id]; o != nil {
-		o.gone = true
+	if o := f.openRequests[id]; o != nil {
+		o.disconnected = true
 		f.router.ClientGone(now, id)
 	}
 }
 
-// Directory tells what the directory says.
+// Directory applies a list event from discovery.
 func (f *Facade) Directory(now time.Duration, kind ListKind, servers []Server) {
-	now = f.enter(now)
+	now = f.lock(now)
 	defer f.mu.Unlock()
 	f.router.List(now, kind, servers)
-	f.count()
+	f.updateCounts()
 }
 
-// Sighted tells what some router saw of a server.
-func (f *Facade) Sighted(now time.Duration, seen Sighting) {
-	now = f.enter(now)
+// Sighted handles a router's observation of a server.
+func (f *Facade) Sighted(now time.Duration, observed Sighting) {
+	now = f.lock(now)
 	defer f.mu.Unlock()
-	f.router.Sighted(now, seen)
+	f.router.Sighted(now, observed)
 }
 
-// Members tells how many cache servers are listed, and how many of them the Router avoids. It takes no lock.
+// Members returns how many cache servers are listed and how many of them the Router avoids. It takes no lock.
 func (f *Facade) Members() (listed, avoided int) { return int(f.listed.Load()), int(f.avoided.Load()) }
 
-// count brings up to date what Members tells; f.mu is held.
-func (f *Facade) count() {
-	f.counted = f.now
+// updateCounts updates the counts that Members returns. The caller holds f.mu.
+func (f *Facade) updateCounts() {
+	f.countedAt = f.now
 	listed, avoided := f.router.Members()
 	f.listed.Store(int64(listed))
 	f.avoided.Store(int64(avoided))
 }
 
-// avoidedAt is the part of its weight under which a server counts as avoided.
-const avoidedAt = 0.5
+// avoidedBelow is the fraction of its weight below which a server counts as avoided.
+const avoidedBelow = 0.5
 
-// Members tells how many caches are listed, and how many of them are avoided: they drain, or health and
-// way leave them less than half of their weight.
+// Members returns how many caches are listed and how many of them are avoided, which means that they drain or that their health
+// and network path leave them less than half of their weight.
 func (r *Router) Members() (listed, avoided int) {
-	for _, s := range r.known {
+	for _, s := range r.servers {
 		if s.origin || s.unlisted || s.Phase == Gone {
 			continue
 		}
 		listed++
-		if r.avoids(s) {
+		if r.isAvoided(s) {
 			avoided++
 		}
 	}
 	return listed, avoided
 }
 
-func (r *Router) avoids(s *server) bool {
-	return s.Phase == Draining || r.health(s)*r.path(s.Zone) < avoidedAt
+func (r *Router) isAvoided(s *server) bool {
+	return s.Phase == Draining || r.health(s)*r.pathHealth(s.Zone) < avoidedBelow
 }
 
-// CacheState is a cache server as it is seen here.
+// CacheState is a cache server as this router sees it.
 type CacheState struct {
 	ID      uint32
 	Zone    int
 	Avoided bool
 }
 
-// Caches are the cache servers that are listed, in no order. It is for what is asked for seldom.
+// Caches returns the listed cache servers, in no particular order. It takes the lock, so call it rarely.
 func (f *Facade) Caches() (all []CacheState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.router.known {
+	for _, s := range f.router.servers {
 		if !s.origin && !s.unlisted && s.Phase != Gone {
-			all = append(all, CacheState{s.ID, s.Zone, f.router.avoids(s)})
+			all = append(all, CacheState{s.ID, s.Zone, f.router.isAvoided(s)})
 		}
 	}
 	return all
 }
 
-// Knows tells whether a server is listed, or calls to it are out.
+// Knows reports whether a server is listed or has attempts in flight.
 func (f *Facade) Knows(server uint32) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.router.known[server] != nil
+	return f.router.servers[server] != nil
 }
 
-// Tick runs what has fallen due and hands out the orders since the last Tick.
+// Tick runs the timers that are due and returns the orders since the last Tick.
 func (f *Facade) Tick(now time.Duration) Orders {
-	now = f.enter(now)
+	now = f.lock(now)
 	defer f.mu.Unlock()
 	for len(f.timers) > 0 && f.timers[0].due <= now {
-		first := f.timers[0] // taken before Delete moves the next one into its place
+		first := f.timers[0] // copied before Delete moves the next timer into this element
 		f.timers = slices.Delete(f.timers, 0, 1)
 		f.router.Timer(now, first.token)
 	}
-	if now-f.counted >= countEvery {
-		f.count()
+	if now-f.countedAt >= countInterval {
+		f.updateCounts()
 	}
 	f.orders.CloseIdle = append(f.orders.CloseIdle, f.takeIdle()...)
 	orders := f.orders
@@ -251,80 +247,81 @@
 	return orders
 }
 
-// step hands out what the Router has decided for a request. It always has: a Router ends or
-// sends on whatever has no call out. One that does not is a bug, and the client must not wait for it.
-func (f *Facade) step(id uint32) Step {
-	o := f.open[id]
+// nextStep hands out the step that the Router has decided for a request. There always is one, because the Router ends or retries
+// every request that has no attempt in progress. If there is none, that is a bug, and the request fails so that the client does
+// not wait.
+func (f *Facade) nextStep(id uint32) Step {
+	o := f.openRequests[id]
 	step := Step{Kind: StepFail}
-	if o != nil && o.ready {
+	if o != nil && o.stepReady {
 		step = o.step
 	}
 	if o != nil && step.Kind == StepCall {
-		o.ready, o.out = false, true
+		o.stepReady, o.inCall = false, true
 	} else {
-		delete(f.open, id)
+		delete(f.openRequests, id)
 	}
 	step.CloseIdle = f.takeIdle()
 	return step
 }
 
 func (f *Facade) takeIdle() []uint32 {
-	idle := f.idle
-	f.idle = nil
+	idle := f.idleToClose
+	f.idleToClose = nil
 	return idle
 }
 
-// actions takes what the Router asks for; f.mu is held.
-type actions Facade
+// facadeActions receives the Router's actions. The caller holds f.mu.
+type facadeActions Facade
 
-func (a *actions) Send(request, server uint32, timeout time.Duration) {
-	if o := a.open[request]; o != nil {
-		o.step = Step{Kind: StepCall, Server: server, Attempt: o.calls, Timeout: timeout, By: a.router.repeatBy(request)}
-		o.ready = true
-		o.calls++
+func (a *facadeActions) Send(request, server uint32, timeout time.Duration) {
+	if o := a.openRequests[request]; o != nil {
+		o.step = Step{Kind: StepCall, Server: server, Attempt: o.callCount, Timeout: timeout, By: a.router.retryWriteBy(request)}
+		o.stepReady = true
+		o.callCount++
 	}
 }
 
-// repeatBy is when the last byte of a request's newest attempt must be on its way, if it repeats another one of which
-// servers drop repeats only for a while; 0: it does not.
-func (r *Router) repeatBy(id uint32) time.Duration {
-	q := r.reqs[id]
+// retryWriteBy returns the time by which the last byte of a request's newest attempt must be written, if that attempt repeats an
+// earlier one and the servers drop repetitions only for a while. Otherwise it returns 0.
+func (r *Router) retryWriteBy(id uint32) time.Duration {
+	q := r.requests[id]
 	if q == nil || q.class.Effect != Deduplicated {
 		return 0
 	}
-	for i := range q.tries[:len(q.tries)-1] { // the earliest is first
-		if t := &q.tries[i]; t.ran {
-			return r.forgotten(q, t)
+	for i := range q.attempts[:len(q.attempts)-1] { // the first one that may have run is the earliest
+		if t := &q.attempts[i]; t.mayHaveRun {
+			return r.dedupEnd(q, t)
 		}
 	}
 	return 0
 }
 
-func (a *actions) end(request uint32, step Step) {
-	o := a.open[request]
+func (a *facadeActions) endRequest(request uint32, step Step) {
+	o := a.openRequests[request]
 	if o == nil || o.final {
 		return
 	}
-	o.step, o.ready, o.final = step, true, true
-	if o.out { // its goroutine waits for the call
-		a.Cancel(request, o.calls-1)
+	o.step, o.stepReady, o.final = step, true, true
+	if o.inCall { // the goroutine of the request waits for its attempt
+		a.Cancel(request, o.callCount-1)
 	}
 }
 
-func (a *actions) Cancel(request uint32, attempt int) {
+func (a *facadeActions) Cancel(request uint32, attempt int) {
 	a.orders.Cancelled = append(a.orders.Cancelled, AttemptID{request, attempt})
 	a.wake()
 }
 
-func (a *actions) Refuse(request uint32, after time.Duration) {
-	a.end(request, Step{Kind: StepReject, RetryAfter: after})
+func (a *facadeActions) Refuse(request uint32, retryAfter time.Duration) {
+	a.endRequest(request, Step{Kind: StepReject, RetryAfter: retryAfter})
 }
 
-func (a *actions) Fail(request uint32) { a.end(request, Step{Kind: StepFail}) }
+func (a *facadeActions) Fail(request uint32) { a.endRequest(request, Step{Kind: StepFail}) }
 
-func (a *actions) CloseIdle(server uint32) { a.idle = append(a.idle, server) }
+func (a *facadeActions) CloseIdle(server uint32) { a.idleToClose = append(a.idleToClose, server) }
 
-func (a *actions) SetTimer(token uint64, delay time.Duration) {
+func (a *facadeActions) SetTimer(token uint64, delay time.Duration) {
 	t := timer{a.now + max(delay, 0), token}
 	at, _ := slices.BinarySearchFunc(a.timers, t.due+1, func(e timer, due time.Duration) int {
 		return int(min(max(e.due-due, -1), 1))
@@ -335,14 +332,14 @@
 	}
 }
 
-func (a *actions) FetchList() { a.orders.List = true; a.wake() }
+func (a *facadeActions) FetchList() { a.orders.List = true; a.wake() }
 
-func (a *actions) Watch(on bool) {
+func (a *facadeActions) Watch(on bool) {
 	a.orders.Watch, a.orders.Unwatch = on, !on
 	a.wake()
 }
 
-func (a *actions) Log(text string) {
+func (a *facadeActions) Log(text string) {
 	a.orders.Logs = append(a.orders.Logs, text)
 	a.wake()
 }
--- a/facade_test.go
+++ b/facade_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// newFacade returns one with two caches and an origin, and counts how often it asks to be woken.
+// newFacade returns a Facade with two caches and an origin, and a count of its wake calls.
 func newFacade(change func(*Settings)) (f *Facade, woken *int) {
 	set := Settings{
 		Balancers: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second, Tick: 5 * time.Millisecond,
@@ -35,13 +35,13 @@
 		t.Fatalf("step after a miss %+v", step)
 	}
 	step = f.Report(time.Hour+time.Second/2, AttemptID{id, 1}, 9, OK, time.Second/2)
-	if step.Kind != StepServed || len(f.open) != 0 {
-		t.Errorf("step after an answer %+v, %d open", step, len(f.open))
+	if step.Kind != StepServed || len(f.openRequests) != 0 {
+		t.Errorf("step after an answer %+v, %d open", step, len(f.openRequests))
 	}
 }
 
-// What the Router ends while a call is out is ended by way of the call's cancellation, with the answer
-// that was decided; a value that came meanwhile is better than that answer.
+// If the Router ends a request while an attempt is in progress, the attempt is cancelled and the request ends with the Router's
+// decision. If the attempt brings a value anyway, that is served instead.
 func TestFacadeEndsWhileCalling(t *testing.T) {
 	for _, status := range []Status{Cancelled, OK} {
 		f, woken := newFacade(nil)
@@ -60,13 +60,13 @@
 		if got := f.Report(late, AttemptID{id, 0}, step.Server, status, 2*time.Second); got.Kind != want {
 			t.Errorf("%v: step %+v, want %v", status, got, want)
 		}
-		if len(f.open) != 0 {
+		if len(f.openRequests) != 0 {
 			t.Errorf("%v: still open", status)
 		}
 	}
 }
 
-func TestFacadeBooksOnce(t *testing.T) {
+func TestFacadeRetriesWriteOnlyIfNotRun(t *testing.T) {
 	for status, want := range map[Status]StepKind{
 		Reset: StepFail, Timeout: StepFail, ServerError: StepFail, ConnectFailed: StepCall, Full: StepCall, Moot: StepCall,
 	} {
@@ -77,7 +77,7 @@
 		if step.Server != 9 || got.Kind != want {
 			t.Errorf("after status %d: %+v, want kind %d", status, got, want)
 		}
-		// A read is called again whatever became of it: to refuse it would lose what costs one more call.
+		// A read is retried after any status: refusing it would save just one more attempt.
 		id = f.Reserve()
 		step = f.Pick(time.Hour, Request{ID: id, Key: 7, Remaining: 3 * time.Second})
 		if got := f.Report(time.Hour, AttemptID{id, 0}, step.Server, status, 0); got.Kind != StepCall {
@@ -86,8 +86,8 @@
 	}
 }
 
-// The client's leaving ends the request and cancels its call; what is reported later does no harm.
-func TestFacadeGone(t *testing.T) {
+// The disconnect of a client ends its request and cancels the attempt. Later reports do no harm.
+func TestFacadeClientDisconnects(t *testing.T) {
 	f, _ := newFacade(nil)
 	id := f.Reserve()
 	step := f.Pick(time.Hour, Request{ID: id, Key: 7, Remaining: 3 * time.Second})
@@ -97,40 +97,40 @@
 	}
 	for range 2 {
 		got := f.Report(time.Hour+time.Second, AttemptID{id, 0}, step.Server, Cancelled, time.Second)
-		if got.Kind != StepFail || len(f.open) != 0 {
-			t.Errorf("step %+v, %d open", got, len(f.open))
+		if got.Kind != StepFail || len(f.openRequests) != 0 {
+			t.Errorf("step %+v, %d open", got, len(f.openRequests))
 		}
 	}
 }
 
-// Where answers come in order a call ends only with its connection: a read whose client has left runs on, and what it
-// comes to is learned from, but a write is withdrawn, and so is what goes to the origin for a read.
-func TestFacadeGoneOrdered(t *testing.T) {
+// If connections answer in order, an attempt can be ended only by closing its connection. So a read whose client has disconnected
+// runs on and its outcome counts, but a write is cancelled, and so is a read's fetch from the origin.
+func TestFacadeClientDisconnectsOrdered(t *testing.T) {
 	for name, c := range map[string]struct {
 		write, missed bool
 		cancelled     int
 	}{"read": {false, false, 0}, "write": {true, false, 1}, "fetch": {false, true, 1}} {
 		f, _ := newFacade(nil)
-		f.router.set.Ordered = true
+		f.router.settings.Ordered = true
 		id := f.Reserve()
 		step := f.Pick(time.Hour, Request{ID: id, Key: 7, Write: c.write, Remaining: 3 * time.Second})
-		f.router.reqs[id].missed = c.missed
+		f.router.requests[id].homeMissed = c.missed
 		f.Gone(time.Hour+time.Millisecond, id)
 		if orders := f.Tick(time.Hour + time.Millisecond); len(orders.Cancelled) != c.cancelled {
 			t.Errorf("%s: orders %+v", name, orders)
 		}
-		if s := f.router.known[step.Server]; s.out != 1 {
-			t.Errorf("%s: %d count as out", name, s.out)
+		if s := f.router.servers[step.Server]; s.inFlight != 1 {
+			t.Errorf("%s: %d in flight", name, s.inFlight)
 		}
 		f.Report(time.Hour+time.Second, AttemptID{id, 0}, step.Server, OK, time.Second)
-		if s := f.router.known[step.Server]; s.out != 0 || s.heard != f.now || len(f.open) != 0 || len(f.router.reqs) != 0 {
-			t.Errorf("%s: after its answer %d out, heard at %v, %d open", name, s.out, s.heard, len(f.open))
+		if s := f.router.servers[step.Server]; s.inFlight != 0 || s.lastAnswerAt != f.now || len(f.openRequests) != 0 || len(f.router.requests) != 0 {
+			t.Errorf("%s: after its answer %d in flight, last answer at %v, %d open", name, s.inFlight, s.lastAnswerAt, len(f.openRequests))
 		}
 	}
 }
 
-// Goroutines read their clocks before they get the lock: time must not go back for the Router, nor may
-// timers fire before they are due or out of order.
+// Guards against goroutines that read their clocks before they get the lock: time must not go back for the Router, and timers
+// must not fire early or out of order.
 func TestFacadeTime(t *testing.T) {
 	f, woken := newFacade(nil)
 	orders := f.Tick(time.Hour)
@@ -138,47 +138,46 @@
 		t.Fatalf("orders at the start %+v", orders)
 	}
 	if orders = f.Tick(orders.Next); !orders.Watch {
-		t.Errorf("no watch is ordered when its time has come: %+v", orders)
+		t.Errorf("no watch is ordered when it is due: %+v", orders)
 	}
 	f.Directory(time.Hour, ListFailed, nil)
 	if f.now < orders.Next || f.router.now < f.now-1 {
 		t.Errorf("time went back to %v", f.now)
 	}
 	*woken = 0
-	(*actions)(f).SetTimer(50, time.Minute)
-	(*actions)(f).SetTimer(51, time.Millisecond)
+	(*facadeActions)(f).SetTimer(50, time.Minute)
+	(*facadeActions)(f).SetTimer(51, time.Millisecond)
 	if *woken != 1 || f.timers[0].token != 51 || f.timers[len(f.timers)-1].token != 50 {
 		t.Errorf("woken %d times, timers %v", *woken, f.timers)
 	}
 }
 
-// Guards against withdrawing what is merely heavy: a server that has done well may stay silent for three
-// quarters of the aim before a call is taken away from it, since its work would be lost.
-// The same where the settings allow second copies: a copy that waits for the first call's end helps nobody, and
-// counted as out at its server for good.
+// Guards against cancelling an attempt that merely takes long, since its work would be lost: a server in good standing may be
+// silent for three quarters of the aim first. The same holds if the settings allow hedges: a hedge that waits for the end of the
+// first attempt helps nobody, and it stayed in the count of attempts in flight at its server.
 func TestFacadePatience(t *testing.T) {
 	t.Run("one call", func(t *testing.T) { facadePatience(t, false) })
 	t.Run("second copies", func(t *testing.T) { facadePatience(t, true) })
 }
 
-func facadePatience(t *testing.T, copies bool) {
-	f, _ := newFacade(func(s *Settings) { s.SecondCopies, s.MayCancel = copies, !copies })
+func facadePatience(t *testing.T, hedging bool) {
+	f, _ := newFacade(func(s *Settings) { s.SecondCopies, s.MayCancel = hedging, !hedging })
 	for i := range 2 {
 		id := f.Reserve()
 		step := f.Pick(time.Hour, Request{ID: id, Key: 7, Remaining: 3 * time.Second})
-		if i == 0 { // it is known to answer fast
+		if i == 0 { // so the server is known to answer fast
 			f.Report(time.Hour+time.Millisecond, AttemptID{id, 0}, step.Server, OK, 50*time.Millisecond)
 			continue
 		}
 		for now := time.Hour; now < time.Hour+time.Second; now += 10 * time.Millisecond {
-			withdrawn := len(f.Tick(now).Cancelled) > 0
-			if withdrawn != (now > time.Hour+750*time.Millisecond) {
-				t.Fatalf("withdrawn: %v after %v", withdrawn, now-time.Hour)
+			cancelled := len(f.Tick(now).Cancelled) > 0
+			if cancelled != (now > time.Hour+750*time.Millisecond) {
+				t.Fatalf("cancelled: %v after %v", cancelled, now-time.Hour)
 			}
-			if withdrawn {
+			if cancelled {
 				f.Report(now, AttemptID{id, 0}, step.Server, Cancelled, now-time.Hour)
-				if out := f.router.known[step.Server].out; out != 0 {
-					t.Errorf("%d calls count as out at the silent provider", out)
+				if out := f.router.servers[step.Server].inFlight; out != 0 {
+					t.Errorf("%d attempts in flight at the silent server", out)
 				}
 				return
 			}
@@ -186,37 +185,37 @@
 	}
 }
 
-// Guards against waiting out the aim on a connection that has fallen silent while its server answers others:
-// a call that has been overtaken is withdrawn after a part of the aim, one that has not only later.
+// Guards against waiting for the whole aim on a connection that has fallen silent while its server answers others: an attempt
+// that has been overtaken is cancelled after a fraction of the aim, any other only later.
 func TestFacadeOvertaken(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
 		f, _ := newFacade(nil)
-		ask := func(now time.Duration) (AttemptID, uint32) {
+		pick := func(now time.Duration) (AttemptID, uint32) {
 			id := f.Reserve()
 			return AttemptID{id, 0}, f.Pick(now, Request{ID: id, Key: 7, Remaining: 3 * time.Second}).Server
 		}
 		answer := func(now time.Duration) {
-			call, p := ask(now - 30*time.Millisecond)
-			f.Report(now, call, p, OK, 30*time.Millisecond)
+			call, server := pick(now - 30*time.Millisecond)
+			f.Report(now, call, server, OK, 30*time.Millisecond)
 		}
 		answer(time.Hour)
-		ask(time.Hour + time.Millisecond)
+		pick(time.Hour + time.Millisecond)
 		if overtaken {
 			answer(time.Hour + 40*time.Millisecond)
 		}
-		withdrawn := 0
+		cancelled := 0
 		for now := time.Hour + 50*time.Millisecond; now < time.Hour+500*time.Millisecond; now += 10 * time.Millisecond {
-			withdrawn += len(f.Tick(now).Cancelled)
+			cancelled += len(f.Tick(now).Cancelled)
 		}
-		if (withdrawn > 0) != overtaken {
-			t.Errorf("overtaken: %v, withdrawn within half of the aim: %d", overtaken, withdrawn)
+		if (cancelled > 0) != overtaken {
+			t.Errorf("overtaken: %v, cancelled within half of the aim: %d", overtaken, cancelled)
 		}
 	}
 }
 
-// What repeats an attempt that may have run is told until when it must be written: servers drop repeats only for so long
-// after the earliest moment at which that one may have come.
-func TestFacadeWindowForRepeats(t *testing.T) {
+// A retry of an attempt that may have run says by when it must be written, since servers drop repetitions only for a certain time
+// after the earliest moment at which the first attempt may have arrived.
+func TestFacadeRetryWriteDeadline(t *testing.T) {
 	for effect, want := range map[Effect]time.Duration{Deduplicated: time.Hour + 990*time.Millisecond, Idempotent: 0} {
 		f, _ := newFacade(func(set *Settings) {
 			set.Classes[1] = Class{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: effect, KeyTTL: time.Second}
@@ -228,13 +227,13 @@
 		}
 		sent := f.Report(time.Hour+10*time.Millisecond, AttemptID{id, 0}, step.Server, Reset, time.Millisecond)
 		if sent.Kind != StepCall || sent.By != want {
-			t.Errorf("effect %d: the repeat is %+v, to be written by %v", effect, sent, want)
+			t.Errorf("effect %d: the retry is %+v, to be written by %v", effect, sent, want)
 		}
 		other := f.Reserve()
 		step = f.Pick(time.Hour+time.Second, Request{ID: other, Class: 1, Key: 7, Write: true, Remaining: 3 * time.Second})
 		step = f.Report(time.Hour+time.Second, AttemptID{other, 0}, step.Server, ConnectFailed, 0)
 		if step.Kind != StepCall || step.By != 0 {
-			t.Errorf("effect %d: one that was never sent is followed by %+v", effect, step)
+			t.Errorf("effect %d: an attempt that never reached its server is followed by %+v", effect, step)
 		}
 	}
 }
--- a/gate.go
+++ b/gate.go
@@ -1,51 +1,53 @@
 package hoptiller
 
-// The gate: which part of the reads that need the origin is let through.
+// The gate is the fraction of the reads that may need the origin that is let through.
 
 import "time"
 
 const (
-	gateCut  = 0.2  // part of the gate that a bad fetch takes
-	gateGain = 0.06 // and what a good one adds to it, of what it is
-	gateMend = 0.01 // what the gate opens by itself, a second
+	gateCut      = 0.2  // fraction of the gate that a bad fetch takes away
+	gateGain     = 0.06 // fraction of the gate that a good fetch adds
+	gateRecovery = 0.01 // what the gate opens by itself, per second
 )
 
-// learnGate guards an origin behind the servers, which is slow for all once it is sent more than it can do,
-// and then works on what nobody waits for any more: of what it has to fetch less is let through while fetches
-// end badly, until they end well. What ends badly without it is no fault of its own.
-func (r *Router) learnGate(fetch bool, sent time.Duration, x float64) {
+// learnGate protects an origin behind the cache servers. Once such an origin gets more than it can handle, it
+// is slow for everyone and works on requests that nobody waits for any more. So while fetches end badly,
+// fewer reads that need one are let through, until fetches end well. A fetch is not held against the origin
+// as far as cached reads end badly too. The value bad is 1 for a bad outcome and 0 for a good one.
+func (r *Router) learnGate(fetch bool, sent time.Duration, bad float64) {
 	if !fetch {
-		r.badKept += (x - r.badKept) / 16
+		r.badCachedFraction += (bad - r.badCachedFraction) / 16
 		return
 	}
-	if r.reopenGate(sent, x) {
+	if r.reopenGate(sent, bad) {
 		return
 	}
-	r.badFetch += (x - r.badFetch) / 8
-	cut, gain := gateCut*(1-min(1, r.badKept/max(r.badFetch, 0.01))), gateGain
-	gain = min(gain, 0.3*(r.now-r.fetchAt).Seconds())
-	r.fetchAt = r.now
-	r.gate = max(0.02, min(1, r.gate*(1-x*cut+(1-x)*gain)))
+	r.badFetchFraction += (bad - r.badFetchFraction) / 8
+	cut, gain := gateCut*(1-min(1, r.badCachedFraction/max(r.badFetchFraction, 0.01))), gateGain
+	gain = min(gain, 0.3*(r.now-r.lastFetchAt).Seconds())
+	r.lastFetchAt = r.now
+	r.gate = max(0.02, min(1, r.gate*(1-bad*cut+(1-bad)*gain)))
 }
 
-// reopenGate opens the gate by count where fetches end well again after a run of bad ones, as a connection's
-// slow start does: it is doubled up to what it was before but for one cut. It tells whether it did, or
-// whether a fetch says nothing more, as it was sent before one that has ended well.
-func (r *Router) reopenGate(sent time.Duration, x float64) (done bool) {
-	most := r.gateBefore * (1 - gateCut)
+// reopenGate opens the gate by the number of good fetches after a run of bad ones, like the slow start of a
+// connection: each good fetch doubles it, up to its value before the run less one cut. It reports whether the
+// fetch needs no further handling, because it opened the gate or because it was bad but sent before one that
+// ended well.
+func (r *Router) reopenGate(sent time.Duration, bad float64) (done bool) {
+	target := r.gateBeforeRun * (1 - gateCut)
 	switch {
-	case x > 0 && r.gate < most && sent < r.fetchedWell:
+	case bad > 0 && r.gate < target && sent < r.lastGoodFetchSentAt:
 		return true
-	case x > 0:
+	case bad > 0:
 		if !r.gateFalling {
-			r.gateFalling, r.gateBefore = true, r.gate
+			r.gateFalling, r.gateBeforeRun = true, r.gate
 		}
 		return false
 	}
-	r.gateFalling, r.fetchedWell = false, max(r.fetchedWell, sent)
-	if r.gate >= most {
+	r.gateFalling, r.lastGoodFetchSentAt = false, max(r.lastGoodFetchSentAt, sent)
+	if r.gate >= target {
 		return false
 	}
-	r.gate = min(most, 2*r.gate)
+	r.gate = min(target, 2*r.gate)
 	return true
 }
--- a/gate_test.go
+++ b/gate_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// Where servers fetch, a key not answered here lately may need the origin. While such reads fail
-// and kept keys do not, most are turned away; connections that break, and failures that kept keys
-// share, say nothing of the origin.
-func TestGateTellsTheOriginFromServers(t *testing.T) {
+// If the servers fetch, a key that was not answered here lately may need the origin. If such reads fail and reads of cached keys
+// do not, most of them are refused. Broken connections, and failures that cached keys share, say nothing about the origin.
+func TestGateDistinguishesOriginFromServers(t *testing.T) {
 	for _, c := range []struct {
 		fresh, kept Status
 		shut        bool
@@ -19,18 +18,18 @@
 			id++
 			r.pressure = 0
 			r.Request(r.now, Request{ID: id, Key: key, Remaining: time.Second})
-			for n := 0; n < 3 && r.reqs[id] != nil; n++ {
+			for n := 0; n < 3 && r.requests[id] != nil; n++ {
 				answer(r, p, id, st, 10*time.Millisecond)
 			}
 		}
 		read(1, OK)
 		for i := uint64(0); i < 100; i++ {
-			r.held[1] = r.now
+			r.cachedAt[1] = r.now
 			read(1, c.kept)
 			read(1000+i, c.fresh)
 		}
 		if shut := r.gate < 0.3; shut != c.shut {
-			t.Errorf("fresh %v, kept %v: gate at %.2f", c.fresh, c.kept, r.gate)
+			t.Errorf("uncached reads end with %v, cached ones with %v: gate at %.2f", c.fresh, c.kept, r.gate)
 		}
 	}
 }
--- a/pressure.go
+++ b/pressure.go
@@ -1,9 +1,10 @@
 package hoptiller
 
-// Pressure: load that the whole fleet can't carry. It follows the part of bad outcomes over all servers, from
-// 0 at ease to 1, where all traffic beyond the shares is turned away, and on to pressMost, where nearly all
-// reads are. A router that lets nothing through learns nothing: some reads always go on, as trials, and where
-// pressure has been at its most it comes down by their count, as a circuit breaker closes, and not by time.
+// Pressure measures load beyond what the whole fleet can sustain. It follows the fraction of bad outcomes
+// over all servers: 0 under normal load; 1 when all requests over their tenant's share are refused; up to
+// maxPressure, when nearly all reads are refused. A router that lets nothing through learns nothing, so some
+// reads always go on as trials. After pressure has reached its maximum, it falls with the number of good
+// trials, like a circuit breaker that closes, and not with time.
 
 import (
 	"fmt"
@@ -12,114 +13,119 @@
 )
 
 const (
-	badMost   = 0.06 // part of bad outcomes over all servers that is borne
-	badReads  = 0.48 // and that is borne while reads are turned away
-	pressGain = 2.5  // how fast pressure follows the part beyond, a second
-	pressMost = 1.95 // one read of twenty goes on
+	// A fraction of bad outcomes over all servers up to maxBadFraction is tolerated.
+	maxBadFraction = 0.06
+	// While reads are refused, a fraction up to maxBadFractionShedding is tolerated.
+	maxBadFractionShedding = 0.48
+	// Pressure rises by pressureGain per second for each unit of the bad fraction beyond what is tolerated.
+	pressureGain = 2.5
+	maxPressure  = 1.95 // one read in twenty goes on
 
-	trialEvery  = time.Second // a read goes on if none has for so long
-	trialStep   = 0.1         // what a good trial takes off pressure
-	trialMemory = 4           // trials over which the part of bad outcomes is judged
-	trialsEnd   = 1.5         // pressure under which time rules again
+	trialInterval     = time.Second // a read goes on if none has for this long
+	trialStep         = 0.1         // a trial without a bad outcome lowers pressure by this
+	trialOutcomes     = 4           // the fraction of bad outcomes is averaged over this many trials
+	trialsEndPressure = 1.5         // below this pressure, time counts again
 )
 
-// trials is what a router knows of the reads that it lets through while it turns nearly all away.
+// trials is the state of the reads that are let through while nearly all are refused.
 type trials struct {
-	on     bool          // pressure has been at its most, and has not come down since
-	at     time.Duration // when a read was let through last
-	goodAt time.Duration // when the latest attempt was sent that ended well
+	active     bool          // pressure has reached its maximum and has not yet fallen below trialsEndPressure
+	lastAt     time.Duration // when a read was last let through
+	goodSentAt time.Duration // when the latest attempt that ended well was sent
 }
 
-// turnsAway tells whether a request is refused on arrival. Writes never are for pressure within the shares.
-func (r *Router) turnsAway(q *request) bool {
-	return r.turnsReadAway(q) || q.low && r.chance() < r.pressure
+// refusesOnArrival reports whether a request is refused on arrival. Pressure never refuses writes within
+// their tenant's share.
+func (r *Router) refusesOnArrival(q *request) bool {
+	return r.refusesRead(q) || q.overShare && r.random() < r.pressure
 }
 
-// turnsReadAway tells whether a read is refused for pressure, of which some always go on.
-func (r *Router) turnsReadAway(q *request) bool {
-	away := r.chance() < r.pressure-1 && !q.Write
-	due := r.trials.on && r.now-r.trials.at >= trialEvery
-	if away && !due {
+// refusesRead reports whether a read is refused because of pressure. Some reads always go on.
+func (r *Router) refusesRead(q *request) bool {
+	refuse := r.random() < r.pressure-1 && !q.Write
+	trialDue := r.trials.active && r.now-r.trials.lastAt >= trialInterval
+	if refuse && !trialDue {
 		return true
 	}
 	if !q.Write {
-		r.trials.at = r.now
+		r.trials.lastAt = r.now
 	}
 	return false
 }
 
-// learnTrial takes the outcome of a read, bad or good in part, while trials decide on pressure. What was sent
-// before a trial that ended well says nothing of how things are now.
+// learnTrial applies the outcome of a read while trials determine pressure. The value bad is 0 for a good
+// outcome, 1 for a bad one, or between. Attempts sent before a trial that ended well say nothing about the
+// present.
 func (r *Router) learnTrial(t *attempt, bad float64) {
 	if bad == 0 {
-		r.trials.goodAt = max(r.trials.goodAt, t.at)
-	} else if t.at < r.trials.goodAt {
+		r.trials.goodSentAt = max(r.trials.goodSentAt, t.sentAt)
+	} else if t.sentAt < r.trials.goodSentAt {
 		return
 	}
-	r.bad += (bad - r.bad) / trialMemory
-	r.pressure = min(pressMost, r.pressure+trialStep*(bad-badReads)/badReads)
-	r.trials.on = r.pressure > trialsEnd
+	r.overloadFraction += (bad - r.overloadFraction) / trialOutcomes
+	r.pressure = min(maxPressure, r.pressure+trialStep*(bad-maxBadFractionShedding)/maxBadFractionShedding)
+	r.trials.active = r.pressure > trialsEndPressure
 }
 
-// followPressure brings pressure up to date after a span of seconds.
-func (r *Router) followPressure(span float64) {
-	borne := badMost
+// updatePressure updates pressure after elapsed seconds.
+func (r *Router) updatePressure(elapsed float64) {
+	tolerated := maxBadFraction
 	if r.pressure > 1 {
-		borne = badReads
+		tolerated = maxBadFractionShedding
 	}
-	change := pressGain * min(span, 1) * (r.bad - borne)
-	if r.trials.on {
+	change := pressureGain * min(elapsed, 1) * (r.overloadFraction - tolerated)
+	if r.trials.active {
 		change = min(change, 0)
 	}
-	r.pressure = max(0, min(pressMost, r.pressure+change))
-	r.trials.on = r.pressure >= pressMost || r.trials.on && r.pressure > trialsEnd
+	r.pressure = max(0, min(maxPressure, r.pressure+change))
+	r.trials.active = r.pressure >= maxPressure || r.trials.active && r.pressure > trialsEndPressure
 	if r.pressure > 0.5 {
 		r.log("pressure", fmt.Sprintf("%.0f%% outcomes bad: %.0f%% over shares and %.0f%% of reads away",
-			100*r.bad, 100*min(1, r.pressure), 100*max(0, r.pressure-1)))
+			100*r.overloadFraction, 100*min(1, r.pressure), 100*max(0, r.pressure-1)))
 	}
-	r.bad *= math.Exp(-span / 5)
+	r.overloadFraction *= math.Exp(-elapsed / 5)
 }
 
-// learnPressure guards against overload of the whole fleet, which no instance of hundreds sees
-// at any one server: bad outcomes of all servers are pooled, and a part of the traffic is turned
-// away on arrival, that beyond the shares first. The server's own count is for its health.
+// learnPressure protects the whole fleet against overload, which no router of hundreds sees at any one
+// server. It adds up the bad outcomes of all servers, and a fraction of the traffic is refused on arrival,
+// first the traffic over the tenants' shares. It also counts the outcomes of each server, for its health.
 func (r *Router) learnPressure(q *request, t *attempt, o *Outcome) {
-	s, failed := t.to, o.Status == ServerError || o.Status == Reset || o.Status == ConnectFailed
-	bad := one(t.withdrawn || failed || o.Status == Full || o.Latency.Seconds() > badAt*q.class.Aim.Seconds())
+	s, failed := t.target, o.Status == ServerError || o.Status == Reset || o.Status == ConnectFailed
+	bad := boolToFloat(t.cancelled || failed || o.Status == Full || o.Latency.Seconds() > badLatencyFraction*q.class.Aim.Seconds())
 	if t.failed {
-		bad = r.help // as far as the server was at fault
+		bad = r.retryHelpFraction // the fraction for which the server is likely to blame
 	}
-	if s.unlisted && (t.withdrawn || failed || o.Status == Timeout) {
+	if s.unlisted && (t.cancelled || failed || o.Status == Timeout) {
 		s.Phase = Gone
-		r.rebuild()
+		r.rebuildReady()
 	}
 	if q.Write || bad == 0 && o.Status != OK && o.Status != Miss {
 		return // a write is the origin's work
 	}
-	if !r.set.Aside && o.Status != Reset && o.Status != ConnectFailed {
+	if !r.settings.Aside && o.Status != Reset && o.Status != ConnectFailed {
 		lost := o.Status != OK && o.Status != Miss || o.Latency > q.class.Aim
-		r.learnGate(q.fresh, t.at, one(lost))
+		r.learnGate(q.needsFetch, t.sentAt, boolToFloat(lost))
 	}
 	if !s.origin {
-		r.paths[s.Zone] += (bad - r.paths[s.Zone]) / pathOver
+		r.pathBadFraction[s.Zone] += (bad - r.pathBadFraction[s.Zone]) / pathOutcomes
 	}
-	clear := r.path(s.Zone) >= 1
+	clear := r.pathHealth(s.Zone) >= 1
 	switch {
-	case q.fresh || s.origin || failed || !clear:
-	case r.trials.on:
+	case q.needsFetch || s.origin || failed || !clear:
+	case r.trials.active:
 		r.learnTrial(t, bad)
 	default:
-		r.bad += (bad - r.bad) / min(64, max(8, r.rate))
+		r.overloadFraction += (bad - r.overloadFraction) / min(64, max(8, r.answerRate))
 	}
 	if s.origin || !clear {
 		return
 	}
-	old := math.Exp(-(r.now - s.seenAt).Seconds() / healthFade)
-	old *= min(1, healthMost/(1+s.seen))
-	s.seen, s.sick, s.seenAt = 1+old*s.seen, bad+old*s.sick, r.now
+	decay := math.Exp(-(r.now - s.outcomesAt).Seconds() / healthDecay)
+	decay *= min(1, maxHealthOutcomes/(1+s.outcomes))
+	s.outcomes, s.badOutcomes, s.outcomesAt = 1+decay*s.outcomes, bad+decay*s.badOutcomes, r.now
 	if h := r.health(s); bad > 0 && h < 0.3 {
 		r.log("sick", fmt.Sprintf("server %08x: %.0f of %.0f outcomes bad, keeps %.0f%% of its weight",
-			s.ID, s.sick, s.seen, 100*h))
+			s.ID, s.badOutcomes, s.outcomes, 100*h))
 	}
-	r.ill += (bad - r.ill) / min(64, max(8, r.rate))
+	r.badFraction += (bad - r.badFraction) / min(64, max(8, r.answerRate))
 }
--- a/pressure_test.go
+++ b/pressure_test.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// An overload of the whole fleet shows in bad outcomes: a part of the traffic is turned away on
-// arrival, that beyond the shares first, and writes not at all.
-func TestPressureShedsLowWorthFirst(t *testing.T) {
+// An overload of the whole fleet shows in bad outcomes. A fraction of the traffic is refused on arrival, first the requests over
+// their tenant's share. Writes within the share are not refused.
+func TestPressureRefusesOverShareFirst(t *testing.T) {
 	set := testSettings()
-	set.Tenants = []Tenant{{0}} // no allowance: all of tenant 0 is beyond its share
+	set.Tenants = []Tenant{{0}} // no allowance: all requests of tenant 0 are over its share
 	r, p := newRouter(set, fleet(1, 1))
-	r.buckets[0].level = 0
+	r.buckets[0].tokens = 0
 	for _, c := range []struct {
 		bad       float64
-		low, high int // at least so many refused of 100
+		low, high int // at least this many refused of 100
 	}{{0.05, 0, 0}, {0.2, 90, 0}, {0.9, 90, 90}} {
 		for i := 0; i < 60; i++ {
 			r.now += 100 * time.Millisecond
-			r.bad = c.bad
+			r.overloadFraction = c.bad
 			r.sweep()
 		}
 		p.refused = map[uint32]bool{}
 		low, high, writes := 0, 0, 0
 		for id := uint32(1); id <= 300; id++ {
-			q := Request{ID: r.now2() + id, Key: uint64(id), Tenant: int(id%3) * 9, Remaining: time.Second}
+			q := Request{ID: r.idBase() + id, Key: uint64(id), Tenant: int(id%3) * 9, Remaining: time.Second}
 			if q.Tenant == 18 {
 				q.Class, q.Write = 1, true
 			}
@@ -39,13 +39,13 @@
 			}
 		}
 		if low < c.low || high < c.high || c.low == 0 && low > 0 || c.high == 0 && high > 0 || writes > 0 {
-			t.Errorf("%.2f bad: refused %d beyond the share, %d within, %d writes", c.bad, low, high, writes)
+			t.Errorf("%.2f bad: refused %d reads over the share, %d within, %d writes", c.bad, low, high, writes)
 		}
 	}
 }
 
-// Under no pressure nobody is refused, whatever the shares.
-func TestNobodyRefusedAtEase(t *testing.T) {
+// Without pressure nothing is refused, whatever the shares.
+func TestNothingRefusedUnderNormalLoad(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{1}}
 	r, p := newRouter(set, fleet(1, 1))
@@ -58,9 +58,9 @@
 	}
 }
 
-// Under pressure that turns reads away, a failed read is not tried again: it would feed the
-// overload. A miss still goes on to the origin.
-func TestNoFurtherAttemptUnderPressure(t *testing.T) {
+// Under pressure that refuses reads, a failed read is not retried, because that would add to the overload. A miss still goes on
+// to the origin.
+func TestNoRetryUnderPressure(t *testing.T) {
 	for _, c := range []struct {
 		pressure float64
 		sends    int
--- a/router.go
+++ b/router.go
@@ -1,12 +1,13 @@
 package hoptiller
 
-// All decisions of the library are in this file, slow_start.go, pressure.go, window.go and gate.go; api.go
-// has the interface.
+// All decisions of the package are in this file, slow_start.go, pressure.go, window.go, gate.go and
+// observations.go; api.go declares the interface.
 //
-// A read goes to the ready server with the lowest -ln(1-r)/w, r = h(server, h(key)) in [0,1),
-// w = rating x fade(age) x health x path x speed, the last three 1 on the ordinary path. choose walks
-// that ranking: the first with room gets the request. What guards against trouble lowers a weight, or
-// skips a server for one request. Times, rates and sizes come from the settings and what is seen.
+// The servers for a key are ranked by weighted rendezvous hashing: a read goes to the ready server with the
+// lowest -ln(1-r)/w, where r = h(server, h(key)) is in [0,1) and w = listed weight x warm-up x health x path
+// x speed. The last three factors are 1 as long as nothing is wrong. chooseServer walks the ranking, and the
+// first server with room gets the request. Each protection against a fault lowers a weight or skips a server
+// for one request. Times, rates and sizes come from the settings and from what the router observes.
 
 import (
 	"cmp"
@@ -19,254 +20,285 @@
 )
 
 const (
-	watchFirst = 600 * time.Millisecond // usual wait after a first broken watch or failed call for the list
-	watchMost  = time.Second            // after any: with the longest call under 6 s
-
-	sweepTick = 10 * time.Millisecond // how finely deadlines and silence are watched
-
-	tokSweep, tokWatch = 1, 2 // timers
-
-	badAt       = 0.5  // an answer after this part of the aim, a time-out or a refusal is bad
-	idleExcess  = 0.3  // idle connections lost this much more often than others are closed before use
-	idleFade    = 20.0 // seconds over which that is forgotten, to try again
-	keyMemory   = 96   // reads over which the parts of keys are judged
-	hotPart     = 4.0  // homes for each server's worth of reads of one key
-	farWeight   = 0.02 // what servers of other zones count where homes are in the own zone
-	silentAfter = 4    // usual latencies without a word that are held for silence
-	passedAfter = 5    // and that one waits for its answer when others have overtaken it,
-	passedAim   = 0.6  // where that is less than this part of the aim: else another attempt is waste
-	silentAim   = 0.75 // part of the aim that a server in good standing has at the least
-	spread      = 3    // full servers looked at for a key
-	pathExcess  = 0.4  // and held bad if so much worse than the best way
-	speedLeast  = 1.5  // a kind of machine that takes so much longer than the fastest gets less
-	speedOver   = 12.0 // outcomes over which a kind is judged
-	pathOver    = 12.0 // outcomes over which the way to a zone is judged
-	healthFade  = 20.0 // seconds over which outcomes fade
-	healthPrior = 0.05 // good outcomes added: a first bad one in a long time moves nearly all keys
-	healthMost  = 4    // and of them this many count at most
-	healthSlack = 1.25 // a server this little under its peers counts in full
-	healthLeast = 0.03 // what a sick server keeps of its weight, so that it is seen to mend
-	keyHeld     = 20.0 // seconds for which a key answered here is held to be kept at its home
-	originFirst = 2.4  // fetches that may be out at first for each cache, at all balancers
-	originLeast = 4.0  // and at each of them
-	originLate  = 1.5  // how much later a fetch may come than what is kept, and be no sign of a queue
-	lateOver    = 8.0  // fetches over which late ones are counted:
-	lateBorne   = 0.15 // one of them is its own work, a second is a queue
-	comeBack    = 0.25 // part of the aim after which the refused are told to come: two waits and answers fit
+	// A watch that breaks or a call for the list that fails is repeated after about watchRetryFirst, and
+	// after at most watchRetryMax on later failures. Together with the longest call that stays under 6 s.
+	watchRetryFirst = 600 * time.Millisecond
+	watchRetryMax   = time.Second
+
+	sweepInterval = 10 * time.Millisecond // how often deadlines and silent servers are checked
+
+	tokenSweep, tokenWatch = 1, 2 // timer tokens
+
+	// A time-out, a refusal or an answer after this fraction of the aim is a bad outcome.
+	badLatencyFraction = 0.5
+	// Idle connections are closed before use if attempts on them are lost this much more often than on
+	// others.
+	idleLossExcess = 0.3
+	// The loss on idle connections is forgotten over this many seconds, so that they are tried again.
+	idleLossDecay = 20.0
+	// A key's share of the reads is taken over the latest keyCountWindow reads.
+	keyCountWindow = 96
+	// A hot key gets this many homes for each server's worth of reads of that key.
+	homesPerServerLoad = 4.0
+	// If keys have a home in each zone, servers of other zones count with this fraction of their weight.
+	otherZoneWeight = 0.02
+	// A server is silent if it has sent nothing for this many usual latencies.
+	silentLatencies = 4
+	// An attempt is overtaken if a later one has its answer and it has waited for this many usual latencies.
+	// The rule holds only if that is less than overtakenAimFraction of the aim; otherwise another attempt is
+	// wasted.
+	overtakenLatencies   = 5
+	overtakenAimFraction = 0.6
+	// A server in good standing may be silent for at least this fraction of the aim.
+	silentAimFraction = 0.75
+	// This many full servers are passed for a key before the request is refused.
+	maxFullServers = 3
+	// The path to a zone is bad if its fraction of bad outcomes exceeds that of the best path by this much.
+	pathBadExcess = 0.4
+	// A kind of machine that takes at least this many times as long as the fastest kind gets fewer keys.
+	minSlowdown   = 1.5
+	speedOutcomes = 12.0 // a kind's latency is averaged over this many outcomes
+	pathOutcomes  = 12.0 // a path's outcomes are averaged over this many
+	healthDecay   = 20.0 // the weight of past outcomes decays over this many seconds
+	// This many good outcomes are added to the count, so that a first bad outcome in a long time moves nearly
+	// all keys of a server.
+	healthPrior       = 0.05
+	maxHealthOutcomes = 4 // at most this many past outcomes count
+	// A server whose fraction of good outcomes times healthSlack reaches that of all servers counts in full.
+	healthSlack = 1.25
+	// An unhealthy server keeps this fraction of its weight, so that the router sees when it recovers.
+	minHealth = 0.03
+	// A key that was answered here counts as cached at its home for this many seconds.
+	keyCachedFor = 20.0
+	// At first all routers together may have this many fetches in flight for each cache, and each router may
+	// have at least minOriginWindow.
+	originWindowPerCache = 2.4
+	minOriginWindow      = 4.0
+	// A fetch may take this many times as long as a read of a cached key before it is a sign of a queue.
+	originLateFactor = 1.5
+	// The fraction of late fetches is averaged over lateFetchOutcomes. One late fetch of that many is due to
+	// its own work, a second one to a queue, so a fraction up to maxLateFetches is tolerated.
+	lateFetchOutcomes = 8.0
+	maxLateFetches    = 0.15
+	// A refused client is told to come back after this fraction of the aim: two such waits and their answers
+	// fit into the aim.
+	retryAfterFraction = 0.25
 )
 
-// server is what this instance knows of one server process.
+// server holds what this router knows of one process of a cache server or origin.
 type server struct {
 	Server
-	origin     bool
-	unlisted   bool          // has left a list that is no proof of that
-	weight     float64       // rating x fade x health, as of the last sweep
-	score      float64       // for the key ranked last
-	out        int           // own attempts outstanding
-	most       int           // out at once since the window was cut
-	heard      time.Duration // last answer of any kind
-	passed     time.Duration // when the latest attempt that has an answer was sent
-	late       float64       // of an origin: part of its latest reads
-	window     float64       // own attempts that may be out before keys pass on
-	cutAt      time.Duration
-	idleAt     time.Duration // end of the last attempt; 0: none since connections were last closed
-	seen, sick float64       // outcomes and bad ones of the last seconds, as of seenAt
-	seenAt     time.Duration
-	asked      float64 // lately, of a cold server; see coldRoom
-	askedAt    time.Duration
-	sent       []time.Duration // own attempts of the latest fall window
-	toldAt     time.Duration   // when this start was listed
-	coldSince  time.Duration   // when the process started, at the latest
-	presumed   presumption     // of a start that is not listed yet
-}
-
-// attempt is one send of a request.
+	origin                bool
+	unlisted              bool          // is absent from a list, but absence does not mean removal
+	weight                float64       // listed weight x warm-up x health x path x speed x zone, as of the last update
+	score                 float64       // position in the ranking of the last key; the lowest is first
+	inFlight              int           // own attempts that have not ended
+	peakInFlight          int           // most own attempts in flight at once since the window was last cut
+	lastAnswerAt          time.Duration // when any answer last came
+	lastAnsweredSentAt    time.Duration // when the latest of the attempts that were answered was sent
+	lateFraction          float64       // of an origin: fraction of its latest reads that were late
+	window                float64       // own attempts that may be in flight before keys go to the next server
+	windowCutAt           time.Duration // when the window was last cut
+	idleSince             time.Duration // end of the last attempt; 0: none since its connections were last closed
+	outcomes, badOutcomes float64       // outcomes and bad outcomes of the last seconds, decayed up to outcomesAt
+	outcomesAt            time.Duration
+	coldRequests          float64 // requests lately considered for it while cold, decayed; see coldHasRoom
+	coldRequestsAt        time.Duration
+	recentSends           []time.Duration // when own attempts within the latest collapseWindow were sent
+	listedAt              time.Duration   // when the list last gave this start time
+	latestStart           time.Duration   // latest time at which the process can have started
+	inferred              inferredRestart // a restart that is not listed yet
+}
+
+// attempt is one attempt of a request.
 type attempt struct {
-	to        *server
-	at        time.Duration
-	open      bool
-	withdrawn bool
-	ran       bool          // may have run: not known to have been turned away
-	idle      time.Duration // how long its connection had been without use; 0: a new one, or one in use
-	stale     bool          // lost with an idle connection, which says nothing of the server
-	spent     bool          // out of the budget
-	failed    bool          // ended with an error
-	ended     Status        // once it is not open
-}
-
-// request is one client request that is not closed, or whose attempts are still out.
+	target     *server
+	sentAt     time.Duration // when it was sent
+	open       bool          // has not ended
+	cancelled  bool          // this router cancelled it or tried to
+	mayHaveRun bool          // false once the server is known to have refused or not received it
+	connIdle   time.Duration // how long its connection was unused; 0: a new connection or one in use
+	staleConn  bool          // lost with an idle connection, which says nothing about the server
+	usedBudget bool          // counts against the retry budget
+	failed     bool          // ended with ServerError
+	endStatus  Status        // valid once open is false
+}
+
+// request is a client request that is not closed or has attempts in flight.
 type request struct {
 	Request
-	class   *Class
-	end     time.Duration // latest time for the final answer
-	low     bool          // beyond its tenant's share
-	fresh   bool          // a read that its server may have to fetch from the origin
-	closed  bool
-	missed  bool // its home answered miss
-	granted int  // misses, each of which grants an attempt outside the budget
-	tries   []attempt
+	class      *Class
+	answerBy   time.Duration // latest time for the final answer
+	overShare  bool          // exceeds its tenant's share
+	needsFetch bool          // a read that its server may have to fetch from the origin
+	closed     bool          // has its final answer
+	homeMissed bool          // a cache answered with a miss
+	missGrants int           // unused permissions for an attempt outside the budget; each miss gives one
+	attempts   []attempt
 }
 
-// bucket meters one tenant's traffic against its share.
+// bucket is the token bucket that meters a tenant's traffic against its share.
 type bucket struct {
-	level float64
-	at    time.Duration
+	tokens    float64
+	updatedAt time.Duration
 }
 
-// Router decides for one balancer instance. Make one with New.
+// Router makes the decisions of one router instance. New creates one.
 type Router struct {
-	set             Settings
-	act             Actions
-	rng, salt       uint64
-	now             time.Duration
-	known           map[uint32]*server // listed, or with attempts still out
-	caches, origins []*server          // ready, by id
-	reqs            map[uint32]*request
-	order           []*request     // by arrival, until the sweep after their last outcome
-	keys            map[uint64]int // reads lately, by key
-	reads           int            // and in all
-	buckets         []bucket
-	taken, further  []time.Duration // requests, and attempts out of the budget, within its window
-	usual           []float64       // smoothed latency of answers by class, seconds
-	ranked          []*server
-
-	former   formerStarts
-	listedAt time.Duration // when the list was told or changed last; 0: not yet
-	firstAt  time.Duration // when the first one was told
-
-	rate              float64 // answers a second from warm caches, smoothed
-	served            int     // of them that were no misses
-	carried, warm     float64 // and those a second, and the weight of warm caches, smoothed alike
-	rateAt            time.Duration
-	answers, arrived  int
-	arrivals          float64       // requests a second, smoothed
-	hits              float64       // part of the answers of caches, smoothed
-	upWeight          float64       // weight of all servers that are up
-	unit              float64       // answers a second that a unit of warm weight is seen to carry
-	lostIdle, lostNew float64       // parts of attempts lost on idle connections, and on others
-	reapAge           time.Duration // the shortest that one of them had been without use
-	bad               float64       // part of outcomes over all servers that are signs of load
-	ill               float64       // and of all trouble
-	badFetch, badKept float64       // parts that end badly of what needs the origin, and of the rest
-	fetchAt           time.Duration // last outcome of such
-	gate              float64       // part of the reads that need the origin that is let through
-	gateFalling       bool          // the latest fetch that counts ended badly
-	gateBefore        float64       // the gate when such a run began
-	fetchedWell       time.Duration // when the latest fetch was sent that ended well
-
-	help  float64                  // part of requests that another server answers after an error
-	times map[int]float64          // latencies over the usual, by kind of machine
-	paths map[int]float64          // parts of bad outcomes, by the server's zone
-	held  map[uint64]time.Duration // when keys were last answered here
-
-	pressure           float64 // 0 at ease; traffic beyond shares is turned away up to 1, then reads
-	trials             trials  // of reads, while nearly all are turned away
-	sweeping, watching bool
-	watchFail          int
-	logged             map[string]time.Duration
+	settings                 Settings
+	actions                  Actions
+	randomState, salt        uint64 // state of the random sequence; places this router among a hot key's homes
+	now                      time.Duration
+	servers                  map[uint32]*server // by id; listed, or with attempts in flight
+	caches, origins          []*server          // ready ones, sorted by id
+	requests                 map[uint32]*request
+	requestOrder             []*request      // by arrival; a request stays until the sweep after its last outcome
+	keyReads                 map[uint64]int  // recent reads by key, for hot keys
+	readCount                int             // sum of keyReads
+	buckets                  []bucket        // by tenant
+	requestTimes, retryTimes []time.Duration // requests, and attempts that count against the budget, within the budget window
+	usualLatency             []float64       // smoothed latency of answers in seconds, by class
+	rankBuffer               []*server       // buffer of ranking
+
+	former      formerStarts  // listed starts of servers that left the list
+	lastListAt  time.Duration // when the list last came or changed; 0: not yet
+	firstListAt time.Duration // when the first list came
+
+	answerRate                          float64       // answers per second from warm caches, smoothed
+	served                              int           // answers of warm caches that were hits, since ratesAt
+	servedRate, warmWeight              float64       // hits per second from warm caches, and the weight of those caches; both smoothed alike
+	ratesAt                             time.Duration // when the counts were last turned into rates
+	answers, arrived                    int           // answers of warm caches, and requests, since ratesAt
+	arrivalRate                         float64       // requests per second, smoothed
+	hitFraction                         float64       // fraction of the caches' answers that are hits, smoothed
+	readyWeight                         float64       // sum of the weights of all ready caches
+	ratePerWeight                       float64       // hits per second that a unit of warm weight is seen to serve
+	idleLossFraction, newLossFraction   float64       // fractions of attempts lost on idle connections and on all others, smoothed
+	shortestLostIdle                    time.Duration // shortest idle time of a connection that was lost
+	overloadFraction                    float64       // smoothed fraction of outcomes, over all servers, that are signs of overload
+	badFraction                         float64       // smoothed fraction of outcomes, over all servers, that are bad for any reason
+	badFetchFraction, badCachedFraction float64       // fractions of bad outcomes among reads that need the origin and among the others
+	lastFetchAt                         time.Duration // when the last fetch through a server ended
+	gate                                float64       // fraction of the reads that may need the origin that is let through
+	gateFalling                         bool          // the latest fetch that counts ended badly
+	gateBeforeRun                       float64       // the gate when the current or last run of bad fetches began
+	lastGoodFetchSentAt                 time.Duration // when the latest fetch that ended well was sent
+
+	retryHelpFraction float64                  // fraction of server errors after which another server answers
+	relativeLatency   map[int]float64          // smoothed latency relative to the usual one, by kind of machine
+	pathBadFraction   map[int]float64          // smoothed fraction of bad outcomes, by the server's zone
+	cachedAt          map[uint64]time.Duration // when a key was last answered here
+
+	// pressure is 0 under normal load. Up to 1 it is the fraction of requests over their tenant's share that
+	// is refused; beyond 1 reads are refused as well.
+	pressure             float64
+	trials               trials                   // reads let through while nearly all are refused
+	sweepArmed, watching bool                     // the sweep timer is set; the list is watched
+	watchFailures        int                      // failures since the list last came
+	lastLogged           map[string]time.Duration // when a line of a kind was last logged
 }
 
 var unknownClass = Class{Effect: AtMostOnce, Worth: 1, LateValue: 1}
 
-// New returns a Router without servers; seed is its one source of chance.
-func New(now time.Duration, set Settings, seed uint64, act Actions) *Router {
-	if set.MaxAttempts <= 0 {
-		set.MaxAttempts = 1
-	}
-	r := &Router{set: set, act: act, rng: seed, salt: mix(seed), now: now,
-		known: map[uint32]*server{}, reqs: map[uint32]*request{}, keys: map[uint64]int{},
-		logged: map[string]time.Duration{}, former: formerStarts{},
-		buckets: make([]bucket, len(set.Tenants)), usual: make([]float64, len(set.Classes)),
-		rateAt: now, gate: 1, help: 1, hits: 1, held: map[uint64]time.Duration{},
-		paths: map[int]float64{}, times: map[int]float64{}}
+// New returns a Router without servers. The seed is its only source of randomness.
+func New(now time.Duration, settings Settings, seed uint64, actions Actions) *Router {
+	if settings.MaxAttempts <= 0 {
+		settings.MaxAttempts = 1
+	}
+	r := &Router{settings: settings, actions: actions, randomState: seed, salt: mix(seed), now: now,
+		servers: map[uint32]*server{}, requests: map[uint32]*request{}, keyReads: map[uint64]int{},
+		lastLogged: map[string]time.Duration{}, former: formerStarts{},
+		buckets: make([]bucket, len(settings.Tenants)), usualLatency: make([]float64, len(settings.Classes)),
+		ratesAt: now, gate: 1, retryHelpFraction: 1, hitFraction: 1, cachedAt: map[uint64]time.Duration{},
+		pathBadFraction: map[int]float64{}, relativeLatency: map[int]float64{}}
 	for i := range r.buckets {
 		r.buckets[i] = bucket{r.tenantRate(i) + 10, now}
 	}
-	if set.ListOnRequest {
-		act.SetTimer(tokWatch, r.jitter(set.AskWithin/20))
+	if settings.ListOnRequest {
+		actions.SetTimer(tokenWatch, r.jitter(settings.AskWithin/20))
 	}
 	return r
 }
 
-// ---- the list ----
+// ---- the server list ----
 
-// List takes what discovery says of the servers.
+// List applies a list event from discovery.
 func (r *Router) List(now time.Duration, kind ListKind, entries []Server) {
 	r.now = now
 	if kind == ListFailed {
 		r.watching = false
-		r.watchFail++
-		base := min(watchFirst*time.Duration(r.watchFail), watchMost)
-		base = min(base, cmp.Or(r.set.AskWithin/4, base))
-		r.act.SetTimer(tokWatch, base/2+r.jitter(base))
+		r.watchFailures++
+		base := min(watchRetryFirst*time.Duration(r.watchFailures), watchRetryMax)
+		base = min(base, cmp.Or(r.settings.AskWithin/4, base))
+		r.actions.SetTimer(tokenWatch, base/2+r.jitter(base))
 		return
 	}
-	if kind != ListCached && r.set.ListOnRequest {
-		r.watchFail = 0 // it may be the last word of a watch whose successor is still to be opened
+	if kind != ListCached && r.settings.ListOnRequest {
+		r.watchFailures = 0 // but don't set watching: this may be the last message of a watch that has ended
 	}
-	r.firstAt = cmp.Or(r.firstAt, now)
+	r.firstListAt = cmp.Or(r.firstListAt, now)
 	listed := make(map[uint32]bool, len(entries))
 	for _, e := range entries {
 		listed[e.ID] = true
-		r.entry(e, kind)
+		r.updateServer(e, kind)
 	}
 	if kind != ListDelta {
-		for id, s := range r.known {
+		for id, s := range r.servers {
 			if !listed[id] {
-				r.leave(s)
+				r.handleAbsence(s)
 			}
 		}
 	}
-	if kind != ListCached { // which may be of long ago
-		r.listedAt = now
+	if kind != ListCached { // a cached list may be old
+		r.lastListAt = now
 	}
-	r.rebuild()
+	r.rebuildReady()
 }
 
-// entry takes one list entry. A new start time is a new process: what was learned of the
-// old one is forgotten, but its attempts still count until their outcomes are in.
-func (r *Router) entry(e Server, kind ListKind) {
-	s := r.known[e.ID]
+// updateServer applies one list entry. A new start time means a new process: what was learned about the old
+// one is forgotten, but its attempts still count as in flight until their outcomes come.
+func (r *Router) updateServer(e Server, kind ListKind) {
+	s := r.servers[e.ID]
 	if s != nil && e.Phase == Gone {
-		r.leave(s)
+		r.handleAbsence(s)
 		return
 	}
 	if s == nil {
 		s = &server{}
-		r.known[e.ID] = s
+		r.servers[e.ID] = s
 	}
 	if s.Started != e.Started || s.window == 0 {
-		coldSince := r.startOf(s, &e, kind)
-		*s = server{out: s.out, window: math.Inf(1), heard: r.now, sent: s.sent,
-			toldAt: r.now, coldSince: coldSince}
+		latestStart := r.latestStartOf(s, &e, kind)
+		*s = server{inFlight: s.inFlight, window: math.Inf(1), lastAnswerAt: r.now, recentSends: s.recentSends,
+			listedAt: r.now, latestStart: latestStart}
 	}
 	if !(e.Weight > 0) || math.IsInf(e.Weight, 1) {
 		e.Weight = 1
 	}
 	s.Server, s.unlisted = e, false
-	s.origin = r.set.OriginKind >= 0 && e.Kind == r.set.OriginKind
+	s.origin = r.settings.OriginKind >= 0 && e.Kind == r.settings.OriginKind
 	if !s.origin {
-		r.times[e.Kind] = cmp.Or(r.times[e.Kind], 1)
+		r.relativeLatency[e.Kind] = cmp.Or(r.relativeLatency[e.Kind], 1)
 	}
 }
 
-// leave takes a server's absence from the list. Where that binds no one, one that was not told to
-// drain keeps its keys for as long as it answers; the first bad outcome then ends it.
-func (r *Router) leave(s *server) {
-	if r.set.RemovalNotBinding && s.Phase == Ready {
+// handleAbsence handles a server that has left the list. If absence does not mean removal, a server that was
+// not draining keeps its keys while it answers, and its first bad outcome removes it.
+func (r *Router) handleAbsence(s *server) {
+	if r.settings.RemovalNotBinding && s.Phase == Ready {
 		s.unlisted = true
 	} else {
 		s.Phase = Gone
 	}
 }
 
-// rebuild keeps the ready servers in order of id, so that no result hangs on map order.
-func (r *Router) rebuild() {
+// rebuildReady sorts the ready servers by id, so that no result depends on map order.
+func (r *Router) rebuildReady() {
 	r.caches, r.origins = r.caches[:0], r.origins[:0]
-	for id, s := range r.known {
-		if s.Phase == Gone && s.out == 0 {
-			r.former.keep(s)
-			delete(r.known, id)
+	for id, s := range r.servers {
+		if s.Phase == Gone && s.inFlight == 0 {
+			r.former.add(s)
+			delete(r.servers, id)
 		} else if s.Phase == Ready && s.origin {
 			r.origins = append(r.origins, s)
 		} else if s.Phase == Ready {
@@ -276,22 +308,22 @@
 	byID := func(a, b *server) int { return cmp.Compare(a.ID, b.ID) }
 	slices.SortFunc(r.caches, byID)
 	slices.SortFunc(r.origins, byID)
-	r.weigh()
+	r.updateWeights()
 }
 
 // ---- the ranking ----
 
-func (r *Router) weigh() {
-	r.followPresumed()
-	r.upWeight = 0
+func (r *Router) updateWeights() {
+	r.updateInferred()
+	r.readyWeight = 0
 	for _, s := range r.caches {
-		rating := s.Weight * r.listedFade(s)
-		s.weight = rating * r.health(s) * r.path(s.Zone) * r.speed(s.Kind) * r.near(s.Zone)
-		r.upWeight += s.weight
+		rating := s.Weight * r.listedProgress(s)
+		s.weight = rating * r.health(s) * r.pathHealth(s.Zone) * r.kindSpeed(s.Kind) * r.zoneWeight(s.Zone)
+		r.readyWeight += s.weight
 	}
 }
 
-// mix is a 64-bit finaliser of good quality (the constants are splitmix64's).
+// mix is the 64-bit finalizer of splitmix64, a good hash of one integer.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -299,25 +331,27 @@
 	return x ^ x>>31
 }
 
-// score is the paper's height of a key at a server.
+// score is the rank value of weighted rendezvous hashing: -ln(1-r)/w for a key at a server. The lowest score
+// wins.
 func score(id uint32, hashedKey uint64, weight float64) float64 {
 	u := (float64(mix(hashedKey^mix(uint64(id)))>>11) + 0.5) / (1 << 53)
 	return -math.Log1p(-u) / weight
 }
 
-// ranking yields the ready caches by score, lowest first, ties by id. The first takes one pass.
+// ranking yields the ready caches by score, lowest first, with ties broken by id. Finding the first takes one
+// pass over the caches.
 func (r *Router) ranking(q *request) iter.Seq[*server] {
 	x := q.Key
 	if x == 0 {
-		x = mix(uint64(q.ID) ^ r.rng) // no key: any server, the same one on each try
+		x = mix(uint64(q.ID) ^ r.randomState) // without a key: any server, but the same ranking for each attempt
 	}
 	x = mix(x)
 	for _, s := range r.caches {
 		s.score = score(s.ID, x, s.weight)
 	}
 	return func(yield func(*server) bool) {
-		rest := append(r.ranked[:0], r.caches...)
-		r.ranked = rest
+		rest := append(r.rankBuffer[:0], r.caches...)
+		r.rankBuffer = rest
 		for ; len(rest) > 0; rest = rest[1:] {
 			best := 0
 			for i, s := range rest {
@@ -333,166 +367,174 @@
 	}
 }
 
-// count keeps the reads of late by key; all counts are halved once there are keyMemory.
-func (r *Router) count(key uint64) {
-	r.keys[key]++
-	if r.reads++; r.reads < keyMemory {
+// countRead counts recent reads by key. All counts are halved once they add up to keyCountWindow.
+func (r *Router) countRead(key uint64) {
+	r.keyReads[key]++
+	if r.readCount++; r.readCount < keyCountWindow {
 		return
 	}
-	r.reads /= 2
-	for k, n := range r.keys {
-		if r.keys[k] = n / 2; n < 2 {
-			delete(r.keys, k)
+	r.readCount /= 2
+	for k, n := range r.keyReads {
+		if r.keyReads[k] = n / 2; n < 2 {
+			delete(r.keyReads, k)
 		}
 	}
 }
 
-// part tells what part of the reads a key has.
-func (r *Router) part(key uint64) float64 {
-	return float64(r.keys[key]) / float64(max(r.reads, keyMemory/2))
+// keyFraction returns the fraction of recent reads that are for a key.
+func (r *Router) keyFraction(key uint64) float64 {
+	return float64(r.keyReads[key]) / float64(max(r.readCount, keyCountWindow/2))
 }
 
-// homes guards against hot keys, which no window shows where each instance sees little: one with
-// more than a quarter of a server's worth of the reads gets as many next-best homes as carry it,
-// the instances spread evenly over them. It tells how many of the first to pass over.
-func (r *Router) homes(q *request) int {
-	part, n := r.part(q.Key), float64(len(r.caches))
-	if len(q.tries) > 0 || part*n < 1 || r.keys[q.Key] < 3 { // two by chance would be a miss at each home
+// homesToSkip protects a server from a hot key, which no window shows if each router sees little of it. A key
+// with more than a quarter of one server's share of the reads gets as many next-best homes as can serve it,
+// and the routers spread evenly over them. It returns how many of the first servers in the ranking to skip.
+func (r *Router) homesToSkip(q *request) int {
+	fraction, n := r.keyFraction(q.Key), float64(len(r.caches))
+	// Two reads of a key may be coincidence, and spreading the key would cost a miss at each home.
+	if len(q.attempts) > 0 || fraction*n < 1 || r.keyReads[q.Key] < 3 {
 		return 0
 	}
-	return int(float64(mix(q.Key^r.salt)>>11) / (1 << 53) * math.Ceil(min(1, part*hotPart)*n))
+	return int(float64(mix(q.Key^r.salt)>>11) / (1 << 53) * math.Ceil(min(1, fraction*homesPerServerLoad)*n))
 }
 
-// choose walks the ranking for a server that is up, has room and may get the request,
-// untried ones first. Where the first few are full, to walk on would only spread cold keys.
-func (r *Router) choose(q *request) *server {
-	var tried *server
-	full, pass := 0, r.homes(q)
+// chooseServer returns the first server in the ranking that is up, has room and may get the request. It
+// prefers servers that the request has not tried. It returns nil once the first few are full, since going on
+// would only spread keys that few others read.
+func (r *Router) chooseServer(q *request) *server {
+	var fallback *server
+	fullCount, skip := 0, r.homesToSkip(q)
 	for s := range r.ranking(q) {
 		if q.Narrow != nil && !q.Narrow.Allows(s.ID) {
 			continue
 		}
-		if !r.coldRoom(q, s, full+len(q.tries) == 0) || !r.mayResend(q, s) {
+		if !r.coldHasRoom(q, s, fullCount+len(q.attempts) == 0) || !r.mayResend(q, s) {
 			continue
 		}
-		if pass--; pass >= 0 || q.tried(s) {
-			tried = cmp.Or(tried, s)
+		if skip--; skip >= 0 || q.hasTried(s) {
+			fallback = cmp.Or(fallback, s)
 			continue
 		}
 		if r.hasRoom(s) {
 			return s
 		}
-		if full++; full >= spread {
+		if fullCount++; fullCount >= maxFullServers {
 			return nil
 		}
 	}
-	return tried
+	return fallback
 }
 
-// tried tells whether a server had its chance: not where a connection ended that is no fault of it.
-func (q *request) tried(s *server) bool {
-	had := func(t attempt) bool { return t.to == s && !t.stale && !(t.withdrawn && s.passed > t.at) }
-	return slices.ContainsFunc(q.tries, had)
+// hasTried reports whether a server has had its chance at the request. An attempt doesn't count if its
+// connection failed through no fault of the server.
+func (q *request) hasTried(s *server) bool {
+	hadChance := func(t attempt) bool {
+		return t.target == s && !t.staleConn && !(t.cancelled && s.lastAnsweredSentAt > t.sentAt)
+	}
+	return slices.ContainsFunc(q.attempts, hadChance)
 }
 
-func (q *request) out() bool {
-	return slices.ContainsFunc(q.tries, func(t attempt) bool { return t.open })
+func (q *request) hasOpenAttempt() bool {
+	return slices.ContainsFunc(q.attempts, func(t attempt) bool { return t.open })
 }
 
 // ---- requests ----
 
 func (r *Router) classOf(i int) *Class {
-	if i < 0 || i >= len(r.set.Classes) {
+	if i < 0 || i >= len(r.settings.Classes) {
 		return &unknownClass
 	}
-	return &r.set.Classes[i]
+	return &r.settings.Classes[i]
 }
 
-// Request takes a client request.
+// Request handles a new client request.
 func (r *Router) Request(now time.Duration, in Request) {
 	r.now = now
-	if r.reqs[in.ID] != nil {
+	if r.requests[in.ID] != nil {
 		return
 	}
-	if r.set.BudgetWindow > 0 {
-		r.taken = append(since(r.taken, now-r.set.BudgetWindow), now)
+	if r.settings.BudgetWindow > 0 {
+		r.requestTimes = append(dropBefore(r.requestTimes, now-r.settings.BudgetWindow), now)
 	}
 	if r.arrived++; in.Key != 0 && !in.Write {
-		r.count(in.Key)
-	}
-	q := &request{Request: in, class: r.classOf(in.Class), tries: make([]attempt, 0, 3)}
-	q.end = now + in.Remaining
-	q.low = !r.withinShare(in.Tenant)
-	if (q.class.LateValue <= 0 || r.set.TailPart > 0) && q.class.Aim > 0 {
-		// Later is worth nothing, or less: say so early. A client's own retry had its lack of time before.
-		spent := time.Duration(one(q.Retry)) * max(0, q.class.Deadline-q.Remaining)
-		q.end = min(q.end, now+q.class.Aim-spent-r.set.Tick)
-	}
-	r.reqs[in.ID] = q
-	r.order = append(r.order, q)
+		r.countRead(in.Key)
+	}
+	q := &request{Request: in, class: r.classOf(in.Class), attempts: make([]attempt, 0, 3)}
+	q.answerBy = now + in.Remaining
+	q.overShare = !r.withinShare(in.Tenant)
+	if (q.class.LateValue <= 0 || r.settings.TailPart > 0) && q.class.Aim > 0 {
+		// An answer after the aim is worth nothing or less, so the request is ended just before the aim. A
+		// client's own retry has already used up part of that time.
+
+		elapsed := time.Duration(boolToFloat(q.Retry)) * max(0, q.class.Deadline-q.Remaining)
+		q.answerBy = min(q.answerBy, now+q.class.Aim-elapsed-r.settings.Tick)
+	}
+	r.requests[in.ID] = q
+	r.requestOrder = append(r.requestOrder, q)
 	r.armSweep()
-	away := r.turnsAway(q)
-	if q.fresh = r.mayMiss(q); away || q.fresh && r.chance() > r.gate {
+	refused := r.refusesOnArrival(q)
+	if q.needsFetch = r.mayNeedFetch(q); refused || q.needsFetch && r.random() > r.gate {
 		r.finish(q, true)
 		return
 	}
 	r.dispatch(q)
 }
 
-// mayMiss tells whether a server may have to fetch a read's key from the origin.
-func (r *Router) mayMiss(q *request) bool {
-	at, ok := r.held[q.Key]
-	return !r.set.Aside && q.Key != 0 && !q.Write && (!ok || (r.now-at).Seconds() > keyHeld)
+// mayNeedFetch reports whether a server may have to fetch a read's key from the origin.
+func (r *Router) mayNeedFetch(q *request) bool {
+	answeredAt, ok := r.cachedAt[q.Key]
+	return !r.settings.Aside && q.Key != 0 && !q.Write && (!ok || (r.now-answeredAt).Seconds() > keyCachedFor)
 }
 
-func (r *Router) balancers() float64       { return float64(max(r.set.Balancers, 1)) }
-func (r *Router) tenantRate(i int) float64 { return r.set.Tenants[i].Allowance / r.balancers() }
+func (r *Router) routerCount() float64     { return float64(max(r.settings.Balancers, 1)) }
+func (r *Router) tenantRate(i int) float64 { return r.settings.Tenants[i].Allowance / r.routerCount() }
 
-// withinShare meters a tenant's traffic against this instance's part of the allowance. The bucket
-// holds a second of it and thirty requests, a third at the start: small numbers come by chance.
+// withinShare meters a tenant's traffic against this router's share of the allowance. The bucket holds one
+// second of the share plus thirty requests, and starts with the share and ten: small numbers vary by chance.
 func (r *Router) withinShare(tenant int) bool {
 	if tenant < 0 || tenant >= len(r.buckets) {
 		return true
 	}
 	b, rate := &r.buckets[tenant], r.tenantRate(tenant)
-	b.level = min(b.level+rate*(r.now-b.at).Seconds(), rate+30)
-	b.at = r.now
-	if b.level < 1 {
+	b.tokens = min(b.tokens+rate*(r.now-b.updatedAt).Seconds(), rate+30)
+	b.updatedAt = r.now
+	if b.tokens < 1 {
 		return false
 	}
-	b.level--
+	b.tokens--
 	return true
 }
 
-// dispatch sends a request to where it belongs now, or ends it.
+// dispatch sends a request to the server that should get it now, or ends it.
 func (r *Router) dispatch(q *request) {
-	feeds := len(q.tries) > 0 && !q.missed && r.pressure > 1 // another attempt feeds an overload
-	short := (q.end - r.now).Seconds() < r.usualOf(q)
-	used := len(q.tries) >= r.set.MaxAttempts
-	if feeds || !r.mayTry(q) || short || used || !q.mayRepeat() || !q.spend(r.now) {
+	addsOverload := len(q.attempts) > 0 && !q.homeMissed && r.pressure > 1 // a retry would add to the overload
+	tooLate := (q.answerBy - r.now).Seconds() < r.usualLatencyOf(q)
+	attemptsUsed := len(q.attempts) >= r.settings.MaxAttempts
+	if addsOverload || !r.budgetAllows(q) || tooLate || attemptsUsed || !q.operatorAllowsRetry() || !q.takeOperatorRetry(r.now) {
 		r.finish(q, true) // no useful answer can come any more
 		return
 	}
-	if r.set.Aside && len(r.origins) > 0 && (q.missed || q.Write) {
-		r.toOrigin(q)
+	if r.settings.Aside && len(r.origins) > 0 && (q.homeMissed || q.Write) {
+		r.sendToOrigin(q)
 		return
 	}
-	if s := r.choose(q); s != nil {
+	if s := r.chooseServer(q); s != nil {
 		r.send(q, s)
 	} else if len(r.origins) > 0 && len(r.caches) == 0 {
-		r.toOrigin(q)
+		r.sendToOrigin(q)
 	} else {
 		r.finish(q, true)
 	}
 }
 
-// toOrigin sends to the origin what it bears. A part of the reads would not do: a small one starves itself of
-// the answers from which to learn that there is room again, and any part of a flood is a flood. So its window
-// bounds what is out there, from the start: until a first sign of a queue came back it would be too late.
-func (r *Router) toOrigin(q *request) {
+// sendToOrigin sends a request to the origin within the origin's window. Letting a fixed fraction of the
+// reads through does not work: a small fraction gives too few answers to learn that there is room again, and
+// any fraction of a flood is still a flood. So the window limits the fetches in flight, from the start: the
+// first sign of a queue would come too late.
+func (r *Router) sendToOrigin(q *request) {
 	var s *server
 	for _, o := range r.origins {
-		if r.mayResend(q, o) && (s == nil || o.out < s.out) {
+		if r.mayResend(q, o) && (s == nil || o.inFlight < s.inFlight) {
 			s = o
 		}
 	}
@@ -501,7 +543,7 @@
 		return
 	}
 	if math.IsInf(s.window, 1) {
-		s.window = max(originLeast, originFirst*float64(len(r.caches))/r.balancers())
+		s.window = max(minOriginWindow, originWindowPerCache*float64(len(r.caches))/r.routerCount())
 	}
 	if !q.Write && !r.hasRoom(s) {
 		r.finish(q, true)
@@ -511,94 +553,94 @@
 }
 
 func (r *Router) send(q *request, s *server) {
-	t := attempt{to: s, at: r.now, open: true, ran: true, idle: r.freshen(s)}
-	if t.spent = len(q.tries) > 0 && q.granted == 0 && r.set.BudgetWindow > 0; t.spent {
-		r.further = append(r.further, r.now)
-	} else if len(q.tries) > 0 {
-		q.granted = max(0, q.granted-1)
-	}
-	q.tries = append(q.tries, t)
-	s.out++
+	t := attempt{target: s, sentAt: r.now, open: true, mayHaveRun: true, connIdle: r.closeOldIdle(s)}
+	if t.usedBudget = len(q.attempts) > 0 && q.missGrants == 0 && r.settings.BudgetWindow > 0; t.usedBudget {
+		r.retryTimes = append(r.retryTimes, r.now)
+	} else if len(q.attempts) > 0 {
+		q.missGrants = max(0, q.missGrants-1)
+	}
+	q.attempts = append(q.attempts, t)
+	s.inFlight++
 	if !s.origin {
-		s.sent = append(since(s.sent, r.now-r.fallWindow()), r.now)
+		s.recentSends = append(dropBefore(s.recentSends, r.now-r.collapseWindow()), r.now)
 	}
-	s.most = max(s.most, s.out)
-	if s.out == 1 {
-		s.heard = r.now
+	s.peakInFlight = max(s.peakInFlight, s.inFlight)
+	if s.inFlight == 1 {
+		s.lastAnswerAt = r.now
 	}
-	timeout := q.end - r.now
+	timeout := q.answerBy - r.now
 	if q.Narrow != nil {
 		timeout = min(timeout, max(q.Narrow.Timeout(), time.Millisecond))
 	}
-	r.act.Send(q.ID, s.ID, timeout)
+	r.actions.Send(q.ID, s.ID, timeout)
 }
 
-// freshen guards against connections that are dropped unseen while idle: once some were found
-// dead, those without use for nearly as long are closed first. It tells how long the one that
-// a send will use had been idle.
-func (r *Router) freshen(s *server) time.Duration {
-	idle := r.now - s.idleAt
-	if s.out > 0 || s.idleAt == 0 {
+// closeOldIdle protects against connections that the other side drops silently while they are idle. Once some
+// were found dead, it closes the connections to a server that has been idle for nearly as long. It returns
+// how long the connection that the next attempt uses has been idle; 0: a new one, or one in use.
+func (r *Router) closeOldIdle(s *server) time.Duration {
+	idle := r.now - s.idleSince
+	if s.inFlight > 0 || s.idleSince == 0 {
 		return 0
 	}
-	if r.idleDies() && idle > r.reapAge*3/4 {
-		r.act.CloseIdle(s.ID)
+	if r.idleConnsDie() && idle > r.shortestLostIdle*3/4 {
+		r.actions.CloseIdle(s.ID)
 		return 0
 	}
 	return max(idle, 1)
 }
 
-// learnIdle tells dead idle connections from sick servers: by how much more often an attempt
-// is lost on a connection that had been idle than on a new one or one in use. A dead one is reset
-// before any work could be done.
-func (r *Router) learnIdle(q *request, t *attempt, o *Outcome) {
-	t.to.idleAt = r.now
-	long := t.withdrawn || o.Latency.Seconds() > badAt*q.class.Aim.Seconds()
-	early := o.Latency.Seconds() < r.usualOf(q)/2
-	lost := o.Status == Reset && early || long && (o.Status == Timeout || o.Status == Cancelled)
-	x := one(lost || o.Status == ConnectFailed)
-	if t.idle == 0 || !lost && t.idle < r.reapAge {
-		r.lostNew += (x - r.lostNew) / 4
+// learnIdleLoss tells dead idle connections from unhealthy servers by how much more often attempts are lost
+// on connections that had been idle than on new ones or ones in use. A dead connection is reset before the
+// server can do any work.
+func (r *Router) learnIdleLoss(q *request, t *attempt, o *Outcome) {
+	t.target.idleSince = r.now
+	slow := t.cancelled || o.Latency.Seconds() > badLatencyFraction*q.class.Aim.Seconds()
+	early := o.Latency.Seconds() < r.usualLatencyOf(q)/2
+	lost := o.Status == Reset && early || slow && (o.Status == Timeout || o.Status == Cancelled)
+	loss := boolToFloat(lost || o.Status == ConnectFailed)
+	if t.connIdle == 0 || !lost && t.connIdle < r.shortestLostIdle {
+		r.newLossFraction += (loss - r.newLossFraction) / 4
 		return
 	}
-	if lost && (r.lostIdle < 0.1 || t.idle < r.reapAge) {
-		r.reapAge = t.idle
+	if lost && (r.idleLossFraction < 0.1 || t.connIdle < r.shortestLostIdle) {
+		r.shortestLostIdle = t.connIdle
 	}
-	r.lostIdle += (x - r.lostIdle) / 8
-	if t.stale = lost && r.idleDies(); t.stale && t.to.out == 0 {
-		r.act.CloseIdle(t.to.ID)
-		t.to.idleAt = 0
+	r.idleLossFraction += (loss - r.idleLossFraction) / 8
+	if t.staleConn = lost && r.idleConnsDie(); t.staleConn && t.target.inFlight == 0 {
+		r.actions.CloseIdle(t.target.ID)
+		t.target.idleSince = 0
 	}
 }
 
-func (r *Router) idleDies() bool { return r.lostIdle > r.lostNew+idleExcess }
+func (r *Router) idleConnsDie() bool { return r.idleLossFraction > r.newLossFraction+idleLossExcess }
 
-func (r *Router) usualOf(q *request) float64 {
-	if q.class == &unknownClass || r.usual[q.Class] == 0 {
+func (r *Router) usualLatencyOf(q *request) float64 {
+	if q.class == &unknownClass || r.usualLatency[q.Class] == 0 {
 		return q.class.Aim.Seconds() / 4
 	}
-	return r.usual[q.Class]
+	return r.usualLatency[q.Class]
 }
 
-// ---- effects ----
+// ---- retries ----
 
-// mayResend is the one place that says whether a request may be sent to a server now.
+// mayResend alone decides whether a request may be sent to a server now, given the effect of its class.
 func (r *Router) mayResend(q *request, s *server) bool {
-	copied := !r.set.SecondCopies // two attempts out at the most
-	for i := range q.tries {
-		t := &q.tries[i]
-		if t.open && copied {
+	openLimitReached := !r.settings.SecondCopies // at most two attempts are open
+	for i := range q.attempts {
+		t := &q.attempts[i]
+		if t.open && openLimitReached {
 			return false
 		}
-		copied = copied || t.open
-		if !t.ran {
+		openLimitReached = openLimitReached || t.open
+		if !t.mayHaveRun {
 			continue
 		}
 		switch q.class.Effect {
 		case AtMostOnce:
 			return false
 		case Deduplicated:
-			if r.now >= r.forgotten(q, t) || !sameGroup(q.class.Group, t.to, s) {
+			if r.now >= r.dedupEnd(q, t) || !sameGroup(q.class.Group, t.target, s) {
 				return false
 			}
 		}
@@ -606,160 +648,164 @@
 	return true
 }
 
-// forgotten is when servers may no longer drop repeats of an attempt, from when it may have come first.
-func (r *Router) forgotten(q *request, t *attempt) time.Duration {
-	return t.at + q.class.KeyTTL - 2*r.set.Tick
+// dedupEnd returns the time from which servers may run a repeat of the attempt again. It counts from the
+// earliest time at which the attempt can have arrived.
+func (r *Router) dedupEnd(q *request, t *attempt) time.Duration {
+	return t.sentAt + q.class.KeyTTL - 2*r.settings.Tick
 }
 
 func sameGroup(g Group, a, b *server) bool {
 	return (g != GroupZone || a.Zone == b.Zone) && (g != GroupCell || a.Cell == b.Cell)
 }
 
-// mayTry is the one place that says whether the budget has room for a further attempt now. Requests
-// count within the open window and attempts within the closed one, which is right or on the safe side.
-func (r *Router) mayTry(q *request) bool {
-	if len(q.tries) == 0 || q.granted > 0 || r.set.BudgetWindow <= 0 {
+// budgetAllows alone decides whether the retry budget has room for one more attempt now. The window includes
+// its start for attempts but not for requests, so the count is exact or on the safe side.
+func (r *Router) budgetAllows(q *request) bool {
+	if len(q.attempts) == 0 || q.missGrants > 0 || r.settings.BudgetWindow <= 0 {
 		return true
 	}
-	from := r.now - r.set.BudgetWindow
-	r.taken, r.further = since(r.taken, from+1), since(r.further, from)
-	room := max(0, r.set.BudgetFree) + max(0, r.set.BudgetRatio)*float64(len(r.taken))
-	return float64(len(r.further)+1) <= room
+	windowStart := r.now - r.settings.BudgetWindow
+	r.requestTimes, r.retryTimes = dropBefore(r.requestTimes, windowStart+1), dropBefore(r.retryTimes, windowStart)
+	allowed := max(0, r.settings.BudgetFree) + max(0, r.settings.BudgetRatio)*float64(len(r.requestTimes))
+	return float64(len(r.retryTimes)+1) <= allowed
 }
 
-// mayRepeat tells whether the operator lets a request be called again after what its last attempt came to,
-// or, while that is out, be taken from it. What follows a miss is no repeat.
-func (q *request) mayRepeat() bool {
-	n := len(q.tries)
-	if n == 0 || q.Narrow == nil || !q.tries[n-1].open && q.tries[n-1].ended == Miss {
+// operatorAllowsRetry reports whether the operator's constraints allow another attempt, given how the last
+// one ended. If the last one is still open, it counts as timed out. An attempt that follows a miss is no
+// retry.
+func (q *request) operatorAllowsRetry() bool {
+	n := len(q.attempts)
+	if n == 0 || q.Narrow == nil || !q.attempts[n-1].open && q.attempts[n-1].endStatus == Miss {
 		return true
 	}
-	calls, last := 0, q.tries[n-1].ended
-	for i := range q.tries {
-		if t := &q.tries[i]; t.open || t.ended != Miss {
+	calls, last := 0, q.attempts[n-1].endStatus
+	for i := range q.attempts {
+		if t := &q.attempts[i]; t.open || t.endStatus != Miss {
 			calls++
 		}
 	}
-	if q.tries[n-1].open {
+	if q.attempts[n-1].open {
 		last = Timeout
 	}
 	return q.Narrow.Repeats(calls, last)
 }
 
-// spend takes a repeat out of the operator's budget, if it has one.
-func (q *request) spend(now time.Duration) bool {
-	n := len(q.tries)
-	if n == 0 || q.Narrow == nil || !q.tries[n-1].open && q.tries[n-1].ended == Miss {
+// takeOperatorRetry takes a retry out of the operator's budget, if there is one. It reports whether the
+// budget allowed it.
+func (q *request) takeOperatorRetry(now time.Duration) bool {
+	n := len(q.attempts)
+	if n == 0 || q.Narrow == nil || !q.attempts[n-1].open && q.attempts[n-1].endStatus == Miss {
 		return true
 	}
 	return q.Narrow.Spend(now)
 }
 
-// since drops the times before one.
-func since(times []time.Duration, from time.Duration) []time.Duration {
+// dropBefore returns the sorted times without those before from.
+func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
 	n, _ := slices.BinarySearch(times, from)
 	return times[n:]
 }
 
-// mayRefuse is the one place that says whether trying again can be called harmless.
+// mayRefuse alone decides whether the client may be told that repeating the request is harmless.
 func (r *Router) mayRefuse(q *request) bool {
 	if q.class.Effect == Idempotent || q.class.Effect == Deduplicated && q.class.Group == GroupAll {
 		return true
 	}
-	return !slices.ContainsFunc(q.tries, func(t attempt) bool { return t.ran })
+	return !slices.ContainsFunc(q.attempts, func(t attempt) bool { return t.mayHaveRun })
 }
 
-// finish gives the final answer: a refusal where that is true and asked for, else a failure.
+// finish ends a request: with a refusal if the caller wants one and repeating is harmless, otherwise with a
+// failure.
 func (r *Router) finish(q *request, refuse bool) {
-	r.withdraw(q)
+	r.cancelAttempts(q)
 	if refuse && r.mayRefuse(q) {
-		r.act.Refuse(q.ID, min(r.set.MaxRetryAfter, time.Duration(comeBack*float64(q.class.Aim))))
+		r.actions.Refuse(q.ID, min(r.settings.MaxRetryAfter, time.Duration(retryAfterFraction*float64(q.class.Aim))))
 	} else {
-		r.act.Fail(q.ID)
+		r.actions.Fail(q.ID)
 	}
 	r.close(q)
 }
 
-func (r *Router) withdraw(q *request) {
-	for i := range q.tries {
-		if q.tries[i].open && r.set.MayCancel {
-			r.act.Cancel(q.ID, i)
+func (r *Router) cancelAttempts(q *request) {
+	for i := range q.attempts {
+		if q.attempts[i].open && r.settings.MayCancel {
+			r.actions.Cancel(q.ID, i)
 		}
 	}
 }
 
-// close marks a request as answered and drops it once no attempt is out.
+// close marks a request as answered and drops it once none of its attempts is open.
 func (r *Router) close(q *request) {
-	if q.closed = true; !q.out() {
-		delete(r.reqs, q.ID)
+	if q.closed = true; !q.hasOpenAttempt() {
+		delete(r.requests, q.ID)
 	}
 }
 
 // ---- outcomes ----
 
-// Outcome takes the end of an attempt.
+// Outcome handles the end of an attempt.
 func (r *Router) Outcome(now time.Duration, o Outcome) {
 	r.now = now
-	q := r.reqs[o.Request]
-	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.tries) || !q.tries[o.Attempt].open {
+	q := r.requests[o.Request]
+	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].open {
 		return
 	}
-	t := &q.tries[o.Attempt]
-	t.open, t.ended = false, o.Status
-	t.ran = o.Status != Full && o.Status != ConnectFailed && o.Status != Moot && o.Status != Miss
-	t.to.out--
+	t := &q.attempts[o.Attempt]
+	t.open, t.endStatus = false, o.Status
+	t.mayHaveRun = o.Status != Full && o.Status != ConnectFailed && o.Status != Moot && o.Status != Miss
+	t.target.inFlight--
 	if o.Status == Miss {
-		q.granted++
-	} else if i := slices.Index(r.further, t.at); o.Status == Moot && t.spent && i >= 0 {
-		r.further = slices.Delete(r.further, i, i+1)
+		q.missGrants++
+	} else if i := slices.Index(r.retryTimes, t.sentAt); o.Status == Moot && t.usedBudget && i >= 0 {
+		r.retryTimes = slices.Delete(r.retryTimes, i, i+1)
 	}
 	t.failed = o.Status == ServerError
-	if n := o.Attempt; n > 0 && q.tries[n-1].failed && (t.failed || o.Status == OK || o.Status == Miss) {
-		r.help += (one(!t.failed) - r.help) / 4
+	if n := o.Attempt; n > 0 && q.attempts[n-1].failed && (t.failed || o.Status == OK || o.Status == Miss) {
+		r.retryHelpFraction += (boolToFloat(!t.failed) - r.retryHelpFraction) / 4
 	}
-	r.learnIdle(q, t, &o)
-	if t.stale = t.stale || o.Status == Cancelled && !t.withdrawn; !t.stale {
-		r.learn(q, t.to, &o)
+	r.learnIdleLoss(q, t, &o)
+	if t.staleConn = t.staleConn || o.Status == Cancelled && !t.cancelled; !t.staleConn {
+		r.learnOutcome(q, t.target, &o)
 		r.learnWindow(q, t, &o)
 		r.learnPressure(q, t, &o)
 	}
 	if o.Closed || q.closed {
 		r.close(q)
-	} else if o.Status == Reset && !t.stale && o.Attempt > int(one(q.missed)) ||
-		t.failed && r.chance() >= r.help {
+	} else if o.Status == Reset && !t.staleConn && o.Attempt > int(boolToFloat(q.homeMissed)) ||
+		t.failed && r.random() >= r.retryHelpFraction {
 		r.finish(q, true)
 	} else {
-		q.missed = q.missed || o.Status == Miss && !t.to.origin
-		if !q.out() { // no second copy is still out
+		q.homeMissed = q.homeMissed || o.Status == Miss && !t.target.origin
+		if !q.hasOpenAttempt() { // no hedge is still open
 			r.dispatch(q)
 		}
 	}
 }
 
-// learn takes what an outcome says of its server. Outcomes that the client or an own
-// cancel caused say nothing.
-func (r *Router) learn(q *request, s *server, o *Outcome) {
+// learnOutcome updates what is known of a server from the outcome of one of its attempts. An attempt that the
+// client or this router cancelled says nothing about the server.
+func (r *Router) learnOutcome(q *request, s *server, o *Outcome) {
 	switch o.Status {
 	case OK, Miss, Full, ServerError:
-		s.heard, s.passed = r.now, max(s.passed, q.tries[o.Attempt].at)
+		s.lastAnswerAt, s.lastAnsweredSentAt = r.now, max(s.lastAnsweredSentAt, q.attempts[o.Attempt].sentAt)
 	}
 	if !s.origin && !q.Write && (o.Status == OK || o.Status == Timeout) {
-		r.times[s.Kind] += (o.Latency.Seconds()/r.usualOf(q) - r.times[s.Kind]) / speedOver
+		r.relativeLatency[s.Kind] += (o.Latency.Seconds()/r.usualLatencyOf(q) - r.relativeLatency[s.Kind]) / speedOutcomes
 	}
 	if s.origin || o.Status != OK && o.Status != Miss {
 		return
 	}
-	r.learnPresumed(s, q.tries[o.Attempt].at, o.Status == OK)
-	if r.fade(s) >= 1 {
-		r.served += int(one(o.Status == OK)) // a miss costs little, and tells nothing of what is carried
+	r.learnInferred(s, q.attempts[o.Attempt].sentAt, o.Status == OK)
+	if r.warmUpProgress(s) >= 1 {
+		r.served += int(boolToFloat(o.Status == OK)) // a miss costs a server little and says nothing about the load that it sustains
 		r.answers++
 	}
 	if o.Status == OK && q.Key != 0 {
-		r.held[q.Key] = r.now
+		r.cachedAt[q.Key] = r.now
 	}
-	if o.Status == OK && q.Class >= 0 && q.Class < len(r.usual) {
+	if o.Status == OK && q.Class >= 0 && q.Class < len(r.usualLatency) {
 		l := o.Latency.Seconds()
-		if u := &r.usual[q.Class]; *u == 0 {
+		if u := &r.usualLatency[q.Class]; *u == 0 {
 			*u = l
 		} else {
 			*u += (l - *u) / 64
@@ -767,22 +813,22 @@
 	}
 }
 
-// Streaming takes the start of a streamed answer: the attempt is the client's from here.
+// Streaming handles the start of a streamed answer. From here on the attempt belongs to the client.
 func (r *Router) Streaming(now time.Duration, id uint32, _ int) {
 	r.now = now
-	if q := r.reqs[id]; q != nil {
+	if q := r.requests[id]; q != nil {
 		r.close(q)
 	}
 }
 
-// ClientGone takes the leaving of a client: nothing more is owed. Where answers come in order a call ends
-// only with its connection, and the next one's handshake costs a server what the rest of a read does: that
-// runs on, to its time-out.
+// ClientGone handles the disconnect of a client, after which the request needs no answer. If connections
+// answer in order, a call can be ended only by closing its connection, and the handshake of the next one
+// costs a server as much as the rest of a read. So a read then runs on until its time-out.
 func (r *Router) ClientGone(now time.Duration, id uint32) {
 	r.now = now
-	if q := r.reqs[id]; q != nil && !q.closed {
-		if !r.set.Ordered || q.Write || q.missed {
-			r.withdraw(q)
+	if q := r.requests[id]; q != nil && !q.closed {
+		if !r.settings.Ordered || q.Write || q.homeMissed {
+			r.cancelAttempts(q)
 		}
 		r.close(q)
 	}
@@ -790,164 +836,168 @@
 
 // ---- time ----
 
-// Timer takes a timer that has fallen due.
+// Timer handles a timer that is due.
 func (r *Router) Timer(now time.Duration, token uint64) {
 	r.now = now
 	switch token {
-	case tokSweep:
+	case tokenSweep:
 		r.sweep()
-	case tokWatch:
-		if !r.watching && r.set.ListOnRequest {
+	case tokenWatch:
+		if !r.watching && r.settings.ListOnRequest {
 			r.watching = true
-			r.act.Watch(true)
+			r.actions.Watch(true)
 		}
 	}
 }
 
 func (r *Router) armSweep() {
-	if !r.sweeping && len(r.order) > 0 {
-		r.sweeping = true
-		r.act.SetTimer(tokSweep, sweepTick)
+	if !r.sweepArmed && len(r.requestOrder) > 0 {
+		r.sweepArmed = true
+		r.actions.SetTimer(tokenSweep, sweepInterval)
 	}
 }
 
-// sweep ends requests whose time is up and brings weights and rates up to date.
+// sweep ends requests whose time is up, retries attempts at silent servers and updates rates and weights.
 func (r *Router) sweep() {
-	r.sweeping = false
-	live := r.order[:0]
-	for _, q := range r.order {
-		if !q.closed && r.now > q.end {
+	r.sweepArmed = false
+	remaining := r.requestOrder[:0]
+	for _, q := range r.requestOrder {
+		if !q.closed && r.now > q.answerBy {
 			r.finish(q, false)
 		}
-		if r.rescue(q); r.reqs[q.ID] == q {
-			live = append(live, q)
+		if r.retryIfSilent(q); r.requests[q.ID] == q {
+			remaining = append(remaining, q)
 		}
 	}
-	clear(r.order[len(live):])
-	r.order = live
-	if span := (r.now - r.rateAt).Seconds(); span >= 0.1 {
-		part := min(1, span/max(0.5, min(10, 32/max(r.rate, 1)))) // over at least 32 answers
-		r.rate += (float64(r.answers)/span - r.rate) * part
-		long := min(1, span/max(0.5, 32/max(r.rate, 1))) // as many even where they are few
-		r.carried += (float64(r.served)/span - r.carried) * long
-		r.arrivals += (float64(r.arrived)/span - r.arrivals) * part
-		r.answers, r.served, r.arrived, r.rateAt = 0, 0, 0, r.now
-		r.followPressure(span)
-		r.gate = min(1, r.gate+gateMend*min(span, 1))
-		r.help += (1 - r.help) * min(1, span/healthFade)
-		for z := range r.paths {
-			r.paths[z] *= math.Exp(-span / healthFade)
+	clear(r.requestOrder[len(remaining):])
+	r.requestOrder = remaining
+	if elapsed := (r.now - r.ratesAt).Seconds(); elapsed >= 0.1 {
+		smoothing := min(1, elapsed/max(0.5, min(10, 32/max(r.answerRate, 1)))) // averaged over at least 32 answers
+		r.answerRate += (float64(r.answers)/elapsed - r.answerRate) * smoothing
+		longSmoothing := min(1, elapsed/max(0.5, 32/max(r.answerRate, 1))) // also over 32 answers where answers are rare
+		r.servedRate += (float64(r.served)/elapsed - r.servedRate) * longSmoothing
+		r.arrivalRate += (float64(r.arrived)/elapsed - r.arrivalRate) * smoothing
+		r.answers, r.served, r.arrived, r.ratesAt = 0, 0, 0, r.now
+		r.updatePressure(elapsed)
+		r.gate = min(1, r.gate+gateRecovery*min(elapsed, 1))
+		r.retryHelpFraction += (1 - r.retryHelpFraction) * min(1, elapsed/healthDecay)
+		for z := range r.pathBadFraction {
+			r.pathBadFraction[z] *= math.Exp(-elapsed / healthDecay)
 		}
-		r.lostIdle *= math.Exp(-span / idleFade)
-		r.learnUnit(span, long)
-		for k, at := range r.held {
-			if (r.now - at).Seconds() > keyHeld {
-				delete(r.held, k)
+		r.idleLossFraction *= math.Exp(-elapsed / idleLossDecay)
+		r.learnRatePerWeight(elapsed, longSmoothing)
+		for k, at := range r.cachedAt {
+			if (r.now - at).Seconds() > keyCachedFor {
+				delete(r.cachedAt, k)
 			}
 		}
-		r.weigh()
+		r.updateWeights()
 	}
 	r.armSweep()
 }
 
-// rescue guards against servers that drop what they get without a word: what is out at one that has not
-// answered for several usual latencies is withdrawn and sent on. Only where that can't be, and second
-// copies are allowed, one goes out, and only where other outcomes show the server sick and nothing overload:
-// one silent request may be the trouble itself, and copies feed a queue. A withdrawal that the budget makes
-// useless is not made.
-func (r *Router) rescue(q *request) {
-	if q.closed || len(q.tries) == 0 || len(q.tries) >= r.set.MaxAttempts || q.end-r.now < 2*sweepTick {
+// retryIfSilent protects against servers that drop requests without any answer. If a server has been silent
+// for several usual latencies, the attempt there is cancelled and the request goes to another server. If
+// cancelling is impossible and hedges are allowed, a hedge is sent, but only if other outcomes show that the
+// server is unhealthy and there is no overload: a single silent request may itself be the cause, and hedges
+// feed a queue. An attempt is not cancelled if the budget has no room for the next one.
+func (r *Router) retryIfSilent(q *request) {
+	if q.closed || len(q.attempts) == 0 || len(q.attempts) >= r.settings.MaxAttempts || q.answerBy-r.now < 2*sweepInterval {
 		return
 	}
-	t := &q.tries[len(q.tries)-1]
-	if !t.open || t.to.origin || t.withdrawn || q.class.Effect == AtMostOnce {
+	t := &q.attempts[len(q.attempts)-1]
+	if !t.open || t.target.origin || t.cancelled || q.class.Effect == AtMostOnce {
 		return
 	}
-	patience, sick := silentAfter*r.usualOf(q), t.to.weight <= t.to.Weight*r.listedFade(t.to)/2
-	if !sick {
-		patience = max(patience, silentAim*q.class.Aim.Seconds())
+	patience, unhealthy := silentLatencies*r.usualLatencyOf(q), t.target.weight <= t.target.Weight*r.listedProgress(t.target)/2
+	if !unhealthy {
+		patience = max(patience, silentAimFraction*q.class.Aim.Seconds())
 	}
-	silent := r.now - max(t.to.heard, t.at)
-	if l, aim := passedAfter*r.usualOf(q), q.class.Aim.Seconds(); t.to.passed > t.at && l < passedAim*aim {
-		silent, patience = r.now-t.at, max(lateAt*aim, l) // its connection may be silent, not the server
+	silence := r.now - max(t.target.lastAnswerAt, t.sentAt)
+	if overtakenAfter, aim := overtakenLatencies*r.usualLatencyOf(q), q.class.Aim.Seconds(); t.target.lastAnsweredSentAt > t.sentAt && overtakenAfter < overtakenAimFraction*aim {
+		silence, patience = r.now-t.sentAt, max(lateAimFraction*aim, overtakenAfter) // the server answers others, so perhaps only its connection is silent
 	}
-	if silent.Seconds() <= patience || !r.mayTry(q) || !q.mayRepeat() {
+	if silence.Seconds() <= patience || !r.budgetAllows(q) || !q.operatorAllowsRetry() {
 		return
 	}
-	if r.set.MayCancel {
-		t.withdrawn = true
-		r.act.Cancel(q.ID, len(q.tries)-1)
-	} else if r.set.SecondCopies && sick && r.pressure <= 0.5 && (q.Narrow == nil || q.Narrow.Copies()) {
-		if to := r.choose(q); to != nil && to != t.to && q.spend(r.now) {
+	if r.settings.MayCancel {
+		t.cancelled = true
+		r.actions.Cancel(q.ID, len(q.attempts)-1)
+	} else if r.settings.SecondCopies && unhealthy && r.pressure <= 0.5 && (q.Narrow == nil || q.Narrow.Copies()) {
+		if to := r.chooseServer(q); to != nil && to != t.target && q.takeOperatorRetry(r.now) {
 			r.send(q, to)
 		}
 	}
 }
 
-// health guards against servers that are sick beside their peers: some of their keys pass on. It
-// sets the good outcomes of late against those of all servers. Where an instance sees one in ten seconds
-// a bad one moves nearly all keys: in sum a server loses as much as it is sick. What is shared moves nothing.
+// health protects against servers that are unhealthy compared with their peers, by moving some of their keys
+// to other servers. It compares a server's recent fraction of good outcomes with that of all servers, so a
+// fault that all share moves nothing. If a router sees one outcome in ten seconds, a bad one moves nearly all
+// keys of that server at this router. Over all routers a server loses keys in proportion to its bad outcomes.
 func (r *Router) health(s *server) float64 {
-	old := math.Exp(-(r.now - s.seenAt).Seconds() / healthFade)
-	good := (healthPrior + old*(s.seen-s.sick)) / (healthPrior + old*s.seen)
-	return max(healthLeast, min(1, healthSlack*good/(1-min(r.ill, 0.9))))
+	decay := math.Exp(-(r.now - s.outcomesAt).Seconds() / healthDecay)
+	goodFraction := (healthPrior + decay*(s.outcomes-s.badOutcomes)) / (healthPrior + decay*s.outcomes)
+	return max(minHealth, min(1, healthSlack*goodFraction/(1-min(r.badFraction, 0.9))))
 }
 
-// path guards against ways to a zone that are slow or lossy, and against the loss of a zone: what all
-// its servers do worse than those of the best zone is the way's, and lowers their weight together.
-func (r *Router) path(zone int) float64 {
-	least := r.paths[zone]
-	for _, bad := range r.paths {
-		least = min(least, bad)
+// pathHealth protects against slow or lossy network paths to a zone and against the loss of a zone. If all
+// servers of a zone do worse than those of the best zone, that is attributed to the path, and their weights
+// are lowered together.
+func (r *Router) pathHealth(zone int) float64 {
+	best := r.pathBadFraction[zone]
+	for _, bad := range r.pathBadFraction {
+		best = min(best, bad)
 	}
-	if r.paths[zone] >= least+pathExcess {
-		return max(healthLeast, (1-r.paths[zone])/(1-least))
+	if r.pathBadFraction[zone] >= best+pathBadExcess {
+		return max(minHealth, (1-r.pathBadFraction[zone])/(1-best))
 	}
 	return 1
 }
 
-// near guards against more connections than fit: where no server holds one of each router, a key has a
-// home in each zone, for the routers there. Other zones are next where that is sick, cold or gone.
-func (r *Router) near(zone int) float64 {
-	if zone != r.set.Zone && connlimit.Kept(r.set.Balancers, r.set.Places) == 0 {
-		return farWeight
+// zoneWeight protects against more connections than a server accepts. If no server can hold a connection of
+// every router, a key has one home in each zone for the routers of that zone. Servers of other zones come
+// next if that home is unhealthy, cold or removed.
+func (r *Router) zoneWeight(zone int) float64 {
+	if zone != r.settings.Zone && connlimit.Kept(r.settings.Balancers, r.settings.Places) == 0 {
+		return otherZoneWeight
 	}
 	return 1
 }
 
-// speed guards against ratings that are too high for one kind of machine: what all servers of a kind
-// take longer than those of the fastest lowers their weight together, much the same at all instances.
-func (r *Router) speed(kind int) float64 {
-	least := r.times[kind]
-	for _, x := range r.times {
-		least = min(least, x)
+// kindSpeed protects against listed weights that are too high for one kind of machine. If all servers of a
+// kind take longer than those of the fastest kind, their weights are lowered together, by about the same
+// factor at all routers.
+func (r *Router) kindSpeed(kind int) float64 {
+	fastest := r.relativeLatency[kind]
+	for _, x := range r.relativeLatency {
+		fastest = min(fastest, x)
 	}
-	if r.times[kind] < least*speedLeast {
+	if r.relativeLatency[kind] < fastest*minSlowdown {
 		return 1
 	}
-	return least / r.times[kind]
+	return fastest / r.relativeLatency[kind]
 }
 
-func one(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// chance returns the next number of the instance's own sequence, in [0, 1).
-func (r *Router) chance() float64 {
-	r.rng += 0x9e3779b97f4a7c15
-	return float64(mix(r.rng)>>11) / (1 << 53)
+// random returns the next number of this router's own pseudo-random sequence, in [0, 1).
+func (r *Router) random() float64 {
+	r.randomState += 0x9e3779b97f4a7c15
+	return float64(mix(r.randomState)>>11) / (1 << 53)
 }
 
-func (r *Router) jitter(d time.Duration) time.Duration { return time.Duration(float64(d) * r.chance()) }
+func (r *Router) jitter(d time.Duration) time.Duration { return time.Duration(float64(d) * r.random()) }
 
-// log writes at most one line of a kind each second.
+// log writes at most one line of each kind per second.
 func (r *Router) log(kind, text string) {
-	if at, seen := r.logged[kind]; seen && r.now-at < time.Second {
+	if at, logged := r.lastLogged[kind]; logged && r.now-at < time.Second {
 		return
 	}
-	r.logged[kind] = r.now
-	r.act.Log(text)
+	r.lastLogged[kind] = r.now
+	r.actions.Log(text)
 }
--- a/router_test.go
+++ b/router_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// recorder is a proxy that writes down what it is asked to do.
+// recorder is a proxy that records what the Router requests.
 type recorder struct {
-	sends   []sent
-	cancels []int
-	refused map[uint32]bool
-	failed  map[uint32]bool
-	timers  []uint64
-	watches int
-	closed  []uint32
-	logs    []string
-	after   time.Duration // with the latest refusal
+	sends      []sentAttempt
+	cancels    []int
+	refused    map[uint32]bool
+	failed     map[uint32]bool
+	timers     []uint64
+	watches    int
+	closedIdle []uint32
+	logs       []string
+	retryAfter time.Duration // of the latest refusal
 }
 
-type sent struct {
+type sentAttempt struct {
 	request, server uint32
 	timeout         time.Duration
 }
@@ -28,17 +28,19 @@
 	return &recorder{refused: map[uint32]bool{}, failed: map[uint32]bool{}}
 }
 
-func (p *recorder) Send(q, s uint32, t time.Duration)    { p.sends = append(p.sends, sent{q, s, t}) }
+func (p *recorder) Send(q, s uint32, t time.Duration) {
+	p.sends = append(p.sends, sentAttempt{q, s, t})
+}
 func (p *recorder) Cancel(_ uint32, attempt int)         { p.cancels = append(p.cancels, attempt) }
-func (p *recorder) Refuse(q uint32, d time.Duration)     { p.refused[q], p.after = true, d }
+func (p *recorder) Refuse(q uint32, d time.Duration)     { p.refused[q], p.retryAfter = true, d }
 func (p *recorder) Fail(q uint32)                        { p.failed[q] = true }
 func (p *recorder) SetTimer(tok uint64, _ time.Duration) { p.timers = append(p.timers, tok) }
 func (p *recorder) FetchList()                           {}
-func (p *recorder) CloseIdle(s uint32)                   { p.closed = append(p.closed, s) }
+func (p *recorder) CloseIdle(s uint32)                   { p.closedIdle = append(p.closedIdle, s) }
 func (p *recorder) Watch(bool)                           { p.watches++ }
 func (p *recorder) Log(s string)                         { p.logs = append(p.logs, s) }
 
-func (p *recorder) last() sent { return p.sends[len(p.sends)-1] }
+func (p *recorder) last() sentAttempt { return p.sends[len(p.sends)-1] }
 
 func testSettings() Settings {
 	return Settings{
@@ -95,7 +97,7 @@
 	}
 }
 
-func TestOnlyTheRightKeysMove(t *testing.T) {
+func TestOnlyKeysOfChangedServerMove(t *testing.T) {
 	before, _ := newRouter(testSettings(), fleet(1, 1, 1, 1))
 	joined, _ := newRouter(testSettings(), fleet(1, 1, 1, 1, 1))
 	heavier, _ := newRouter(testSettings(), fleet(1, 1, 1, 2))
@@ -117,24 +119,24 @@
 	}
 }
 
-func TestFadeIsMonotoneAndUnderWarmUp(t *testing.T) {
+func TestWarmUpProgressIsMonotone(t *testing.T) {
 	r, _ := newRouter(testSettings(), nil)
 	s := &server{Server: Server{Started: time.Second}}
 	last := 0.0
-	for age := time.Duration(0); age <= r.set.Cold; age += 100 * time.Millisecond {
+	for age := time.Duration(0); age <= r.settings.Cold; age += 100 * time.Millisecond {
 		r.now = s.Started + age
-		f := r.fade(s)
+		f := r.warmUpProgress(s)
 		if f < last || f > r.warmth(s) {
-			t.Fatalf("fade %.3f at age %v: was %.3f, warm-up %.3f", f, age, last, r.warmth(s))
+			t.Fatalf("progress %.3f at age %v: was %.3f, warmth %.3f", f, age, last, r.warmth(s))
 		}
 		last = f
 	}
 	if last != 1 {
-		t.Errorf("fade ends at %.3f", last)
+		t.Errorf("progress ends at %.3f", last)
 	}
 }
 
-// What may be sent again, where to and what may be refused, by effect, outcome, group and time.
+// Which retries and refusals are allowed, by effect, outcome, group and time.
 func TestEffects(t *testing.T) {
 	home := &server{Server: Server{ID: 1, Zone: 0, Cell: 1}}
 	near := &server{Server: Server{ID: 2, Zone: 0, Cell: 2}}
@@ -171,7 +173,7 @@
 		set.SecondCopies = c.second
 		r, _ := newRouter(set, nil)
 		q := &request{class: &Class{Effect: c.effect, Group: c.group, KeyTTL: ttl}}
-		q.tries = []attempt{{to: home, at: r.now, open: c.open, ran: c.ran}}
+		q.attempts = []attempt{{target: home, sentAt: r.now, open: c.open, mayHaveRun: c.ran}}
 		r.now += c.after
 		if got := r.mayResend(q, c.to); got != c.resend {
 			t.Errorf("case %d: mayResend %v, want %v", i, got, c.resend)
@@ -182,17 +184,17 @@
 	}
 }
 
-// Where second copies are allowed, two attempts may be out, never three.
-func TestNoThirdCopy(t *testing.T) {
+// If hedges are allowed, two attempts of a request may be open, but never three.
+func TestAtMostTwoOpenAttempts(t *testing.T) {
 	set := testSettings()
 	set.SecondCopies = true
 	r, _ := newRouter(set, fleet(1, 1, 1))
 	q := &request{class: &set.Classes[0]}
 	for i, want := range []bool{true, true, false} {
 		if got := r.mayResend(q, r.caches[i]); got != want {
-			t.Errorf("with %d attempts out: %v, want %v", i, got, want)
+			t.Errorf("with %d attempts open: %v, want %v", i, got, want)
 		}
-		q.tries = append(q.tries, attempt{to: r.caches[i], at: r.now, open: true, ran: true})
+		q.attempts = append(q.attempts, attempt{target: r.caches[i], sentAt: r.now, open: true, mayHaveRun: true})
 	}
 }
 
