--- a/sequence_test.go
+++ b/sequence_test.go
@@ -8,170 +8,170 @@
 	"time"
 )
 
-// checker is a proxy that plays servers of its own and holds the Router to rules 1 to 3
-// and to the attempt limits. It shares no code with the Router's own bookkeeping.
+// checker is a proxy that simulates its own servers and checks the Router's actions against invariants 1 to 3 and the limits on
+// attempts. It shares no code with the Router's own bookkeeping.
 type checker struct {
-	t      *testing.T
-	set    Settings
-	rng    *rand.Rand
-	now    time.Duration
-	reqs   map[uint32]*watched
-	queue  []due
-	told   map[uint32]time.Duration // since when a server is known to drain or be gone
-	zones  map[uint32]int
-	trace  []string
-	timers int
-	taken  []time.Duration // every request given
-	extra  []extra         // every attempt beyond a request's first
-	spent  int             // and how many of them came out of the budget
+	t            *testing.T
+	settings     Settings
+	random       *rand.Rand
+	now          time.Duration
+	requests     map[uint32]*checkedRequest
+	queue        []queuedEvent
+	stopKnown    map[uint32]time.Duration // since when a server is known to be draining or removed
+	zones        map[uint32]int
+	trace        []string
+	timers       int
+	requestTimes []time.Duration // when each request was made
+	retries      []retryAttempt  // all attempts after a request's first
+	budgetUsed   int             // how many of them count against the budget
 }
 
-// extra is an attempt beyond a request's first; free ones are granted by a miss or were never sent.
-type extra struct {
-	at   time.Duration
-	req  uint32
-	try  int
-	free bool
+// retryAttempt is an attempt after a request's first. It is outside the budget if a miss permitted it or it was never sent.
+type retryAttempt struct {
+	at            time.Duration
+	request       uint32
+	attempt       int
+	outsideBudget bool
 }
 
-type watched struct {
-	class    Class
-	deadline time.Duration
-	answered bool
-	grants   int // misses not yet used up
-	tries    []try
+type checkedRequest struct {
+	class      Class
+	deadline   time.Duration
+	answered   bool
+	missGrants int // misses that have not yet permitted an attempt
+	attempts   []checkedAttempt
 }
 
-type try struct {
-	at     time.Duration
-	server uint32
-	open   bool
-	ran    bool
+type checkedAttempt struct {
+	sentAt     time.Duration
+	server     uint32
+	open       bool
+	mayHaveRun bool
 }
 
-type due struct {
-	at    time.Duration
-	token uint64 // a timer, or
-	req   uint32 // an outcome
-	try   int
-	st    Status
-	timer bool
+type queuedEvent struct {
+	at      time.Duration
+	token   uint64 // of a timer
+	request uint32 // whose attempt ends
+	attempt int
+	status  Status
+	isTimer bool
 }
 
-func (c *checker) note(format string, args ...any) {
+func (c *checker) record(format string, args ...any) {
 	c.trace = append(c.trace, fmt.Sprintf("%d ", c.now)+fmt.Sprintf(format, args...))
 }
 
-func (c *checker) get(id uint32) *watched {
-	w := c.reqs[id]
+func (c *checker) mustGet(id uint32) *checkedRequest {
+	w := c.requests[id]
 	if w == nil {
-		c.t.Fatalf("action for request %d, which was never given", id)
+		c.t.Fatalf("action for request %d, which does not exist", id)
 	}
 	return w
 }
 
 func (c *checker) Send(id, server uint32, timeout time.Duration) {
-	c.note("send %d %d %d", id, server, timeout)
-	w := c.get(id)
+	c.record("send %d %d %d", id, server, timeout)
+	w := c.mustGet(id)
 	if w.answered {
 		c.t.Fatalf("request %d sent after its answer", id)
 	}
-	if at, gone := c.told[server]; gone && c.now > at+c.set.StopSendingWithin {
-		c.t.Fatalf("request %d sent to server %d, told to leave %v ago", id, server, c.now-at)
+	if at, gone := c.stopKnown[server]; gone && c.now > at+c.settings.StopSendingWithin {
+		c.t.Fatalf("request %d sent to server %d, known to drain or be removed for %v", id, server, c.now-at)
 	}
-	if len(w.tries) >= c.set.MaxAttempts {
-		c.t.Fatalf("request %d has more than %d attempts", id, c.set.MaxAttempts)
+	if len(w.attempts) >= c.settings.MaxAttempts {
+		c.t.Fatalf("request %d has more than %d attempts", id, c.settings.MaxAttempts)
 	}
-	for _, t := range w.tries {
-		if t.open && !c.set.SecondCopies {
-			c.t.Fatalf("request %d has two attempts out", id)
+	for _, t := range w.attempts {
+		if t.open && !c.settings.SecondCopies {
+			c.t.Fatalf("request %d has two open attempts", id)
 		}
-		if !t.ran {
+		if !t.mayHaveRun {
 			continue
 		}
 		if w.class.Effect == AtMostOnce {
-			c.t.Fatalf("request %d may have run and is sent again", id)
+			c.t.Fatalf("request %d may have run and is retried", id)
 		}
-		if w.class.Effect == Deduplicated && (c.now-t.at > w.class.KeyTTL ||
+		if w.class.Effect == Deduplicated && (c.now-t.sentAt > w.class.KeyTTL ||
 			w.class.Group == GroupZone && c.zones[t.server] != c.zones[server]) {
-			c.t.Fatalf("keyed request %d sent again out of its group or window", id)
+			c.t.Fatalf("deduplicated request %d retried outside its group or time", id)
 		}
 	}
-	if len(w.tries) > 0 {
-		c.budget(id, w)
+	if len(w.attempts) > 0 {
+		c.checkBudget(id, w)
 	}
-	w.tries = append(w.tries, try{c.now, server, true, true})
-	c.plan(id, len(w.tries)-1, timeout, w.deadline)
+	w.attempts = append(w.attempts, checkedAttempt{c.now, server, true, true})
+	c.scheduleOutcome(id, len(w.attempts)-1, timeout, w.deadline)
 }
 
-// budget holds an attempt beyond the first to the budget, by the rule's own words: count again all
-// that was taken and tried within the window, this attempt included.
-func (c *checker) budget(id uint32, w *watched) {
-	e := extra{at: c.now, req: id, try: len(w.tries), free: w.grants > 0}
-	if e.free {
-		w.grants--
+// checkBudget checks an attempt after the first against the budget, straight from the definition: it counts all requests and
+// retries within the window, including this attempt.
+func (c *checker) checkBudget(id uint32, w *checkedRequest) {
+	e := retryAttempt{at: c.now, request: id, attempt: len(w.attempts), outsideBudget: w.missGrants > 0}
+	if e.outsideBudget {
+		w.missGrants--
 	} else {
-		c.spent++
+		c.budgetUsed++
 	}
-	c.extra = append(c.extra, e)
-	if e.free || c.set.BudgetWindow <= 0 {
+	c.retries = append(c.retries, e)
+	if e.outsideBudget || c.settings.BudgetWindow <= 0 {
 		return
 	}
-	tried, taken := 0, 0
-	for _, x := range c.extra {
-		if !x.free && x.at >= c.now-c.set.BudgetWindow {
-			tried++
+	retryCount, requestCount := 0, 0
+	for _, x := range c.retries {
+		if !x.outsideBudget && x.at >= c.now-c.settings.BudgetWindow {
+			retryCount++
 		}
 	}
-	for _, at := range c.taken {
-		if at > c.now-c.set.BudgetWindow {
-			taken++
+	for _, at := range c.requestTimes {
+		if at > c.now-c.settings.BudgetWindow {
+			requestCount++
 		}
 	}
-	if float64(tried) > max(0, c.set.BudgetFree)+max(0, c.set.BudgetRatio)*float64(taken) {
-		c.t.Fatalf("request %d: %d further attempts in the window in which %d requests were taken", id, tried, taken)
+	if float64(retryCount) > max(0, c.settings.BudgetFree)+max(0, c.settings.BudgetRatio)*float64(requestCount) {
+		c.t.Fatalf("request %d: %d retries in a window with %d requests", id, retryCount, requestCount)
 	}
 }
 
-// moot frees an attempt that was never sent.
-func (c *checker) moot(id uint32, n int) {
-	for i := range c.extra {
-		if x := &c.extra[i]; x.req == id && x.try == n && !x.free {
-			x.free = true
-			c.spent--
+// notSent takes an attempt that was never sent out of the budget.
+func (c *checker) notSent(id uint32, n int) {
+	for i := range c.retries {
+		if x := &c.retries[i]; x.request == id && x.attempt == n && !x.outsideBudget {
+			x.outsideBudget = true
+			c.budgetUsed--
 		}
 	}
 }
 
-// plan draws how and when an attempt ends.
-func (c *checker) plan(id uint32, n int, timeout, deadline time.Duration) {
+// scheduleOutcome draws how and when an attempt ends.
+func (c *checker) scheduleOutcome(id uint32, n int, timeout, deadline time.Duration) {
 	limit := deadline - c.now
 	if timeout > 0 && timeout < limit {
 		limit = timeout
 	}
-	at := time.Duration(c.rng.Int63n(int64(400 * time.Millisecond)))
-	st := []Status{OK, OK, OK, OK, Miss, ServerError, Full, ConnectFailed, Reset, Timeout, Moot}[c.rng.Intn(11)]
+	at := time.Duration(c.random.Int63n(int64(400 * time.Millisecond)))
+	st := []Status{OK, OK, OK, OK, Miss, ServerError, Full, ConnectFailed, Reset, Timeout, Moot}[c.random.Intn(11)]
 	if at >= limit || st == Timeout {
 		at, st = limit, Timeout
 	}
-	c.queue = append(c.queue, due{at: c.now + at, req: id, try: n, st: st})
+	c.queue = append(c.queue, queuedEvent{at: c.now + at, request: id, attempt: n, status: st})
 }
 
 func (c *checker) Cancel(id uint32, attempt int) {
-	c.note("cancel %d %d", id, attempt)
-	w := c.get(id)
-	if attempt < 0 || attempt >= len(w.tries) {
+	c.record("cancel %d %d", id, attempt)
+	w := c.mustGet(id)
+	if attempt < 0 || attempt >= len(w.attempts) {
 		c.t.Fatalf("cancel of attempt %d of request %d, which was never made", attempt, id)
 	}
 	for i := range c.queue {
-		if d := &c.queue[i]; !d.timer && d.req == id && d.try == attempt {
-			d.at, d.st = c.now, Cancelled
+		if d := &c.queue[i]; !d.isTimer && d.request == id && d.attempt == attempt {
+			d.at, d.status = c.now, Cancelled
 		}
 	}
 }
 
-func (c *checker) final(id uint32, refuse bool) {
-	w := c.get(id)
+func (c *checker) checkFinalAnswer(id uint32, refuse bool) {
+	w := c.mustGet(id)
 	if w.answered {
 		c.t.Fatalf("request %d answered twice", id)
 	}
@@ -179,26 +179,29 @@
 	if !refuse || w.class.Effect == Idempotent || w.class.Effect == Deduplicated && w.class.Group == GroupAll {
 		return
 	}
-	for _, t := range w.tries {
-		if t.ran {
+	for _, t := range w.attempts {
+		if t.mayHaveRun {
 			c.t.Fatalf("request %d may have run and is refused", id)
 		}
 	}
 }
 
-func (c *checker) Refuse(id uint32, _ time.Duration) { c.note("refuse %d", id); c.final(id, true) }
-func (c *checker) Fail(id uint32)                    { c.note("fail %d", id); c.final(id, false) }
+func (c *checker) Refuse(id uint32, _ time.Duration) {
+	c.record("refuse %d", id)
+	c.checkFinalAnswer(id, true)
+}
+func (c *checker) Fail(id uint32) { c.record("fail %d", id); c.checkFinalAnswer(id, false) }
 func (c *checker) SetTimer(token uint64, d time.Duration) {
 	c.timers++
-	c.queue = append(c.queue, due{at: c.now + max(d, 1), token: token, timer: true})
+	c.queue = append(c.queue, queuedEvent{at: c.now + max(d, 1), token: token, isTimer: true})
 }
-func (c *checker) FetchList()         { c.note("fetch") }
-func (c *checker) CloseIdle(s uint32) { c.note("close %d", s) }
-func (c *checker) Watch(b bool)       { c.note("watch %v", b) }
-func (c *checker) Log(s string)       { c.note("log %s", s) }
+func (c *checker) FetchList()         { c.record("fetch") }
+func (c *checker) CloseIdle(s uint32) { c.record("close %d", s) }
+func (c *checker) Watch(b bool)       { c.record("watch %v", b) }
+func (c *checker) Log(s string)       { c.record("log %s", s) }
 
-// settle delivers what is due at or before now, in order of time.
-func (c *checker) settle(r *Router) {
+// deliverDue delivers the events that are due, in order of time.
+func (c *checker) deliverDue(r *Router) {
 	for {
 		best := -1
 		for i, d := range c.queue {
@@ -211,31 +214,31 @@
 		}
 		d := c.queue[best]
 		c.queue = append(c.queue[:best], c.queue[best+1:]...)
-		if d.timer {
+		if d.isTimer {
 			r.Timer(c.now, d.token)
 			continue
 		}
-		w := c.reqs[d.req]
-		t := &w.tries[d.try]
+		w := c.requests[d.request]
+		t := &w.attempts[d.attempt]
 		t.open = false
-		t.ran = d.st != Miss && d.st != Full && d.st != ConnectFailed && d.st != Moot
-		if d.st == Miss {
-			w.grants++
-		} else if d.st == Moot {
-			c.moot(d.req, d.try)
+		t.mayHaveRun = d.status != Miss && d.status != Full && d.status != ConnectFailed && d.status != Moot
+		if d.status == Miss {
+			w.missGrants++
+		} else if d.status == Moot {
+			c.notSent(d.request, d.attempt)
 		}
-		if d.st == OK {
+		if d.status == OK {
 			w.answered = true
 		}
-		r.Outcome(c.now, Outcome{Request: d.req, Attempt: d.try, Server: t.server, Status: d.st,
-			Latency: c.now - t.at, Closed: w.answered})
+		r.Outcome(c.now, Outcome{Request: d.request, Attempt: d.attempt, Server: t.server, Status: d.status,
+			Latency: c.now - t.sentAt, Closed: w.answered})
 	}
 }
 
-// play runs one long random sequence and returns all the Router did.
-func play(t *testing.T, seed int64, set Settings) []string {
-	c := &checker{t: t, set: set, rng: rand.New(rand.NewSource(seed)), now: time.Second,
-		reqs: map[uint32]*watched{}, told: map[uint32]time.Duration{}, zones: map[uint32]int{}}
+// playSequence plays one long random sequence of events and returns the Router's actions.
+func playSequence(t *testing.T, seed int64, set Settings) []string {
+	c := &checker{t: t, settings: set, random: rand.New(rand.NewSource(seed)), now: time.Second,
+		requests: map[uint32]*checkedRequest{}, stopKnown: map[uint32]time.Duration{}, zones: map[uint32]int{}}
 	r := New(c.now, set, uint64(seed), c)
 	list := fleet(1, 2, 1, 3, 1, 1)
 	for i := range list {
@@ -248,83 +251,83 @@
 	r.List(c.now, ListCached, list)
 	next := uint32(1)
 	for step := 0; step < 6000; step++ {
-		c.now += time.Duration(c.rng.Int63n(int64(4 * time.Millisecond)))
-		c.settle(r)
-		c.change(r, list)
-		if c.rng.Intn(3) > 0 {
+		c.now += time.Duration(c.random.Int63n(int64(4 * time.Millisecond)))
+		c.deliverDue(r)
+		c.changeServer(r, list)
+		if c.random.Intn(3) > 0 {
 			c.request(r, next)
 			next++
 		}
-		r.Outcome(c.now, Outcome{Request: next + 50, Server: 3, Status: OK}) // unknown ids are passed over
-		if c.rng.Intn(50) == 0 {
-			r.Timer(c.now, uint64(c.rng.Intn(5)))
+		r.Outcome(c.now, Outcome{Request: next + 50, Server: 3, Status: OK}) // an unknown id is ignored
+		if c.random.Intn(50) == 0 {
+			r.Timer(c.now, uint64(c.random.Intn(5)))
 		}
 	}
 	for i := 0; i < 400; i++ {
 		c.now += 10 * time.Millisecond
-		c.settle(r)
+		c.deliverDue(r)
 	}
-	for id, w := range c.reqs {
+	for id, w := range c.requests {
 		if !w.answered {
 			t.Fatalf("request %d was never answered", id)
 		}
 	}
 	r.sweep()
-	if len(r.reqs) != 0 || len(r.order) != 0 {
-		t.Fatalf("%d requests are still held at the end", len(r.reqs))
+	if len(r.requests) != 0 || len(r.requestOrder) != 0 {
+		t.Fatalf("%d requests are left at the end", len(r.requests))
 	}
-	for _, s := range r.known {
-		if s.out != 0 {
-			t.Fatalf("server %d still counts %d attempts", s.ID, s.out)
+	for _, s := range r.servers {
+		if s.inFlight != 0 {
+			t.Fatalf("server %d still has %d attempts in flight", s.ID, s.inFlight)
 		}
 	}
 	return c.trace
 }
 
 func (c *checker) request(r *Router, id uint32) {
-	class := c.rng.Intn(len(c.set.Classes))
-	w := &watched{class: c.set.Classes[class]}
-	remaining := w.class.Deadline * time.Duration(20+c.rng.Intn(80)) / 100
+	class := c.random.Intn(len(c.settings.Classes))
+	w := &checkedRequest{class: c.settings.Classes[class]}
+	remaining := w.class.Deadline * time.Duration(20+c.random.Intn(80)) / 100
 	w.deadline = c.now + remaining
-	c.reqs[id] = w
-	c.taken = append(c.taken, c.now)
-	r.Request(c.now, Request{ID: id, Class: class, Key: uint64(c.rng.Intn(40)), Tenant: c.rng.Intn(3),
+	c.requests[id] = w
+	c.requestTimes = append(c.requestTimes, c.now)
+	r.Request(c.now, Request{ID: id, Class: class, Key: uint64(c.random.Intn(40)), Tenant: c.random.Intn(3),
 		Write: class > 0, Remaining: remaining})
-	if c.rng.Intn(60) == 0 && !w.answered {
+	if c.random.Intn(60) == 0 && !w.answered {
 		w.answered = true
 		r.ClientGone(c.now, id)
 	}
 	if id%20 > 0 {
 		return
 	}
-	for _, x := range c.reqs {
-		if !x.answered && c.now > x.deadline+c.set.AnswerGrace {
+	for _, x := range c.requests {
+		if !x.answered && c.now > x.deadline+c.settings.AnswerGrace {
 			c.t.Fatalf("a request is overdue by %v", c.now-x.deadline)
 		}
 	}
 }
 
-// change alters one server's phase or start now and then.
-func (c *checker) change(r *Router, list []Server) {
-	if c.rng.Intn(80) > 0 {
+// changeServer changes the phase or start of one server now and then.
+func (c *checker) changeServer(r *Router, list []Server) {
+	if c.random.Intn(80) > 0 {
 		return
 	}
-	s := &list[c.rng.Intn(len(list))]
-	switch s.Phase = Phase(c.rng.Intn(3)); s.Phase {
+	s := &list[c.random.Intn(len(list))]
+	switch s.Phase = Phase(c.random.Intn(3)); s.Phase {
 	case Ready:
-		delete(c.told, s.ID)
+		delete(c.stopKnown, s.ID)
 		s.Started = c.now
 	case Gone:
-		if c.set.RemovalNotBinding {
-			break // binds only those told to drain before
+		if c.settings.RemovalNotBinding {
+			break // without a listed drain, requests may still be sent
 		}
 		fallthrough
 	default:
-		if _, known := c.told[s.ID]; !known {
-			c.told[s.ID] = c.now
+		if _, known := c.stopKnown[s.ID]; !known {
+			c.stopKnown[s.ID] = c.now
 		}
 	}
-	if c.rng.Intn(4) == 0 {
+	if c.random.Intn(4) == 0 {
 		r.List(c.now, ListFailed, nil)
 	}
 	r.List(c.now, ListDelta, []Server{*s})
@@ -351,17 +354,17 @@
 	return set
 }
 
-func TestRulesHoldOverRandomSequences(t *testing.T) {
+func TestInvariantsHoldOverRandomSequences(t *testing.T) {
 	for variant := 0; variant < 6; variant++ {
 		for seed := int64(1); seed <= 5; seed++ {
-			play(t, seed, sequenceSettings(variant))
+			playSequence(t, seed, sequenceSettings(variant))
 		}
 	}
 }
 
 func TestSameEventsGiveSameActions(t *testing.T) {
-	a := play(t, 11, sequenceSettings(2))
-	if b := play(t, 11, sequenceSettings(2)); !reflect.DeepEqual(a, b) {
+	a := playSequence(t, 11, sequenceSettings(2))
+	if b := playSequence(t, 11, sequenceSettings(2)); !reflect.DeepEqual(a, b) {
 		t.Error("two runs of the same events differ")
 	}
 	if len(a) < 4000 {
--- a/stall_test.go
+++ b/stall_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// stallingFleet carries out what a Router asks for, in virtual time. Attempts are answered after a while, but for those that fall into
-// a stall: they end when it is over, or as timed out or cancelled before that.
+// stallingFleet carries out the Router's actions in virtual time. Attempts are answered after answerTime, except those that fall
+// into a stall: they are answered after it, unless they time out or are cancelled first.
 type stallingFleet struct {
-	r          *Router
-	recorder   // for what is not looked at
-	answerTime time.Duration
-	from, to   time.Duration     // the stall
-	stalls     func(uint32) bool // which servers it takes in
-	refusal    Status            // with which it answers at once; OK: it does not answer
-	missing    bool              // caches answer the first attempt of each request with a miss
-	now        time.Duration
-	out        []*pendingAttempt
-	attempts   map[uint32]int // of a request, by its id
-	asked      map[uint32]time.Duration
-	perSecond  map[int]*secondOfService
+	r                  *Router
+	recorder           // for the actions that the tests ignore
+	answerTime         time.Duration
+	stallFrom, stallTo time.Duration     // begin and end of the stall
+	isStalled          func(uint32) bool // whether a server stalls
+	refusal            Status            // a stalled server ends attempts at once with this status; OK: it does not answer
+	missFirst          bool              // caches answer every attempt with a miss
+	now                time.Duration
+	inFlight           []*pendingAttempt
+	attempts           map[uint32]int // attempts so far, by request id
+	requestedAt        map[uint32]time.Duration
+	perSecond          map[int]*servedInSecond
 }
 
 // pendingAttempt is an attempt that has not ended.
@@ -33,101 +33,101 @@
 	status  Status
 }
 
-// secondOfService is what became of the requests that came in one second.
-type secondOfService struct{ asked, served int }
+// servedInSecond counts the requests that came in one second, and how many of them were served.
+type servedInSecond struct{ requests, served int }
 
 func (f *stallingFleet) Send(request, server uint32, timeout time.Duration) {
 	a := &pendingAttempt{request: request, attempt: f.attempts[request], server: server, sent: f.now, due: f.now + f.answerTime}
 	f.attempts[request]++
-	if f.missing && server != originID {
+	if f.missFirst && server != originID {
 		a.status = Miss
 	}
-	if f.now < f.to && a.due > f.from && f.stalls(server) {
-		if a.due, a.status = f.to+f.answerTime, OK; f.refusal != OK {
+	if f.now < f.stallTo && a.due > f.stallFrom && f.isStalled(server) {
+		if a.due, a.status = f.stallTo+f.answerTime, OK; f.refusal != OK {
 			a.due, a.status = f.now+time.Millisecond, f.refusal
 		}
 	}
 	if late := f.now + timeout; a.due > late {
 		a.due, a.status = late, Timeout
 	}
-	f.out = append(f.out, a)
+	f.inFlight = append(f.inFlight, a)
 }
 
 func (f *stallingFleet) Cancel(request uint32, attempt int) {
-	for _, a := range f.out {
+	for _, a := range f.inFlight {
 		if a.request == request && a.attempt == attempt {
 			a.due, a.status = f.now, Cancelled
 		}
 	}
 }
 
-// originID is the origin's number in the fleets of these tests.
+// originID is the id of the origin in these tests.
 const originID = 99
 
 // step lets a millisecond pass.
 func (f *stallingFleet) step() {
 	f.now += time.Millisecond
 	ended := []*pendingAttempt{}
-	f.out = slices.DeleteFunc(f.out, func(a *pendingAttempt) bool {
+	f.inFlight = slices.DeleteFunc(f.inFlight, func(a *pendingAttempt) bool {
 		if a.due <= f.now {
 			ended = append(ended, a)
 		}
 		return a.due <= f.now
 	})
 	for _, a := range ended {
-		if at, open := f.asked[a.request]; a.status == OK && open {
+		if at, open := f.requestedAt[a.request]; a.status == OK && open {
 			f.perSecond[int(at/time.Second)].served++
-			delete(f.asked, a.request)
+			delete(f.requestedAt, a.request)
 		}
 		f.r.Outcome(f.now, Outcome{Request: a.request, Attempt: a.attempt, Server: a.server, Status: a.status, Latency: f.now - a.sent,
 			Closed: a.status == OK})
 	}
-	if f.now%sweepTick == 0 {
-		f.r.Timer(f.now, tokSweep)
+	if f.now%sweepInterval == 0 {
+		f.r.Timer(f.now, tokenSweep)
 	}
 }
 
-// ask brings a request.
-func (f *stallingFleet) ask(id uint32, key uint64) {
-	f.asked[id] = f.now
+// request gives the Router a request.
+func (f *stallingFleet) request(id uint32, key uint64) {
+	f.requestedAt[id] = f.now
 	second := int(f.now / time.Second)
 	if f.perSecond[second] == nil {
-		f.perSecond[second] = &secondOfService{}
+		f.perSecond[second] = &servedInSecond{}
 	}
-	f.perSecond[second].asked++
+	f.perSecond[second].requests++
 	f.r.Request(f.now, Request{ID: id, Key: key, Remaining: time.Second})
 }
 
-// service is the part that was served of what came from one second on, for another.
-func (f *stallingFleet) service(second int) float64 {
+// servedFraction returns the fraction of the requests that came in one second that was served.
+func (f *stallingFleet) servedFraction(second int) float64 {
 	s := f.perSecond[second]
-	return float64(s.served) / float64(s.asked)
+	return float64(s.served) / float64(s.requests)
 }
 
-// After a stall of all that a router hears from, it serves again within a second: nothing that it has learned keeps it from hearing
-// that the stall is over.
+// Guards against a router that learns so much caution from a stall that it never sees its end: after a stall of everything that
+// answers it, it serves again within a second.
 func TestServesAgainAfterAStall(t *testing.T) {
 	all := func(uint32) bool { return true }
 	origin := func(id uint32) bool { return id == originID }
 	for name, c := range map[string]struct {
-		reads   int // a second
-		keys    int // that they are for; 0: each has its own
+		reads   int // reads per second
+		keys    int // number of keys that they are for; 0: each read has its own key
 		stalls  func(uint32) bool
 		refusal Status
 		aside   bool
 	}{
-		"pressure: nothing answers":              {200, 40, all, OK, false},
-		"pressure: few reads":                    {20, 20, all, OK, false},
-		"pressure: all is refused":               {200, 40, all, Full, false},
-		"health: all connections are reset":      {200, 40, all, Reset, false},
-		"health: none can be opened":             {200, 40, all, ConnectFailed, false},
-		"help: all answers are errors":           {200, 40, all, ServerError, false},
-		"health: one server of eight stalls":     {200, 40, func(id uint32) bool { return id == 3 }, OK, false},
-		"path: one zone of two stalls":           {200, 40, func(id uint32) bool { return id%2 == 0 }, OK, false},
-		"origin's window: the origin stalls":     {200, 0, origin, OK, true},
-		"origin's window: the origin refuses":    {200, 0, origin, Full, true},
-		"origin's window: all stalls with it":    {200, 0, all, OK, true},
-		"gate: reads that need what is kept not": {200, 0, all, OK, false},
+		"pressure: nothing answers":           {200, 40, all, OK, false},
+		"pressure: few reads":                 {20, 20, all, OK, false},
+		"pressure: everything is refused":     {200, 40, all, Full, false},
+		"health: all connections are reset":   {200, 40, all, Reset, false},
+		"health: no connection can be opened": {200, 40, all, ConnectFailed, false},
+		"retry help: all answers are errors":  {200, 40, all, ServerError, false},
+		"health: one server of eight stalls":  {200, 40, func(id uint32) bool { return id == 3 }, OK, false},
+		"path: one zone of two stalls":        {200, 40, func(id uint32) bool { return id%2 == 0 }, OK, false},
+		"origin's window: the origin stalls":  {200, 0, origin, OK, true},
+		"origin's window: the origin refuses": {200, 0, origin, Full, true},
+		"origin's window: everything stalls":  {200, 0, all, OK, true},
+		"gate: reads of uncached keys":        {200, 0, all, OK, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := testSettings()
@@ -140,8 +140,8 @@
 				set.OriginKind = 1
 				list = append(list, Server{ID: originID, Phase: Ready, Weight: 1, Kind: 1})
 			}
-			f := &stallingFleet{answerTime: 20 * time.Millisecond, from: 8 * time.Second, to: 11 * time.Second, stalls: c.stalls, refusal: c.refusal,
-				missing: c.aside, now: time.Second, attempts: map[uint32]int{}, asked: map[uint32]time.Duration{}, perSecond: map[int]*secondOfService{},
+			f := &stallingFleet{answerTime: 20 * time.Millisecond, stallFrom: 8 * time.Second, stallTo: 11 * time.Second, isStalled: c.stalls, refusal: c.refusal,
+				missFirst: c.aside, now: time.Second, attempts: map[uint32]int{}, requestedAt: map[uint32]time.Duration{}, perSecond: map[int]*servedInSecond{},
 				recorder: *newRecorder()}
 			f.r = New(f.now, set, 7, f)
 			f.r.List(f.now, ListFull, list)
@@ -153,13 +153,13 @@
 				if c.keys > 0 {
 					key = mix(uint64(id) % uint64(c.keys))
 				}
-				f.ask(id, key)
+				f.request(id, key)
 				id++
 			}
-			before, after := f.service(6), f.service(12)
+			before, after := f.servedFraction(6), f.servedFraction(12)
 			if after < 0.9*before {
-				t.Errorf("of each second's reads are served: before %.2f, in the stall %.2f %.2f %.2f, then %.2f %.2f %.2f; 0.9 of before are due from the second on",
-					before, f.service(8), f.service(9), f.service(10), f.service(11), after, f.service(13))
+				t.Errorf("served fraction of each second's reads: before %.2f, in the stall %.2f %.2f %.2f, then %.2f %.2f %.2f; want 0.9 of before from the second one on",
+					before, f.servedFraction(8), f.servedFraction(9), f.servedFraction(10), f.servedFraction(11), after, f.servedFraction(13))
 			}
 		})
 	}
--- a/status.go
+++ b/status.go
@@ -1,6 +1,6 @@
 package hoptiller
 
-// statusCount is the number of ways in which an attempt can end.
+// statusCount is the number of Status values.
 const statusCount = int(Miss) + 1
 
 var statusNames = [statusCount]string{
@@ -8,8 +8,8 @@
 	Reset: "reset", Cancelled: "cancelled", Moot: "not_sent", Miss: "miss",
 }
 
-// String returns the status as it is written in the log and the metrics.
+// String returns the name of the status in logs and metrics.
 func (s Status) String() string { return statusNames[s] }
 
-// StatusNames returns the names of all statuses, in their order.
+// StatusNames returns the names of all statuses, in the order of their values.
 func StatusNames() []string { return append([]string(nil), statusNames[:]...) }
--- a/window.go
+++ b/window.go
@@ -1,61 +1,65 @@
 package hoptiller
 
-// Windows: how many of this instance's own attempts may be out at a server. A window is cut where answers
-// come late, and grows while it is in use and they don't.
+// A server's window is the number of this router's own attempts that may be in flight there. It is cut when
+// answers come late, and it grows while it is in use and they come in time.
 
 import "math"
 
 const (
-	windowFirst = 12.0 // what a first cut leaves of a window at all balancers together
-	windowCut   = 0.8  // what a late or refused answer leaves of a window
-	windowGain  = 3.0  // requests that a window's worth of good answers adds at all of them,
-	windowOwn   = 0.3  // and at each, which is cut by itself: a part of hundreds would never be regained
-	lateAt      = 0.4  // answers after this part of the aim are signs of a queue
+	// The first cut leaves a window of firstCutWindow, divided by the number of routers.
+	firstCutWindow  = 12.0
+	windowCutFactor = 0.8 // what a late or refused answer leaves of a window
+	// One window's worth of good answers adds windowGain requests at all routers together, and at least
+	// minWindowGain at each router. Each router cuts its window by itself, and with only a share of hundreds
+	// it would never grow back.
+	windowGain      = 3.0
+	minWindowGain   = 0.3
+	lateAimFraction = 0.4 // an answer after this fraction of the aim is a sign of a queue
 )
 
-// hasRoom tells whether a server's window has room: the guard against queues that make answers late.
-func (r *Router) hasRoom(s *server) bool { return float64(s.out) < s.window }
+// hasRoom reports whether a server's window has room. This protects against queues that make answers late.
+func (r *Router) hasRoom(s *server) bool { return float64(s.inFlight) < s.window }
 
-// learnWindow finds how much own work a server bears before answers come late: cut on
-// signs of a queue, once for each window sent, and grown slowly while it is in use.
+// learnWindow finds how much of this router's work a server sustains before answers come late. Signs of a
+// queue cut the window, at most once for each window of attempts. It grows slowly while it is in use.
 func (r *Router) learnWindow(q *request, t *attempt, o *Outcome) {
-	s, used := t.to, float64(t.to.out+1)
-	late, at := false, lateAt*q.class.Aim.Seconds()
+	s, used := t.target, float64(t.target.inFlight+1)
+	late, lateAfter := false, lateAimFraction*q.class.Aim.Seconds()
 	if s.origin {
-		at *= originLate
+		lateAfter *= originLateFactor
 	}
 	switch o.Status {
 	case Full, ConnectFailed:
 		late = true
 	case Timeout, OK:
-		late = o.Latency.Seconds() > at
+		late = o.Latency.Seconds() > lateAfter
 	default:
 		return
 	}
 	if s.origin && q.Write {
-		return // other work than a fetch, of which no window bounds any
+		return // not a fetch, and no window limits writes to the origin
 	}
 	if s.origin {
-		s.late += (one(late) - s.late) / lateOver
-		late = late && s.late > lateBorne
+		s.lateFraction += (boolToFloat(late) - s.lateFraction) / lateFetchOutcomes
+		late = late && s.lateFraction > maxLateFetches
 	}
 	if !late {
 		if used >= s.window/2 {
-			s.window += max(windowOwn, windowGain/r.balancers()) / max(s.window, 1)
+			s.window += max(minWindowGain, windowGain/r.routerCount()) / max(s.window, 1)
 		}
 		return
 	}
-	// What is late at a cache that has little of this instance's is for others to mend; an origin is shared.
-	// Only an answer shows that: what is lost on the way may be the connection's fault.
+	// Lateness at a cache that gets little from this router is left to the other routers, but an origin is
+	// shared by all. Only an answer shows lateness: a lost attempt may be the connection's fault.
 	shared := s.origin && o.Status == OK
-	if t.at < s.cutAt || used < s.window/2 && !shared && !math.IsInf(s.window, 1) {
+	if t.sentAt < s.windowCutAt || used < s.window/2 && !shared && !math.IsInf(s.window, 1) {
 		return
 	}
-	s.cutAt = r.now
+	s.windowCutAt = r.now
 	if math.IsInf(s.window, 1) {
-		s.window = max(windowFirst/r.balancers(), used)
+		s.window = max(firstCutWindow/r.routerCount(), used)
 	}
-	s.window = min(s.window, 2*max(used, float64(s.most)))
-	s.most = s.out
-	s.window = max(1, windowCut*s.window)
+	s.window = min(s.window, 2*max(used, float64(s.peakInFlight)))
+	s.peakInFlight = s.inFlight
+	s.window = max(1, windowCutFactor*s.window)
 }
