--- a/api.go
+++ b/api.go
@@ -54,7 +54,7 @@
 	Classes         []Class
 	Tenants         []Tenant
 	OverShareWorth  float64 // worth of requests over their tenant's share
-	TailPart        float64 // weight of late answers, relative to those in time, in the score; if set, no request outlives its aim
+	TailPart        float64 // fraction of the score that counts late answers against timely ones
 
 	Aside      bool // the router, not the cache server, fetches from the origin after a miss
 	OriginKind int  // machine kind of the origin in the list; -1: there is no origin
@@ -62,8 +62,8 @@
 
 	ListOnRequest     bool          // the list comes only on request
 	AskWithin         time.Duration // how soon the list must be requested after the start or a failure
-	StopSendingWithin time.Duration // how long after a listed drain or removal requests may still be sent
-	AnswerGrace       time.Duration // how long after the deadline an answer may still come
+	StopSendingWithin time.Duration // how soon after a listed drain or removal sending must stop
+	AnswerGrace       time.Duration // how long after its deadline a request may get its final answer
 
 	ColdFrom       float64       // fraction of its capacity that a server has at its start
 	Cold           time.Duration // after this time at the latest a server is warm
@@ -80,7 +80,7 @@
 	SecondCopies  bool          // two attempts of a request may be in flight at once
 	MayCancel     bool          // attempts can be cancelled
 	RetryAfter    bool          // clients can be told when to retry
-	MaxRetryAfter time.Duration // longest wait before a retry that clients follow
+	MaxRetryAfter time.Duration // longest wait that clients honour
 	ConnTimeout   time.Duration // time-out for opening a connection
 	Tick          time.Duration // shortest time between rounds of events
 }
--- a/budget_test.go
+++ b/budget_test.go
@@ -136,7 +136,8 @@
 			}
 			retryCount++
 			retryTimes[i] = append(retryTimes[i], group.now)
-			requestsInWindow, retriesInWindow := dropBefore(requestTimes[i], group.now-set.BudgetWindow+1), dropBefore(retryTimes[i], group.now-set.BudgetWindow)
+			requestsInWindow, retriesInWindow :=
+				dropBefore(requestTimes[i], group.now-set.BudgetWindow+1), dropBefore(retryTimes[i], group.now-set.BudgetWindow)
 			if float64(len(retriesInWindow)) > 2+0.1*float64(len(requestsInWindow)) {
 				t.Fatalf("%d routers: %d retries for %d requests", n, len(retriesInWindow), len(requestsInWindow))
 			}
--- a/cold_late_listing_test.go
+++ b/cold_late_listing_test.go
@@ -60,7 +60,8 @@
 			}
 			warmth := set.ColdFrom + (1-set.ColdFrom)*float64(at-started)/float64(set.Cold)
 			if limit := 1.5 * warmth * share * set.Fall.Seconds(); float64(window) > limit {
-				t.Fatalf("seed %d: %v after its start was listed it gets one more request after %d in the window, want at most %.1f", seed, at-listedAt, window, limit)
+				t.Fatalf("seed %d: %v after its start was listed it gets one more request after %d in the window, want at most %.1f",
+					seed, at-listedAt, window, limit)
 			}
 		}
 	}
--- a/cold_sum_test.go
+++ b/cold_sum_test.go
@@ -50,7 +50,8 @@
 	pick := func(values ...float64) float64 { return values[rng.IntN(len(values))] }
 	d := coldStart{
 		routers: int(pick(1, 5, 20, 30, 300)), skew: pick(0, 0, 0.5, 1), listedWithin: time.Duration(pick(0, 0, 0.5, 3) * 1e9),
-		warmUp: time.Duration(pick(12, 24) * 1e9), coldFrom: pick(0.12, 0.2, 0.34), vanished: int(pick(0, 0, 3, 9)), hotFraction: pick(0, 0, 0.1, 0.4),
+		warmUp: time.Duration(pick(12, 24) * 1e9), coldFrom: pick(0.12, 0.2, 0.34), vanished: int(pick(0, 0, 3, 9)),
+		hotFraction: pick(0, 0, 0.1, 0.4),
 	}
 	d.configuredRouters = max(1, int(float64(d.routers)*pick(1, 1, 1, 0.5, 2)))
 	if d.routers > 1 {
@@ -188,5 +189,6 @@
 	}
 	close(next)
 	all.Wait()
-	t.Logf("largest excess over %d seeds: N + 2 + %.2f times the root of N, %s; smallest N + 2 + %.2f", seeds, worst, worstCase, smallest)
+	t.Logf("largest excess over %d seeds: N + 2 + %.2f times the root of N, %s; smallest N + 2 + %.2f",
+		seeds, worst, worstCase, smallest)
 }
--- a/facade_test.go
+++ b/facade_test.go
@@ -123,8 +123,10 @@
 			t.Errorf("%s: %d in flight", name, s.inFlight)
 		}
 		f.Report(time.Hour+time.Second, AttemptID{id, 0}, step.Server, OK, time.Second)
-		if s := f.router.servers[step.Server]; s.inFlight != 0 || s.lastAnswerAt != f.now || len(f.openRequests) != 0 || len(f.router.requests) != 0 {
-			t.Errorf("%s: after its answer %d in flight, last answer at %v, %d open", name, s.inFlight, s.lastAnswerAt, len(f.openRequests))
+		if s := f.router.servers[step.Server]; s.inFlight != 0 || s.silentSince != f.now || len(f.openRequests) != 0 ||
+			len(f.router.requests) != 0 {
+			t.Errorf("%s: after its answer %d in flight, last answer at %v, %d open",
+				name, s.inFlight, s.silentSince, len(f.openRequests))
 		}
 	}
 }
--- a/observations.go
+++ b/observations.go
@@ -40,7 +40,7 @@
 	notifiedAt     time.Duration // when this router was notified of that
 	answers        int           // since notifiedAt
 	hits           int           // hits among those answers
-	commonCause    bool          // most other servers restarted at about the same time, so the paths are at fault
+	commonCause    bool          // most other servers restarted at the same time, so the paths are at fault
 }
 
 // Sighted handles a router's observation of a server. The same observation may arrive repeatedly.
--- a/pressure.go
+++ b/pressure.go
@@ -80,18 +80,21 @@
 	r.pressure = max(0, min(maxPressure, r.pressure+change))
 	r.trials.active = r.pressure >= maxPressure || r.trials.active && r.pressure > trialsEndPressure
 	if r.pressure > 0.5 {
-		r.log("pressure", fmt.Sprintf("%.0f%% outcomes bad: %.0f%% over shares and %.0f%% of reads away",
+		r.log("pressure", fmt.Sprintf(
+			"%.0f%% of outcomes bad: refusing %.0f%% of requests over their share and %.0f%% of reads",
 			100*r.overloadFraction, 100*min(1, r.pressure), 100*max(0, r.pressure-1)))
 	}
 	r.overloadFraction *= math.Exp(-elapsed / 5)
 }
 
 // learnPressure protects the whole fleet against overload, which no router of hundreds sees at any one
-// server. It adds up the bad outcomes of all servers, and a fraction of the traffic is refused on arrival,
-// first the traffic over the tenants' shares. It also counts the outcomes of each server, for its health.
+// server. It averages the outcomes over all servers, and if too many are bad, a fraction of the traffic is
+// refused on arrival, first the traffic over the tenants' shares. It also counts the outcomes of each server,
+// for its health.
 func (r *Router) learnPressure(q *request, t *attempt, o *Outcome) {
 	s, failed := t.target, o.Status == ServerError || o.Status == Reset || o.Status == ConnectFailed
-	bad := boolToFloat(t.cancelled || failed || o.Status == Full || o.Latency.Seconds() > badLatencyFraction*q.class.Aim.Seconds())
+	bad := boolToFloat(t.cancelled || failed || o.Status == Full ||
+		o.Latency.Seconds() > badLatencyFraction*q.class.Aim.Seconds())
 	if t.failed {
 		bad = r.retryHelpFraction // the fraction for which the server is likely to blame
 	}
@@ -109,20 +112,20 @@
 	if !s.origin {
 		r.pathBadFraction[s.Zone] += (bad - r.pathBadFraction[s.Zone]) / pathOutcomes
 	}
-	clear := r.pathHealth(s.Zone) >= 1
+	pathOK := r.pathHealth(s.Zone) >= 1
 	switch {
-	case q.needsFetch || s.origin || failed || !clear:
+	case q.needsFetch || s.origin || failed || !pathOK:
 	case r.trials.active:
 		r.learnTrial(t, bad)
 	default:
 		r.overloadFraction += (bad - r.overloadFraction) / min(64, max(8, r.answerRate))
 	}
-	if s.origin || !clear {
+	if s.origin || !pathOK {
 		return
 	}
-	decay := math.Exp(-(r.now - s.outcomesAt).Seconds() / healthDecay)
-	decay *= min(1, maxHealthOutcomes/(1+s.outcomes))
-	s.outcomes, s.badOutcomes, s.outcomesAt = 1+decay*s.outcomes, bad+decay*s.badOutcomes, r.now
+	pastWeight := math.Exp(-(r.now - s.outcomesAt).Seconds() / healthDecay)
+	pastWeight *= min(1, maxHealthOutcomes/(1+s.outcomes))
+	s.outcomes, s.badOutcomes, s.outcomesAt = 1+pastWeight*s.outcomes, bad+pastWeight*s.badOutcomes, r.now
 	if h := r.health(s); bad > 0 && h < 0.3 {
 		r.log("sick", fmt.Sprintf("server %08x: %.0f of %.0f outcomes bad, keeps %.0f%% of its weight",
 			s.ID, s.badOutcomes, s.outcomes, 100*h))
--- a/router.go
+++ b/router.go
@@ -21,7 +21,8 @@
 
 const (
 	// A watch that breaks or a call for the list that fails is repeated after about watchRetryFirst, and
-	// after at most watchRetryMax on later failures. Together with the longest call that stays under 6 s.
+	// after at most watchRetryMax on later failures. Together with the longest call, the wait is
+	// less than 6 s.
 	watchRetryFirst = 600 * time.Millisecond
 	watchRetryMax   = time.Second
 
@@ -44,9 +45,9 @@
 	otherZoneWeight = 0.02
 	// A server is silent if it has sent nothing for this many usual latencies.
 	silentLatencies = 4
-	// An attempt is overtaken if a later one has its answer and it has waited for this many usual latencies.
-	// The rule holds only if that is less than overtakenAimFraction of the aim; otherwise another attempt is
-	// wasted.
+	// An attempt is overtaken if its server has answered a later one. It may then wait for this many usual
+	// latencies. The rule applies only if that is less than overtakenAimFraction of the aim; otherwise another
+	// attempt would be wasted.
 	overtakenLatencies   = 5
 	overtakenAimFraction = 0.6
 	// A server in good standing may be silent for at least this fraction of the aim.
@@ -89,23 +90,23 @@
 type server struct {
 	Server
 	origin                bool
-	unlisted              bool          // is absent from a list, but absence does not mean removal
-	weight                float64       // listed weight x warm-up x health x path x speed x zone, as of the last update
+	unlisted              bool          // the list no longer names it, which alone does not remove it
+	weight                float64       // listed weight x all factors of the ranking, as of the last update
 	score                 float64       // position in the ranking of the last key; the lowest is first
 	inFlight              int           // own attempts that have not ended
 	peakInFlight          int           // most own attempts in flight at once since the window was last cut
-	lastAnswerAt          time.Duration // when any answer last came
-	lastAnsweredSentAt    time.Duration // when the latest of the attempts that were answered was sent
+	silentSince           time.Duration // last answer, or the start of the first attempt in flight if later
+	lastAnsweredSentAt    time.Duration // send time of the latest attempt that it has answered
 	lateFraction          float64       // of an origin: fraction of its latest reads that were late
 	window                float64       // own attempts that may be in flight before keys go to the next server
 	windowCutAt           time.Duration // when the window was last cut
-	idleSince             time.Duration // end of the last attempt; 0: none since its connections were last closed
-	outcomes, badOutcomes float64       // outcomes and bad outcomes of the last seconds, decayed up to outcomesAt
+	idleSince             time.Duration // end of the last attempt; 0: none since connections were closed
+	outcomes, badOutcomes float64       // outcomes of the last seconds, decayed up to outcomesAt
 	outcomesAt            time.Duration
 	coldRequests          float64 // requests lately considered for it while cold, decayed; see coldHasRoom
 	coldRequestsAt        time.Duration
 	recentSends           []time.Duration // when own attempts within the latest collapseWindow were sent
-	listedAt              time.Duration   // when the list last gave this start time
+	listedAt              time.Duration   // when the list first gave this start time
 	latestStart           time.Duration   // latest time at which the process can have started
 	inferred              inferredRestart // a restart that is not listed yet
 }
@@ -116,7 +117,7 @@
 	sentAt     time.Duration // when it was sent
 	open       bool          // has not ended
 	cancelled  bool          // this router cancelled it or tried to
-	mayHaveRun bool          // false once the server is known to have refused or not received it
+	mayHaveRun bool          // false if the server is known not to have run it
 	connIdle   time.Duration // how long its connection was unused; 0: a new connection or one in use
 	staleConn  bool          // lost with an idle connection, which says nothing about the server
 	usedBudget bool          // counts against the retry budget
@@ -152,11 +153,11 @@
 	servers                  map[uint32]*server // by id; listed, or with attempts in flight
 	caches, origins          []*server          // ready ones, sorted by id
 	requests                 map[uint32]*request
-	requestOrder             []*request      // by arrival; a request stays until the sweep after its last outcome
+	requestOrder             []*request      // by arrival; kept until the sweep after the last outcome
 	keyReads                 map[uint64]int  // recent reads by key, for hot keys
 	readCount                int             // sum of keyReads
 	buckets                  []bucket        // by tenant
-	requestTimes, retryTimes []time.Duration // requests, and attempts that count against the budget, within the budget window
+	requestTimes, retryTimes []time.Duration // requests, and attempts that use the budget, within its window
 	usualLatency             []float64       // smoothed latency of answers in seconds, by class
 	rankBuffer               []*server       // buffer of ranking
 
@@ -164,24 +165,32 @@
 	lastListAt  time.Duration // when the list last came or changed; 0: not yet
 	firstListAt time.Duration // when the first list came
 
-	answerRate                          float64       // answers per second from warm caches, smoothed
-	served                              int           // answers of warm caches that were hits, since ratesAt
-	servedRate, warmWeight              float64       // hits per second from warm caches, and the weight of those caches; both smoothed alike
-	ratesAt                             time.Duration // when the counts were last turned into rates
-	answers, arrived                    int           // answers of warm caches, and requests, since ratesAt
-	arrivalRate                         float64       // requests per second, smoothed
-	hitFraction                         float64       // fraction of the caches' answers that are hits, smoothed
-	readyWeight                         float64       // sum of the weights of all ready caches
-	ratePerWeight                       float64       // hits per second that a unit of warm weight is seen to serve
-	idleLossFraction, newLossFraction   float64       // fractions of attempts lost on idle connections and on all others, smoothed
-	shortestLostIdle                    time.Duration // shortest idle time of a connection that was lost
-	overloadFraction                    float64       // smoothed fraction of outcomes, over all servers, that are signs of overload
-	badFraction                         float64       // smoothed fraction of outcomes, over all servers, that are bad for any reason
-	badFetchFraction, badCachedFraction float64       // fractions of bad outcomes among reads that need the origin and among the others
-	lastFetchAt                         time.Duration // when the last fetch through a server ended
-	gate                                float64       // fraction of the reads that may need the origin that is let through
+	answerRate float64 // answers per second from warm caches, smoothed
+	served     int     // answers of warm caches that were hits, since ratesAt
+	// servedRate is the number of hits per second from warm caches, and warmWeight is the weight of those
+	// caches. Both are smoothed over the same time.
+	servedRate, warmWeight float64
+	ratesAt                time.Duration // when the counts were last turned into rates
+	answers, arrived       int           // answers of warm caches, and requests, since ratesAt
+	arrivalRate            float64       // requests per second, smoothed
+	hitFraction            float64       // fraction of the caches' answers that are hits, smoothed
+	readyWeight            float64       // sum of the weights of all ready caches
+	ratePerWeight          float64       // hits per second that a unit of warm weight is seen to serve
+	// idleLossFraction and newLossFraction are the smoothed fractions of attempts that were lost on
+	// connections that had been idle, and on all others.
+	idleLossFraction, newLossFraction float64
+	shortestLostIdle                  time.Duration // shortest idle time of a connection that was lost
+	// overloadFraction is the smoothed fraction of outcomes, over all servers, that are signs of overload.
+	overloadFraction float64
+	// badFraction is the smoothed fraction of outcomes, over all servers, that are bad for any reason.
+	badFraction float64
+	// badFetchFraction and badCachedFraction are the smoothed fractions of bad outcomes among the reads that
+	// may need the origin, and among all other reads.
+	badFetchFraction, badCachedFraction float64
+	lastFetchAt                         time.Duration // when the last read that might need the origin ended
+	gate                                float64       // fraction let through of reads that may need the origin
 	gateFalling                         bool          // the latest fetch that counts ended badly
-	gateBeforeRun                       float64       // the gate when the current or last run of bad fetches began
+	gateBeforeRun                       float64       // the gate when the latest run of bad fetches began
 	lastGoodFetchSentAt                 time.Duration // when the latest fetch that ended well was sent
 
 	retryHelpFraction float64                  // fraction of server errors after which another server answers
@@ -269,7 +278,7 @@
 	}
 	if s.Started != e.Started || s.window == 0 {
 		latestStart := r.latestStartOf(s, &e, kind)
-		*s = server{inFlight: s.inFlight, window: math.Inf(1), lastAnswerAt: r.now, recentSends: s.recentSends,
+		*s = server{inFlight: s.inFlight, window: math.Inf(1), silentSince: r.now, recentSends: s.recentSends,
 			listedAt: r.now, latestStart: latestStart}
 	}
 	if !(e.Weight > 0) || math.IsInf(e.Weight, 1) {
@@ -317,8 +326,8 @@
 	r.updateInferred()
 	r.readyWeight = 0
 	for _, s := range r.caches {
-		rating := s.Weight * r.listedProgress(s)
-		s.weight = rating * r.health(s) * r.pathHealth(s.Zone) * r.kindSpeed(s.Kind) * r.zoneWeight(s.Zone)
+		listedWeight := s.Weight * r.listedProgress(s)
+		s.weight = listedWeight * r.health(s) * r.pathHealth(s.Zone) * r.kindSpeed(s.Kind) * r.zoneWeight(s.Zone)
 		r.readyWeight += s.weight
 	}
 }
@@ -465,7 +474,6 @@
 	if (q.class.LateValue <= 0 || r.settings.TailPart > 0) && q.class.Aim > 0 {
 		// An answer after the aim is worth nothing or less, so the request is ended just before the aim. A
 		// client's own retry has already used up part of that time.
-
 		elapsed := time.Duration(boolToFloat(q.Retry)) * max(0, q.class.Deadline-q.Remaining)
 		q.answerBy = min(q.answerBy, now+q.class.Aim-elapsed-r.settings.Tick)
 	}
@@ -490,7 +498,7 @@
 func (r *Router) tenantRate(i int) float64 { return r.settings.Tenants[i].Allowance / r.routerCount() }
 
 // withinShare meters a tenant's traffic against this router's share of the allowance. The bucket holds one
-// second of the share plus thirty requests, and starts with the share and ten: small numbers vary by chance.
+// second of the share plus thirty requests, and starts with the share plus ten: small numbers vary by chance.
 func (r *Router) withinShare(tenant int) bool {
 	if tenant < 0 || tenant >= len(r.buckets) {
 		return true
@@ -510,7 +518,8 @@
 	addsOverload := len(q.attempts) > 0 && !q.homeMissed && r.pressure > 1 // a retry would add to the overload
 	tooLate := (q.answerBy - r.now).Seconds() < r.usualLatencyOf(q)
 	attemptsUsed := len(q.attempts) >= r.settings.MaxAttempts
-	if addsOverload || !r.budgetAllows(q) || tooLate || attemptsUsed || !q.operatorAllowsRetry() || !q.takeOperatorRetry(r.now) {
+	if addsOverload || !r.budgetAllows(q) || tooLate || attemptsUsed || !q.operatorAllowsRetry() ||
+		!q.takeOperatorRetry(r.now) {
 		r.finish(q, true) // no useful answer can come any more
 		return
 	}
@@ -552,6 +561,7 @@
 	r.send(q, s)
 }
 
+// send starts an attempt of a request at a server.
 func (r *Router) send(q *request, s *server) {
 	t := attempt{target: s, sentAt: r.now, open: true, mayHaveRun: true, connIdle: r.closeOldIdle(s)}
 	if t.usedBudget = len(q.attempts) > 0 && q.missGrants == 0 && r.settings.BudgetWindow > 0; t.usedBudget {
@@ -566,7 +576,7 @@
 	}
 	s.peakInFlight = max(s.peakInFlight, s.inFlight)
 	if s.inFlight == 1 {
-		s.lastAnswerAt = r.now
+		s.silentSince = r.now
 	}
 	timeout := q.answerBy - r.now
 	if q.Narrow != nil {
@@ -590,9 +600,9 @@
 	return max(idle, 1)
 }
 
-// learnIdleLoss tells dead idle connections from unhealthy servers by how much more often attempts are lost
-// on connections that had been idle than on new ones or ones in use. A dead connection is reset before the
-// server can do any work.
+// learnIdleLoss distinguishes dead idle connections from unhealthy servers. It compares how often attempts are
+// lost on connections that had been idle and on new ones or ones in use. A dead connection is reset before
+// the server can do any work.
 func (r *Router) learnIdleLoss(q *request, t *attempt, o *Outcome) {
 	t.target.idleSince = r.now
 	slow := t.cancelled || o.Latency.Seconds() > badLatencyFraction*q.class.Aim.Seconds()
@@ -615,6 +625,8 @@
 
 func (r *Router) idleConnsDie() bool { return r.idleLossFraction > r.newLossFraction+idleLossExcess }
 
+// usualLatencyOf returns the usual latency of a request's class in seconds, or a quarter of its aim until a
+// latency is known.
 func (r *Router) usualLatencyOf(q *request) float64 {
 	if q.class == &unknownClass || r.usualLatency[q.Class] == 0 {
 		return q.class.Aim.Seconds() / 4
@@ -665,7 +677,8 @@
 		return true
 	}
 	windowStart := r.now - r.settings.BudgetWindow
-	r.requestTimes, r.retryTimes = dropBefore(r.requestTimes, windowStart+1), dropBefore(r.retryTimes, windowStart)
+	r.requestTimes, r.retryTimes =
+		dropBefore(r.requestTimes, windowStart+1), dropBefore(r.retryTimes, windowStart)
 	allowed := max(0, r.settings.BudgetFree) + max(0, r.settings.BudgetRatio)*float64(len(r.requestTimes))
 	return float64(len(r.retryTimes)+1) <= allowed
 }
@@ -719,7 +732,8 @@
 func (r *Router) finish(q *request, refuse bool) {
 	r.cancelAttempts(q)
 	if refuse && r.mayRefuse(q) {
-		r.actions.Refuse(q.ID, min(r.settings.MaxRetryAfter, time.Duration(retryAfterFraction*float64(q.class.Aim))))
+		r.actions.Refuse(q.ID,
+			min(r.settings.MaxRetryAfter, time.Duration(retryAfterFraction*float64(q.class.Aim))))
 	} else {
 		r.actions.Fail(q.ID)
 	}
@@ -787,17 +801,19 @@
 func (r *Router) learnOutcome(q *request, s *server, o *Outcome) {
 	switch o.Status {
 	case OK, Miss, Full, ServerError:
-		s.lastAnswerAt, s.lastAnsweredSentAt = r.now, max(s.lastAnsweredSentAt, q.attempts[o.Attempt].sentAt)
+		s.silentSince, s.lastAnsweredSentAt = r.now, max(s.lastAnsweredSentAt, q.attempts[o.Attempt].sentAt)
 	}
 	if !s.origin && !q.Write && (o.Status == OK || o.Status == Timeout) {
-		r.relativeLatency[s.Kind] += (o.Latency.Seconds()/r.usualLatencyOf(q) - r.relativeLatency[s.Kind]) / speedOutcomes
+		r.relativeLatency[s.Kind] +=
+			(o.Latency.Seconds()/r.usualLatencyOf(q) - r.relativeLatency[s.Kind]) / speedOutcomes
 	}
 	if s.origin || o.Status != OK && o.Status != Miss {
 		return
 	}
 	r.learnInferred(s, q.attempts[o.Attempt].sentAt, o.Status == OK)
 	if r.warmUpProgress(s) >= 1 {
-		r.served += int(boolToFloat(o.Status == OK)) // a miss costs a server little and says nothing about the load that it sustains
+		// A miss costs a server little and says nothing about the load that it sustains.
+		r.served += int(boolToFloat(o.Status == OK))
 		r.answers++
 	}
 	if o.Status == OK && q.Key != 0 {
@@ -872,9 +888,10 @@
 	clear(r.requestOrder[len(remaining):])
 	r.requestOrder = remaining
 	if elapsed := (r.now - r.ratesAt).Seconds(); elapsed >= 0.1 {
-		smoothing := min(1, elapsed/max(0.5, min(10, 32/max(r.answerRate, 1)))) // averaged over at least 32 answers
+		// Rates are averaged over at least 32 answers or 10 s, the rate of hits always over 32 answers.
+		smoothing := min(1, elapsed/max(0.5, min(10, 32/max(r.answerRate, 1))))
 		r.answerRate += (float64(r.answers)/elapsed - r.answerRate) * smoothing
-		longSmoothing := min(1, elapsed/max(0.5, 32/max(r.answerRate, 1))) // also over 32 answers where answers are rare
+		longSmoothing := min(1, elapsed/max(0.5, 32/max(r.answerRate, 1)))
 		r.servedRate += (float64(r.served)/elapsed - r.servedRate) * longSmoothing
 		r.arrivalRate += (float64(r.arrived)/elapsed - r.arrivalRate) * smoothing
 		r.answers, r.served, r.arrived, r.ratesAt = 0, 0, 0, r.now
@@ -902,20 +919,25 @@
 // server is unhealthy and there is no overload: a single silent request may itself be the cause, and hedges
 // feed a queue. An attempt is not cancelled if the budget has no room for the next one.
 func (r *Router) retryIfSilent(q *request) {
-	if q.closed || len(q.attempts) == 0 || len(q.attempts) >= r.settings.MaxAttempts || q.answerBy-r.now < 2*sweepInterval {
+	if q.closed || len(q.attempts) == 0 || len(q.attempts) >= r.settings.MaxAttempts ||
+		q.answerBy-r.now < 2*sweepInterval {
 		return
 	}
 	t := &q.attempts[len(q.attempts)-1]
 	if !t.open || t.target.origin || t.cancelled || q.class.Effect == AtMostOnce {
 		return
 	}
-	patience, unhealthy := silentLatencies*r.usualLatencyOf(q), t.target.weight <= t.target.Weight*r.listedProgress(t.target)/2
+	patience, unhealthy := silentLatencies*r.usualLatencyOf(q),
+		t.target.weight <= t.target.Weight*r.listedProgress(t.target)/2
 	if !unhealthy {
 		patience = max(patience, silentAimFraction*q.class.Aim.Seconds())
 	}
-	silence := r.now - max(t.target.lastAnswerAt, t.sentAt)
-	if overtakenAfter, aim := overtakenLatencies*r.usualLatencyOf(q), q.class.Aim.Seconds(); t.target.lastAnsweredSentAt > t.sentAt && overtakenAfter < overtakenAimFraction*aim {
-		silence, patience = r.now-t.sentAt, max(lateAimFraction*aim, overtakenAfter) // the server answers others, so perhaps only its connection is silent
+	silence := r.now - max(t.target.silentSince, t.sentAt)
+	if overtakenAfter, aim := overtakenLatencies*r.usualLatencyOf(q),
+		q.class.Aim.Seconds(); t.target.lastAnsweredSentAt > t.sentAt &&
+		overtakenAfter < overtakenAimFraction*aim {
+		// The server answers other attempts, so perhaps only the connection of this one is silent.
+		silence, patience = r.now-t.sentAt, max(lateAimFraction*aim, overtakenAfter)
 	}
 	if silence.Seconds() <= patience || !r.budgetAllows(q) || !q.operatorAllowsRetry() {
 		return
@@ -923,7 +945,8 @@
 	if r.settings.MayCancel {
 		t.cancelled = true
 		r.actions.Cancel(q.ID, len(q.attempts)-1)
-	} else if r.settings.SecondCopies && unhealthy && r.pressure <= 0.5 && (q.Narrow == nil || q.Narrow.Copies()) {
+	} else if r.settings.SecondCopies && unhealthy && r.pressure <= 0.5 &&
+		(q.Narrow == nil || q.Narrow.Copies()) {
 		if to := r.chooseServer(q); to != nil && to != t.target && q.takeOperatorRetry(r.now) {
 			r.send(q, to)
 		}
--- a/serving_test.go
+++ b/serving_test.go
@@ -63,7 +63,8 @@
 						unserving++
 					}
 				}
-				if t.Logf("%d of %d routers refused everything, the longest for %v", unserving, routers, longest); unserving > maxUnservedFraction*routers {
+				if t.Logf("%d of %d routers refused everything, the longest for %v",
+					unserving, routers, longest); unserving > maxUnservedFraction*routers {
 					t.Fail()
 				}
 			})
--- a/slow_start.go
+++ b/slow_start.go
@@ -87,10 +87,10 @@
 }
 
 // coldHasRoom limits what all routers together send to a cold server, whatever the ranking says. This
-// router's share of what the server can handle is a rate. Requests beyond that rate are dropped at random,
-// which gives the right mean for any number of routers. The demand is taken from a count of requests, or
-// estimated from the server's fraction of the ready weight if that is higher, so that a mass failure takes
-// effect at once. Only keys that are at home there are estimated: the others come from servers in trouble and
+// router's share of what the server can handle is a rate. Requests beyond that rate are skipped at random,
+// which gives the right mean for any number of routers. The demand is the count of requests, or an estimate
+// if that is higher, so that a mass failure takes effect at once. For keys with their home at this server the
+// estimate follows the server's fraction of the ready weight. Other keys come from servers with a fault and
 // may be all of the traffic.
 func (r *Router) coldHasRoom(q *request, s *server, isHome bool) bool {
 	if r.warmUpProgress(s) >= 1 {
@@ -101,9 +101,9 @@
 	allowed := max(1, rate*r.collapseWindow().Seconds()/4)
 	s.coldRequests = 1 + s.coldRequests*math.Exp(-(r.now-s.coldRequestsAt).Seconds()*rate/allowed)
 	s.coldRequestsAt = r.now
-	expected := r.arrivalRate / rate // at this router, which may see too few requests to count them
-	// A key that was seen only once may still be a hot one.
+	expected := r.arrivalRate / rate // an estimate, as this router may see too few requests to count
 	if isHome {
+		// A key that was seen only once may still be a hot one.
 		expected *= max(s.weight/max(r.readyWeight, 1e-9), float64(r.keyReads[q.Key])/float64(max(r.readCount, 8)))
 	}
 	allowed *= max(0, 1-float64(r.sentBeforeListed(s))/(rate*r.collapseWindow().Seconds()))
@@ -140,7 +140,8 @@
 		allowed += r.tenantRate(i)
 	}
 	r.warmWeight = cmp.Or(r.warmWeight, warmWeight)
-	if r.warmWeight += (warmWeight - r.warmWeight) * smoothing; warmWeight > 0 { // many servers may vanish at once, and with them what they served
+	// Many servers may vanish at once, and with them what they served.
+	if r.warmWeight += (warmWeight - r.warmWeight) * smoothing; warmWeight > 0 {
 		r.ratePerWeight = max(r.servedRate/r.warmWeight, r.ratePerWeight*(1-elapsed/30))
 	}
 	r.ratePerWeight = max(r.ratePerWeight, allowed/max(total, 1e-9)/2)
--- a/stall_test.go
+++ b/stall_test.go
@@ -140,9 +140,11 @@
 				set.OriginKind = 1
 				list = append(list, Server{ID: originID, Phase: Ready, Weight: 1, Kind: 1})
 			}
-			f := &stallingFleet{answerTime: 20 * time.Millisecond, stallFrom: 8 * time.Second, stallTo: 11 * time.Second, isStalled: c.stalls, refusal: c.refusal,
-				missFirst: c.aside, now: time.Second, attempts: map[uint32]int{}, requestedAt: map[uint32]time.Duration{}, perSecond: map[int]*servedInSecond{},
-				recorder: *newRecorder()}
+			f := &stallingFleet{answerTime: 20 * time.Millisecond, stallFrom: 8 * time.Second, stallTo: 11 * time.Second,
+				isStalled: c.stalls, refusal: c.refusal,
+				missFirst: c.aside, now: time.Second, attempts: map[uint32]int{}, requestedAt: map[uint32]time.Duration{},
+				perSecond: map[int]*servedInSecond{},
+				recorder:  *newRecorder()}
 			f.r = New(f.now, set, 7, f)
 			f.r.List(f.now, ListFull, list)
 			for id := uint32(1); f.now < 15*time.Second; f.step() {
