--- a/api.go
+++ b/api.go
@@ -65,10 +65,11 @@
 	StopSendingWithin time.Duration // how soon after a listed drain or removal sending must stop
 	AnswerGrace       time.Duration // how long after its deadline a request may get its final answer
 
-	ColdFrom       float64       // fraction of its capacity that a server has at its start
-	Cold           time.Duration // after this time at the latest a server is warm
-	OverloadFactor float64       // a cold server sustains this many times its capacity
-	Fall           time.Duration // summed over any time of this length; more makes it collapse
+	ColdFrom float64       // fraction of its capacity that a server has at its start
+	Cold     time.Duration // after this time at the latest a server is warm
+	// A cold server collapses if it gets more than OverloadFactor times its capacity within any time of length Fall.
+	OverloadFactor float64
+	Fall           time.Duration
 
 	// Attempts after a request's first that count against the budget are limited to BudgetFree plus BudgetRatio for each request
 	// received, over any BudgetWindow. There is no budget if BudgetWindow is 0.
@@ -99,8 +100,8 @@
 type Server struct {
 	ID      uint32
 	Zone    int
-	Kind    int
-	Cell    int
+	Kind    int // kind of machine
+	Cell    int // see GroupCell
 	Phase   Phase
 	Weight  float64       // relative capacity; 0: not stated
 	Started time.Duration // latest start of the process, on the Router's clock; 0: long ago
--- a/cold_sum_test.go
+++ b/cold_sum_test.go
@@ -36,12 +36,12 @@
 
 const coldBurst = 20
 
-func (c *limitedServer) accepts(now time.Duration) bool {
-	c.tokens = math.Min(coldBurst, c.tokens+(now-c.updatedAt).Seconds()*1.1*coldRate/coldServers)
-	if c.updatedAt = now; c.tokens < 1 {
+func (s *limitedServer) accepts(now time.Duration) bool {
+	s.tokens = math.Min(coldBurst, s.tokens+(now-s.updatedAt).Seconds()*1.1*coldRate/coldServers)
+	if s.updatedAt = now; s.tokens < 1 {
 		return false
 	}
-	c.tokens--
+	s.tokens--
 	return true
 }
 
--- a/defence_test.go
+++ b/defence_test.go
@@ -364,16 +364,16 @@
 	list[100].Kind = 2
 	r, p := newRouter(set, list)
 	id := uint32(0)
-	miss := func(n int) (out []uint32) {
+	miss := func(n int) (fetched []uint32) {
 		for range n {
 			id++
 			r.Request(r.now, Request{ID: id, Key: mix(uint64(id)), Remaining: time.Second})
 			answer(r, p, id, Miss, 5*time.Millisecond)
 			if p.last().request == id && p.last().server == 101 {
-				out = append(out, id)
+				fetched = append(fetched, id)
 			}
 		}
-		return out
+		return fetched
 	}
 	first := miss(20)
 	if len(first) != 20 {
@@ -402,22 +402,22 @@
 	r, p := newRouter(set, list)
 	id := uint32(0)
 	// flood sends n reads at once, which all miss, and returns the ids of those that are fetched.
-	flood := func(n int) (out []uint32) {
+	flood := func(n int) (fetched []uint32) {
 		for range n {
 			id++
 			r.Request(r.now, Request{ID: id, Key: mix(uint64(id)), Remaining: time.Second})
 			answer(r, p, id, Miss, 5*time.Millisecond)
 			if p.last().request == id && p.last().server == 4 {
-				out = append(out, id)
+				fetched = append(fetched, id)
 			} else if !p.refused[id] {
 				t.Fatalf("request %d was neither fetched nor refused at once", id)
 			}
 		}
-		return out
+		return fetched
 	}
-	endAll := func(out []uint32, st Status, took time.Duration) {
+	endAll := func(fetched []uint32, st Status, took time.Duration) {
 		r.now += took
-		for _, id := range out {
+		for _, id := range fetched {
 			answer(r, p, id, st, took)
 		}
 	}
@@ -453,9 +453,9 @@
 		endAll(few, OK, 20*time.Millisecond)
 	}
 	rounds := 0
-	for out := []uint32(nil); len(out) < len(first) && rounds < 100; rounds++ {
-		out = flood(20)
-		endAll(out, OK, 20*time.Millisecond)
+	for fetched := []uint32(nil); len(fetched) < len(first) && rounds < 100; rounds++ {
+		fetched = flood(20)
+		endAll(fetched, OK, 20*time.Millisecond)
 	}
 	if rounds > 30 {
 		t.Errorf("after %d rounds of 20 ms the recovered origin does not get as many fetches as before", rounds)
@@ -511,17 +511,17 @@
 
 // A refused client is told to come back while an answer is still worth something, not after the longest wait of the site.
 func TestRetryAfterFollowsAim(t *testing.T) {
-	for _, c := range []struct{ aim, most, want time.Duration }{
+	for _, c := range []struct{ aim, maxWait, want time.Duration }{
 		{600 * time.Millisecond, 2 * time.Second, 150 * time.Millisecond},
 		{4 * time.Second, 300 * time.Millisecond, 300 * time.Millisecond},
 		{600 * time.Millisecond, 0, 0}, // clients follow no wait
 	} {
 		set := testSettings()
-		set.MaxRetryAfter, set.Classes[0].Aim = c.most, c.aim
+		set.MaxRetryAfter, set.Classes[0].Aim = c.maxWait, c.aim
 		r, p := newRouter(set, nil)
 		p.retryAfter = -1
 		if r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second}); p.retryAfter != c.want {
-			t.Errorf("aim %v, at most %v: told to come back after %v, want %v", c.aim, c.most, p.retryAfter, c.want)
+			t.Errorf("aim %v, at most %v: told to come back after %v, want %v", c.aim, c.maxWait, p.retryAfter, c.want)
 		}
 	}
 }
@@ -595,15 +595,15 @@
 // the client's whole time.
 func TestTailFractionEndsRequestsAtAim(t *testing.T) {
 	for _, c := range []struct {
-		tail float64
-		left time.Duration
+		tail    float64
+		timeout time.Duration
 	}{{0.3, 499 * time.Millisecond}, {0, time.Second}} {
 		set := testSettings()
 		set.TailPart = c.tail
 		r, p := newRouter(set, fleet(1, 1))
 		r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second})
-		if got := p.last().timeout; got != c.left {
-			t.Errorf("tail fraction %.1f: an attempt has %v, want %v", c.tail, got, c.left)
+		if got := p.last().timeout; got != c.timeout {
+			t.Errorf("tail fraction %.1f: an attempt has %v, want %v", c.tail, got, c.timeout)
 		}
 	}
 }
@@ -630,9 +630,9 @@
 // path.
 func TestBadPathLowersZone(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		bad  func(*server) bool
-		way  bool
+		name    string
+		bad     func(*server) bool
+		badPath bool
 	}{
 		{"zone 1", func(s *server) bool { return s.Zone == 1 }, true},
 		{"all", func(*server) bool { return true }, false},
@@ -657,10 +657,10 @@
 			answer(r, p, id, OK, after)
 			r.Timer(r.now, tokenSweep)
 		}
-		if way := r.pathHealth(1) < 0.7; way != c.way || r.pathHealth(0) < 1 {
+		if badPath := r.pathHealth(1) < 0.7; badPath != c.badPath || r.pathHealth(0) < 1 {
 			t.Errorf("%s bad: the paths keep %.2f and %.2f", c.name, r.pathHealth(0), r.pathHealth(1))
 		}
-		if c.way && r.pressure > 0.5 {
+		if c.badPath && r.pressure > 0.5 {
 			t.Errorf("%s bad: pressure %.2f for a bad path", c.name, r.pressure)
 		}
 	}
@@ -699,7 +699,7 @@
 // Errors that a second server repeats are caused by the request or the origin: they count against no server, and soon the first
 // such error is final. Errors that a second server does not repeat are still retried.
 func TestErrorsCausedByRequest(t *testing.T) {
-	for _, mends := range []bool{false, true} {
+	for _, secondAnswers := range []bool{false, true} {
 		r, p := newRouter(testSettings(), fleet(1, 1, 1, 1))
 		r.badCachedFraction = 1 // errors say nothing about the origin here
 		for id := uint32(1); id <= 60; id++ {
@@ -709,21 +709,21 @@
 			answer(r, p, id, ServerError, 5*time.Millisecond)
 			for r.requests[id] != nil {
 				st := ServerError
-				if mends {
+				if secondAnswers {
 					st = OK
 				}
 				answer(r, p, id, st, 5*time.Millisecond)
 			}
 			r.Timer(r.now, tokenSweep)
 		}
-		if mends && len(p.sends) != 120 {
+		if secondAnswers && len(p.sends) != 120 {
 			t.Errorf("%d sends for 60 requests that a second server answers", len(p.sends))
 		}
-		if !mends && len(p.sends) > 100 {
+		if !secondAnswers && len(p.sends) > 100 {
 			t.Errorf("%d sends for 60 requests that fail everywhere", len(p.sends))
 		}
 		for _, s := range r.caches {
-			if h := r.health(s); !mends && h < 0.5 {
+			if h := r.health(s); !secondAnswers && h < 0.5 {
 				t.Errorf("server %d keeps %.2f of its weight though the requests cause the errors", s.ID, h)
 			}
 		}
--- a/facade.go
+++ b/facade.go
@@ -205,7 +205,7 @@
 type CacheState struct {
 	ID      uint32
 	Zone    int
-	Avoided bool
+	Avoided bool // see Facade.Members
 }
 
 // Caches returns the listed cache servers, in no particular order. It takes the lock, so call it rarely.
--- a/facade_test.go
+++ b/facade_test.go
@@ -159,7 +159,7 @@
 // first attempt helps nobody, and it stayed in the count of attempts in flight at its server.
 func TestFacadePatience(t *testing.T) {
 	t.Run("one call", func(t *testing.T) { facadePatience(t, false) })
-	t.Run("second copies", func(t *testing.T) { facadePatience(t, true) })
+	t.Run("hedging", func(t *testing.T) { facadePatience(t, true) })
 }
 
 func facadePatience(t *testing.T, hedging bool) {
@@ -178,8 +178,8 @@
 			}
 			if cancelled {
 				f.Report(now, AttemptID{id, 0}, step.Server, Cancelled, now-time.Hour)
-				if out := f.router.servers[step.Server].inFlight; out != 0 {
-					t.Errorf("%d attempts in flight at the silent server", out)
+				if inFlight := f.router.servers[step.Server].inFlight; inFlight != 0 {
+					t.Errorf("%d attempts in flight at the silent server", inFlight)
 				}
 				return
 			}
--- a/gate_test.go
+++ b/gate_test.go
@@ -9,8 +9,8 @@
 // do not, most of them are refused. Broken connections, and failures that cached keys share, say nothing about the origin.
 func TestGateDistinguishesOriginFromServers(t *testing.T) {
 	for _, c := range []struct {
-		fresh, kept Status
-		shut        bool
+		uncached, cached Status
+		shut             bool
 	}{{ServerError, OK, true}, {Reset, OK, false}, {ServerError, ServerError, false}} {
 		r, p := newRouter(testSettings(), fleet(1, 1, 1))
 		id := uint32(0)
@@ -25,11 +25,11 @@
 		read(1, OK)
 		for i := uint64(0); i < 100; i++ {
 			r.cachedAt[1] = r.now
-			read(1, c.kept)
-			read(1000+i, c.fresh)
+			read(1, c.cached)
+			read(1000+i, c.uncached)
 		}
 		if shut := r.gate < 0.3; shut != c.shut {
-			t.Errorf("uncached reads end with %v, cached ones with %v: gate at %.2f", c.fresh, c.kept, r.gate)
+			t.Errorf("uncached reads end with %v, cached ones with %v: gate at %.2f", c.uncached, c.cached, r.gate)
 		}
 	}
 }
--- a/router.go
+++ b/router.go
@@ -249,7 +249,7 @@
 	listed := make(map[uint32]bool, len(entries))
 	for _, e := range entries {
 		listed[e.ID] = true
-		r.updateServer(e, kind)
+		r.applyEntry(e, kind)
 	}
 	if kind != ListDelta {
 		for id, s := range r.servers {
@@ -264,9 +264,9 @@
 	r.rebuildReady()
 }
 
-// updateServer applies one list entry. A new start time means a new process: what was learned about the old
+// applyEntry applies one list entry. A new start time means a new process: what was learned about the old
 // one is forgotten, but its attempts still count as in flight until their outcomes come.
-func (r *Router) updateServer(e Server, kind ListKind) {
+func (r *Router) applyEntry(e Server, kind ListKind) {
 	s := r.servers[e.ID]
 	if s != nil && e.Phase == Gone {
 		r.handleAbsence(s)
--- a/scale_test.go
+++ b/scale_test.go
@@ -29,20 +29,20 @@
 }
 
 // request gives a request to router i and returns its id and the server of its first attempt; 0: no attempt.
-func (c *routerGroup) request(i int, key uint64, tenant int) (id, to uint32) {
-	c.next++
-	p := c.proxies[i]
+func (g *routerGroup) request(i int, key uint64, tenant int) (id, to uint32) {
+	g.next++
+	p := g.proxies[i]
 	p.sends = p.sends[:0]
-	c.routers[i].now = c.now
-	c.routers[i].Request(c.now, Request{ID: c.next, Key: key, Tenant: tenant, Remaining: time.Second})
+	g.routers[i].now = g.now
+	g.routers[i].Request(g.now, Request{ID: g.next, Key: key, Tenant: tenant, Remaining: time.Second})
 	if len(p.sends) == 0 {
-		return c.next, 0
+		return g.next, 0
 	}
-	return c.next, p.sends[0].server
+	return g.next, p.sends[0].server
 }
 
-func (c *routerGroup) answer(i int, id, to uint32, st Status, after time.Duration) {
-	c.routers[i].Outcome(c.now, Outcome{Request: id, Server: to, Status: st, Latency: after, Closed: st == OK})
+func (g *routerGroup) answer(i int, id, to uint32, st Status, after time.Duration) {
+	g.routers[i].Outcome(g.now, Outcome{Request: id, Server: to, Status: st, Latency: after, Closed: st == OK})
 }
 
 // maxInWindow returns the largest number of times within any window.
@@ -90,7 +90,6 @@
 			}
 			// Warm, the server handles 60 requests per second. In the first 12 s its capacity is at most 0.68 of that, and it
 			// may get 3 times its capacity. In the first 4 s its capacity is 0.2 to 0.36 of that.
-			// and what it may get is 3 times that. Early on it is 3 times 0.2 to 0.36.
 			early := 0
 			for early < len(sends) && sends[early] < 9*time.Second+4*time.Second {
 				early++
--- a/sequence_test.go
+++ b/sequence_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// checker is a proxy that simulates its own servers and checks the Router's actions against invariants 1 to 3 and the limits on
-// attempts. It shares no code with the Router's own bookkeeping.
+// checker is a proxy that simulates its own servers. It checks the Router's actions against invariants 1 to 3 (retries have no
+// unwanted effect, leaving servers get no requests, each request gets one final answer in time) and against the limits on attempts
+// and retries. It shares no code with the Router's own bookkeeping.
 type checker struct {
 	t            *testing.T
 	settings     Settings
@@ -76,7 +77,7 @@
 	if w.answered {
 		c.t.Fatalf("request %d sent after its answer", id)
 	}
-	if at, gone := c.stopKnown[server]; gone && c.now > at+c.settings.StopSendingWithin {
+	if at, leaving := c.stopKnown[server]; leaving && c.now > at+c.settings.StopSendingWithin {
 		c.t.Fatalf("request %d sent to server %d, known to drain or be removed for %v", id, server, c.now-at)
 	}
 	if len(w.attempts) >= c.settings.MaxAttempts {
--- a/serving_test.go
+++ b/serving_test.go
@@ -54,7 +54,7 @@
 	const routers, faultTime = 40, 15 * time.Second
 	for _, rate := range []float64{5, 10, 30} {
 		for _, failing := range []float64{0.1, 0.3, 0.5} {
-			t.Run(fmt.Sprintf("%v requests a second, %v of the servers", rate, failing), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%v requests per second, %v of the servers failing", rate, failing), func(t *testing.T) {
 				t.Parallel()
 				unserving, longest := 0, time.Duration(0)
 				for seed := range uint64(routers) {
@@ -77,7 +77,7 @@
 	t.Parallel()
 	const seeds, faultTime, within = 10, 30 * time.Second, 10 * time.Second
 	for _, rate := range []float64{5, 30, 100} {
-		t.Run(fmt.Sprint(rate, " requests a second"), func(t *testing.T) {
+		t.Run(fmt.Sprint(rate, " requests per second"), func(t *testing.T) {
 			t.Parallel()
 			longest := time.Duration(0)
 			for seed := range uint64(seeds) {
--- a/stall_test.go
+++ b/stall_test.go
@@ -15,7 +15,7 @@
 	stallFrom, stallTo time.Duration     // begin and end of the stall
 	isStalled          func(uint32) bool // whether a server stalls
 	refusal            Status            // a stalled server ends attempts at once with this status; OK: it does not answer
-	missFirst          bool              // caches answer every attempt with a miss
+	cachesMiss         bool              // caches answer every attempt with a miss
 	now                time.Duration
 	inFlight           []*pendingAttempt
 	attempts           map[uint32]int // attempts so far, by request id
@@ -39,7 +39,7 @@
 func (f *stallingFleet) Send(request, server uint32, timeout time.Duration) {
 	a := &pendingAttempt{request: request, attempt: f.attempts[request], server: server, sent: f.now, due: f.now + f.answerTime}
 	f.attempts[request]++
-	if f.missFirst && server != originID {
+	if f.cachesMiss && server != originID {
 		a.status = Miss
 	}
 	if f.now < f.stallTo && a.due > f.stallFrom && f.isStalled(server) {
@@ -142,7 +142,7 @@
 			}
 			f := &stallingFleet{answerTime: 20 * time.Millisecond, stallFrom: 8 * time.Second, stallTo: 11 * time.Second,
 				isStalled: c.stalls, refusal: c.refusal,
-				missFirst: c.aside, now: time.Second, attempts: map[uint32]int{}, requestedAt: map[uint32]time.Duration{},
+				cachesMiss: c.aside, now: time.Second, attempts: map[uint32]int{}, requestedAt: map[uint32]time.Duration{},
 				perSecond: map[int]*servedInSecond{},
 				recorder:  *newRecorder()}
 			f.r = New(f.now, set, 7, f)
