--- a/api.go
+++ b/api.go
@@ -123,7 +123,7 @@
 	ID        uint32
 	Class     int
 	Tenant    int
-	Key       uint64 // hash of the key; 0: no key
+	Key       uint64 // 0: no key
 	Write     bool
 	Retry     bool          // the client marks this request as its own retry
 	Remaining time.Duration // until the client stops waiting
