--- a/observations.go
+++ b/observations.go
@@ -35,9 +35,9 @@
 // restart is inferred.
 type inferredRestart struct {
 	downSince      time.Duration // since when it refuses connections; 0: it does not
-	downNotifiedAt time.Duration // when this router was notified of that
+	downNotifiedAt time.Duration // when this router was notified of the downtime
 	started        time.Duration // latest time at which it can have started; 0: no restart is inferred
-	notifiedAt     time.Duration // when this router was notified of that
+	notifiedAt     time.Duration // when this router was notified of the restart
 	answers        int           // since notifiedAt
 	hits           int           // hits among those answers
 	commonCause    bool          // most other servers restarted at the same time, so the paths are at fault
--- a/observations_test.go
+++ b/observations_test.go
@@ -76,8 +76,8 @@
 
 // Guards against overloading a cold server whose restart is not listed yet. If routers observed that a server refused connections
 // and accepts them again, while this router sent it nothing, it counts as cold and gets no more than a cold server sustains. That
-// ends once the start is listed, once the server answers with hits, or after some time without a listed start. What may be the
-// fault of network paths is not taken for a restart.
+// ends once the start is listed, once the server answers with hits, or after some time without a listed start. A downtime that
+// network paths may have caused is not taken for a restart.
 func TestObservations(t *testing.T) {
 	const (
 		before    = 5 * time.Second
--- a/router.go
+++ b/router.go
@@ -586,8 +586,9 @@
 }
 
 // closeOldIdle protects against connections that the other side drops silently while they are idle. Once some
-// were found dead, it closes the connections to a server that has been idle for nearly as long. It returns
-// how long the connection that the next attempt uses has been idle; 0: a new one, or one in use.
+// were found dead, it closes the idle connections to a server if they have been unused for nearly as long as
+// those. It returns how long the connection that the next attempt uses has been idle; 0: a new one, or one in
+// use.
 func (r *Router) closeOldIdle(s *server) time.Duration {
 	idle := r.now - s.idleSince
 	if s.inFlight > 0 || s.idleSince == 0 {
@@ -600,9 +601,9 @@
 	return max(idle, 1)
 }
 
-// learnIdleLoss distinguishes dead idle connections from unhealthy servers. It compares how often attempts are
-// lost on connections that had been idle and on new ones or ones in use. A dead connection is reset before
-// the server can do any work.
+// learnIdleLoss distinguishes dead idle connections from unhealthy servers. It compares how often attempts
+// are lost on connections that had been idle and on new ones or ones in use. A dead connection is reset
+// before the server can do any work.
 func (r *Router) learnIdleLoss(q *request, t *attempt, o *Outcome) {
 	t.target.idleSince = r.now
 	slow := t.cancelled || o.Latency.Seconds() > badLatencyFraction*q.class.Aim.Seconds()
--- a/scale_test.go
+++ b/scale_test.go
@@ -353,7 +353,7 @@
 }
 
 // If a key has a home in each zone, a cold cache may be sent what a warm cache of its zone serves, reduced by the warm-up. The
-// caches of other zones, which this router sends next to nothing, don't count in that.
+// caches of other zones, which this router sends next to nothing, don't count for that limit.
 func TestColdLimitInOwnZone(t *testing.T) {
 	r := threeZoneGroup().routers[0]
 	r.servedRate, r.arrivalRate = 20, 20
--- a/sequence_test.go
+++ b/sequence_test.go
@@ -9,8 +9,8 @@
 )
 
 // checker is a proxy that simulates its own servers. It checks the Router's actions against invariants 1 to 3 (retries have no
-// unwanted effect, leaving servers get no requests, each request gets one final answer in time) and against the limits on attempts
-// and retries. It shares no code with the Router's own bookkeeping.
+// unwanted effect, leaving servers get no requests, each request gets one final answer in time) and against the limits on
+// attempts and retries. It shares no code with the Router's own bookkeeping.
 type checker struct {
 	t            *testing.T
 	settings     Settings
--- a/slow_start.go
+++ b/slow_start.go
@@ -87,11 +87,11 @@
 }
 
 // coldHasRoom limits what all routers together send to a cold server, whatever the ranking says. This
-// router's share of what the server can handle is a rate. Requests beyond that rate are skipped at random,
-// which gives the right mean for any number of routers. The demand is the count of requests, or an estimate
-// if that is higher, so that a mass failure takes effect at once. For keys with their home at this server the
-// estimate follows the server's fraction of the ready weight. Other keys come from servers with a fault and
-// may be all of the traffic.
+// router's share of what the server can handle is a rate. Requests beyond that rate pass over the server at
+// random, which gives the right mean for any number of routers. The demand is the count of requests, or an
+// estimate if that is higher, so that a mass failure takes effect at once. For keys with their home at this
+// server the estimate follows the server's fraction of the ready weight or the key's fraction of the reads.
+// Other keys come from servers with a fault and may be all of the traffic.
 func (r *Router) coldHasRoom(q *request, s *server, isHome bool) bool {
 	if r.warmUpProgress(s) >= 1 {
 		return true
--- a/stall_test.go
+++ b/stall_test.go
@@ -160,7 +160,7 @@
 			}
 			before, after := f.servedFraction(6), f.servedFraction(12)
 			if after < 0.9*before {
-				t.Errorf("served fraction of each second's reads: before %.2f, in the stall %.2f %.2f %.2f, then %.2f %.2f %.2f; want 0.9 of before from the second one on",
+				t.Errorf("served: before %.2f, in the stall %.2f %.2f %.2f, then %.2f %.2f %.2f; want 0.9 of before after one second",
 					before, f.servedFraction(8), f.servedFraction(9), f.servedFraction(10), f.servedFraction(11), after, f.servedFraction(13))
 			}
 		})
--- a/window.go
+++ b/window.go
@@ -10,8 +10,8 @@
 	firstCutWindow  = 12.0
 	windowCutFactor = 0.8 // what a late or refused answer leaves of a window
 	// One window's worth of good answers adds windowGain requests at all routers together, and at least
-	// minWindowGain at each router. Each router cuts its window by itself, and with only a share of hundreds
-	// it would never grow back.
+	// minWindowGain at each router. Each router cuts its window by itself, and a window that regained only
+	// one router's share of hundreds would never recover.
 	windowGain      = 3.0
 	minWindowGain   = 0.3
 	lateAimFraction = 0.4 // an answer after this fraction of the aim is a sign of a queue
