--- a/scale_test.go
+++ b/scale_test.go
@@ -89,7 +89,7 @@
 				}
 			}
 			// Warm, the server handles 60 requests per second. In the first 12 s its capacity is at most 0.68 of that, and it
-			// may get 3 times its capacity. In the first 4 s its capacity is 0.2 to 0.36 of that.
+			// may get 3 times its capacity. In the first 4 s it may get 3 times 0.2 to 0.36 of what it handles warm.
 			early := 0
 			for early < len(sends) && sends[early] < 9*time.Second+4*time.Second {
 				early++
