--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,4 @@
-// Package discovery keeps the list of servers up to date from a discovery
-// service.
+// Package discovery keeps the list of servers up to date by querying a discovery service.
 package discovery
 
 import (
@@ -19,7 +18,7 @@
 	"hoptiller/internal/relay"
 )
 
-// Entry is one server as a directory names it.
+// Entry describes one server as a discovery service lists it.
 type Entry struct {
 	ID, Addr, Zone, Kind, State string
 	Cell                        int
@@ -27,28 +26,29 @@
 	StartedMS                   int64
 }
 
-// Update is what a directory says at a time.
+// Update is one message of a discovery service: a full list of servers, or the entries that have changed.
 type Update struct {
 	Version int64
 	Full    bool
 	Entries []Entry
 }
 
-// Listener is told of servers, as *relay.Relay is.
+// Listener receives server lists. *relay.Relay implements it.
 type Listener interface {
 	Told(kind hoptiller.ListKind, servers []relay.Server)
 	Knows(id uint32) bool
 }
 
-// Source is a service that can be asked for the list.
+// Source is a service that provides the list of servers.
 type Source interface {
-	// List asks for the whole list.
+	// List fetches the full list.
 	List(ctx context.Context) (Update, error)
-	// Watch tells of what has changed since a version, until the watch breaks, ctx ends or told fails.
-	Watch(ctx context.Context, after int64, told func(Update) error) error
+	// Watch calls onUpdate with each change since version afterVersion. It returns when the watch breaks, ctx ends or
+	// onUpdate returns an error.
+	Watch(ctx context.Context, afterVersion int64, onUpdate func(Update) error) error
 }
 
-// ParseUpdate reads an update in the platform's form.
+// ParseUpdate parses an update in the JSON format of the platform's discovery service.
 func ParseUpdate(text []byte) (Update, error) {
 	if !gjson.ValidBytes(text) {
 		return Update{}, errors.New("directory: not JSON")
@@ -83,23 +83,23 @@
 	return u, nil
 }
 
-// Names gives zones, kinds and ids of a directory the Router's numbers.
+// Names maps the names of zones, kinds and servers to the numbers that the Router uses.
 type Names struct {
 	Zones, Kinds []string
 	OriginKind   int
 
-	ids   map[string]uint32
-	taken map[uint32]bool
+	ids     map[string]uint32
+	usedIDs map[uint32]bool
 }
 
-// Servers translates the entries of an update.
+// Servers converts the entries of an update to relay servers.
 func (n *Names) Servers(entries []Entry) []relay.Server {
 	servers := make([]relay.Server, len(entries))
 	for i, e := range entries {
-		kind := index(&n.Kinds, e.Kind)
+		kind := indexOrAppend(&n.Kinds, e.Kind)
 		servers[i] = relay.Server{Name: e.ID, Addr: e.Addr, Origin: n.OriginKind >= 0 && kind == n.OriginKind}
 		s := &servers[i].Server
-		s.ID, s.Zone, s.Kind, s.Cell, s.Weight = n.id(e.ID), index(&n.Zones, e.Zone), kind, e.Cell, e.Weight
+		s.ID, s.Zone, s.Kind, s.Cell, s.Weight = n.numberOf(e.ID), indexOrAppend(&n.Zones, e.Zone), kind, e.Cell, e.Weight
 		s.Started = time.Duration(max(0, min(e.StartedMS, 1<<43))) * time.Millisecond
 		switch e.State {
 		case "active":
@@ -111,7 +111,8 @@
 	return servers
 }
 
-func index(names *[]string, name string) int {
+// indexOrAppend returns the index of name in names. It appends name if it is missing.
+func indexOrAppend(names *[]string, name string) int {
 	for i, n := range *names {
 		if n == name {
 			return i
@@ -121,11 +122,12 @@
 	return len(*names) - 1
 }
 
-// id makes a server's number: what the hexadecimal digits at its end say where there are eight, else
-// a hash. All routers must come to the same one, which only a collision can prevent.
-func (n *Names) id(name string) uint32 {
+// numberOf returns the number of a server. If the name ends with eight hexadecimal digits, the number is their value;
+// otherwise it is a hash of the name. All routers must compute the same number for a server. Only a collision of two
+// numbers can prevent that.
+func (n *Names) numberOf(name string) uint32 {
 	if n.ids == nil {
-		n.ids, n.taken = map[string]uint32{}, map[uint32]bool{}
+		n.ids, n.usedIDs = map[string]uint32{}, map[uint32]bool{}
 	}
 	if id, ok := n.ids[name]; ok {
 		return id
@@ -134,94 +136,95 @@
 	for i := range len(name) {
 		id = (id ^ uint32(name[i])) * 16777619
 	}
-	if at := len(name) - 8; at == 0 || at > 0 && name[at-1] == '-' {
-		if x, err := strconv.ParseUint(name[at:], 16, 32); err == nil {
-			id = uint32(x)
+	if start := len(name) - 8; start == 0 || start > 0 && name[start-1] == '-' {
+		if parsed, err := strconv.ParseUint(name[start:], 16, 32); err == nil {
+			id = uint32(parsed)
 		}
 	}
-	for n.taken[id] {
+	for n.usedIDs[id] {
 		id++
 	}
-	n.ids[name], n.taken[id] = id, true
+	n.ids[name], n.usedIDs[id] = id, true
 	return id
 }
 
-// keep forgets the names whose numbers nobody knows any more.
-func (n *Names) keep(known func(id uint32) bool) {
+// forgetUnknown removes the names whose numbers known no longer reports.
+func (n *Names) forgetUnknown(known func(id uint32) bool) {
 	for name, id := range n.ids {
 		if !known(id) {
 			delete(n.ids, name)
-			delete(n.taken, id)
+			delete(n.usedIDs, id)
 		}
 	}
 }
 
-// Client asks a Source what the Router wants asked and tells a Relay. It is a
-// relay.Directory.
+// Client fetches server lists from a Source when the Router requests them and passes them to a Listener. It
+// implements relay.Directory.
 type Client struct {
-	relay Listener
+	listener Listener
 
-	ordersMu sync.Mutex
-	orders   []order       // to be carried out
-	ordered  chan struct{} // told of them
+	commandsMu sync.Mutex
+	commands   []command     // commands that wait for Run to execute them
+	wakeup     chan struct{} // receives a value after a command is added
 
-	mu      sync.Mutex // serialises what is told
+	mu      sync.Mutex // serialises the calls of listener
 	src     Source
 	names   *Names
-	version int64    // of the last word of src
-	watches []*watch // those that run, the newest last
+	version int64    // version of the last update from src
+	watches []*watch // running watches, the newest last
 }
 
-type order struct {
+// command is a list call to make, or a watch to start or stop.
+type command struct {
 	list, watch bool
-	src         Source // if set, what is asked from now on
+	src         Source // if not nil, the source of all later calls
 }
 
-// watch is one watch that runs.
+// watch is one running watch of a source.
 type watch struct {
-	src    Source
-	after  int64 // the version that was known when it began
-	cancel context.CancelFunc
+	src          Source
+	afterVersion int64 // the version that the client knew when the watch began
+	cancel       context.CancelFunc
 }
 
-// NewClient returns a Client that knows what known says.
-func NewClient(src Source, names *Names, r Listener, known Update) *Client {
-	c := &Client{src: src, relay: r, names: names, ordered: make(chan struct{}, 1)}
-	c.told(hoptiller.ListCached, known, &watch{src: src})
+// NewClient returns a Client of src. It passes the servers of initial to the listener at once.
+func NewClient(src Source, names *Names, l Listener, initial Update) *Client {
+	c := &Client{src: src, listener: l, names: names, wakeup: make(chan struct{}, 1)}
+	c.applyUpdate(hoptiller.ListCached, initial, &watch{src: src})
 	return c
 }
 
-// Watch implements relay.Directory.
-func (c *Client) Watch(on bool) { c.order(order{watch: on}) }
+// Watch implements relay.Directory: it starts a watch, or stops all of them.
+func (c *Client) Watch(on bool) { c.enqueue(command{watch: on}) }
 
-// List implements relay.Directory.
-func (c *Client) List() { c.order(order{list: true}) }
+// List implements relay.Directory: it fetches the full list.
+func (c *Client) List() { c.enqueue(command{list: true}) }
 
-// Move has all that is asked from now on asked of another source. What the present watch still has to
-// tell counts until the new one has spoken.
-func (c *Client) Move(src Source) { c.order(order{watch: true, src: src}) }
+// Move makes src the source of all later calls. Updates from the present watch still count until the new source has
+// sent its first update.
+func (c *Client) Move(src Source) { c.enqueue(command{watch: true, src: src}) }
 
-// order never blocks.
-func (c *Client) order(o order) {
-	c.ordersMu.Lock()
-	c.orders = append(c.orders, o)
-	c.ordersMu.Unlock()
+// enqueue queues a command for Run. It never blocks.
+func (c *Client) enqueue(cmd command) {
+	c.commandsMu.Lock()
+	c.commands = append(c.commands, cmd)
+	c.commandsMu.Unlock()
 	select {
-	case c.ordered <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// taken are the orders since it was asked last.
-func (c *Client) taken() []order {
-	c.ordersMu.Lock()
-	defer c.ordersMu.Unlock()
-	orders := c.orders
-	c.orders = nil
-	return orders
+// takeCommands removes and returns the queued commands.
+func (c *Client) takeCommands() []command {
+	c.commandsMu.Lock()
+	defer c.commandsMu.Unlock()
+	commands := c.commands
+	c.commands = nil
+	return commands
 }
 
-// Run carries out the orders until ctx ends.
+// Run executes the queued commands until ctx ends. It returns after all its calls have returned.
 func (c *Client) Run(ctx context.Context) error {
 	var calls errgroup.Group
 	defer calls.Wait()
@@ -229,110 +232,115 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-c.ordered:
+		case <-c.wakeup:
 		}
-		for _, o := range c.taken() {
-			c.carryOut(ctx, o, &calls)
+		for _, cmd := range c.takeCommands() {
+			c.execute(ctx, cmd, &calls)
 		}
 	}
 }
 
-func (c *Client) carryOut(ctx context.Context, o order, calls *errgroup.Group) {
+// execute starts the call or watch of a command, or cancels all watches.
+func (c *Client) execute(ctx context.Context, cmd command, calls *errgroup.Group) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if o.src != nil { // another service counts its versions as it likes
-		c.src, c.version = o.src, 0
+	if cmd.src != nil { // another service has version numbers of its own
+		c.src, c.version = cmd.src, 0
 	}
-	src, after := c.src, c.version
+	src, afterVersion := c.src, c.version
 	switch {
-	case o.list:
-		calls.Go(func() error { c.list(ctx, src, after); return nil })
-	case o.watch:
-		w := &watch{src: src, after: after}
+	case cmd.list:
+		calls.Go(func() error { c.fetchList(ctx, src, afterVersion); return nil })
+	case cmd.watch:
+		w := &watch{src: src, afterVersion: afterVersion}
 		ctx, w.cancel = context.WithCancel(ctx)
 		c.watches = append(c.watches, w)
-		calls.Go(func() error { c.watch(ctx, w); return nil })
+		calls.Go(func() error { c.runWatch(ctx, w); return nil })
 	default:
-		c.end(len(c.watches))
+		c.cancelOldest(len(c.watches))
 	}
 }
 
-// end ends the n oldest watches; c.mu is held.
-func (c *Client) end(n int) {
+// cancelOldest cancels and removes the n oldest watches. The caller holds c.mu.
+func (c *Client) cancelOldest(n int) {
 	for _, w := range c.watches[:n] {
 		w.cancel()
 	}
 	c.watches = slices.Delete(c.watches, 0, n)
 }
 
-func (c *Client) list(ctx context.Context, src Source, after int64) {
+// fetchList fetches the full list from src and passes it on.
+func (c *Client) fetchList(ctx context.Context, src Source, afterVersion int64) {
 	u, err := src.List(ctx)
 	if err == nil {
-		err = c.told(hoptiller.ListFull, u, &watch{src: src, after: after})
+		err = c.applyUpdate(hoptiller.ListFull, u, &watch{src: src, afterVersion: afterVersion})
 	}
 	if err != nil && ctx.Err() == nil {
 		slog.Warn("directory call failed", "call", "list", "err", err)
-		c.failed(nil)
+		c.reportFailure(nil)
 	}
 }
 
-// watch runs one watch. When it breaks the Router is told, and orders the next when it sees fit.
-func (c *Client) watch(ctx context.Context, w *watch) {
+// runWatch runs one watch. When the watch breaks, it notifies the Router, which requests the next watch when it
+// decides to.
+func (c *Client) runWatch(ctx context.Context, w *watch) {
 	defer w.cancel()
-	err := w.src.Watch(ctx, w.after, func(u Update) error {
+	err := w.src.Watch(ctx, w.afterVersion, func(u Update) error {
 		kind := hoptiller.ListDelta
 		if u.Full {
 			kind = hoptiller.ListFull
 		}
-		return c.told(kind, u, w)
+		return c.applyUpdate(kind, u, w)
 	})
 	if ctx.Err() == nil {
 		slog.Warn("directory call failed", "call", "watch", "err", err)
-		c.failed(w)
+		c.reportFailure(w)
 	}
 }
 
 var (
-	errReplaced = errors.New("another service is asked by now")
-	errOld      = errors.New("an old list came after a newer one")
+	errSourceReplaced = errors.New("the update comes from a replaced watch or source")
+	errStaleList      = errors.New("an old list came after a newer one")
 )
 
-// told passes on what a source says, in a watch or in another call, unless something newer was told since that call began: the
-// versions of a service that has started anew are lower than what was known before. The first word of a watch ends those before
-// it, which ran on so that nothing is missed between; what such a one says after that counts no more.
-func (c *Client) told(kind hoptiller.ListKind, u Update, w *watch) error {
+// applyUpdate passes an update from a watch or a list call to the listener, unless a newer one has been passed on
+// since that call began. The version alone cannot tell: a service that has restarted may count from a lower version
+// than the known one. The first update of a watch cancels all older watches, which continued until then so that no
+// change in between was missed. Later updates from a cancelled watch are rejected.
+func (c *Client) applyUpdate(kind hoptiller.ListKind, u Update, w *watch) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at := slices.Index(c.watches, w)
+	index := slices.Index(c.watches, w)
 	switch {
-	case at < 0 && (kind == hoptiller.ListDelta || w.cancel != nil || w.src != c.src):
-		return errReplaced
-	case w.src == c.src && u.Version < c.version && w.after < c.version:
-		return errOld
-	case at >= 0:
-		c.end(at)
+	case index < 0 && (kind == hoptiller.ListDelta || w.cancel != nil || w.src != c.src):
+		return errSourceReplaced
+	case w.src == c.src && u.Version < c.version && w.afterVersion < c.version:
+		return errStaleList
+	case index >= 0:
+		c.cancelOldest(index)
 	}
 	if w.src == c.src {
 		c.version = u.Version
 	}
-	c.relay.Told(kind, c.names.Servers(u.Entries))
-	c.names.keep(c.relay.Knows)
+	c.listener.Told(kind, c.names.Servers(u.Entries))
+	c.names.forgetUnknown(c.listener.Knows)
 	return nil
 }
 
-// failed tells the Router of a call that failed, or of a watch unless a newer one runs in its place.
-func (c *Client) failed(w *watch) {
+// reportFailure notifies the Router that a list call (w is nil) or a watch has failed. A failed watch is not reported
+// if a newer one runs in its place.
+func (c *Client) reportFailure(w *watch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w != nil {
-		at := slices.Index(c.watches, w)
-		newest := at == len(c.watches)-1
-		if at >= 0 {
-			c.watches = slices.Delete(c.watches, at, at+1)
+		index := slices.Index(c.watches, w)
+		newest := index == len(c.watches)-1
+		if index >= 0 {
+			c.watches = slices.Delete(c.watches, index, index+1)
 		}
-		if !newest || at < 0 {
+		if !newest || index < 0 {
 			return
 		}
 	}
-	c.relay.Told(hoptiller.ListFailed, nil)
+	c.listener.Told(hoptiller.ListFailed, nil)
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// All routers must come to the same number for a server, and no two servers to one.
-func TestNames(t *testing.T) {
+// All routers must compute the same number for a server, and no two servers may share a number.
+func TestServerNumbers(t *testing.T) {
 	var a, b Names
-	b.id("other")
+	b.numberOf("other")
 	for _, name := range []string{"s-5be2a07c", "cache-a", "s-5be2a07cc"} {
-		if a.id(name) != b.id(name) {
-			t.Errorf("%s has the numbers %x and %x", name, a.id(name), b.id(name))
+		if a.numberOf(name) != b.numberOf(name) {
+			t.Errorf("%s has the numbers %x and %x, want one number", name, a.numberOf(name), b.numberOf(name))
 		}
 	}
-	if a.id("s-5be2a07c") != 0x5be2a07c || a.id("t-5be2a07c") == a.id("s-5be2a07c") {
-		t.Errorf("numbers %x and %x", a.id("s-5be2a07c"), a.id("t-5be2a07c"))
+	if a.numberOf("s-5be2a07c") != 0x5be2a07c || a.numberOf("t-5be2a07c") == a.numberOf("s-5be2a07c") {
+		t.Errorf("numbers of the two servers: %x and %x", a.numberOf("s-5be2a07c"), a.numberOf("t-5be2a07c"))
 	}
 	s := (&Names{Zones: []string{"x"}, Kinds: []string{"std", "origin"}, OriginKind: 1}).Servers([]Entry{
 		{ID: "1", Zone: "new", Kind: "origin", State: "active"}, {ID: "2", Zone: "x", Kind: "std", State: "left"}})
@@ -25,11 +25,11 @@
 	}
 }
 
-// A line may be spread over chunks and reads, and several may come in one.
-func TestBodyCutsLines(t *testing.T) {
-	chunks := func(parts ...string) string {
+// A message may be spread over several chunks and reads, and one chunk or read may contain several messages.
+func TestBodyParserSplitsMessages(t *testing.T) {
+	chunks := func(pieces ...string) string {
 		text := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-		for _, p := range append(parts, "") {
+		for _, p := range append(pieces, "") {
 			text += fmt.Sprintf("%x\r\n%s\r\n", len(p), p)
 		}
 		return text
@@ -43,45 +43,45 @@
 	} {
 		for _, step := range []int{1, 3, len(in)} {
 			var got []string
-			b := body{message: func(l []byte) error { got = append(got, string(l)); return nil }}
-			rest, finished := "", false
+			b := bodyParser{onMessage: func(l []byte) error { got = append(got, string(l)); return nil }}
+			pending, finished := "", false
 			for text := in; text != "" && !finished; {
 				n := min(step, len(text))
-				rest, text = rest+text[:n], text[n:]
-				used, done, err := b.take([]byte(rest))
+				pending, text = pending+text[:n], text[n:]
+				consumed, done, err := b.decode([]byte(pending))
 				if err != nil {
 					t.Fatalf("%q: %v", in, err)
 				}
-				rest, finished = rest[used:], done
+				pending, finished = pending[consumed:], done
 			}
 			if !finished || strings.Join(got, ";") != want {
-				t.Errorf("%q by %d: lines %q, ended: %v", in, step, got, finished)
+				t.Errorf("%q in steps of %d: messages %q, finished: %v", in, step, got, finished)
 			}
 		}
 	}
 	for _, in := range []string{"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 Busy\r\n\r\n"} {
-		if _, _, err := (&body{}).take([]byte(in)); err == nil {
-			t.Errorf("%q was taken", in)
+		if _, _, err := (&bodyParser{}).decode([]byte(in)); err == nil {
+			t.Errorf("%q was accepted", in)
 		}
 	}
 }
 
-func TestParseUpdateFaults(t *testing.T) {
+func TestParseUpdateRejectsInvalid(t *testing.T) {
 	for _, in := range []string{"", "[]", `{"servers":5}`, `{"servers":[{"addr":"a:1","state":"active"}]}`,
 		`{"servers":[{"id":"s","state":"active"}]}`, `{"servers":[{"id":"s","addr":"a:1"}]}`} {
 		if u, err := ParseUpdate([]byte(in)); err == nil {
-			t.Errorf("%q was read as %+v", in, u)
+			t.Errorf("%q was parsed as %+v", in, u)
 		}
 	}
 }
 
-// Servers come and go without end: what nobody knows any more is forgotten, and its number may be had again.
-func TestNamesForget(t *testing.T) {
+// Servers join and leave all the time: names of unknown servers are removed, and their numbers become free again.
+func TestNamesForgetsUnknown(t *testing.T) {
 	var n Names
-	first := n.id("s-0000000a")
-	n.id("s-0000000b")
-	n.keep(func(id uint32) bool { return id != first })
-	if len(n.ids) != 1 || len(n.taken) != 1 || n.id("t-0000000a") != first {
-		t.Errorf("names %v, numbers %v", n.ids, n.taken)
+	first := n.numberOf("s-0000000a")
+	n.numberOf("s-0000000b")
+	n.forgetUnknown(func(id uint32) bool { return id != first })
+	if len(n.ids) != 1 || len(n.usedIDs) != 1 || n.numberOf("t-0000000a") != first {
+		t.Errorf("remaining names %v, used numbers %v", n.ids, n.usedIDs)
 	}
 }
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -12,32 +12,34 @@
 	"hoptiller/internal/http1"
 )
 
-// Registry is the platform's discovery service.
+// Registry is a client of the platform's discovery service. It implements Source.
 type Registry struct {
 	Addr  string
 	Times Times
 }
 
-// Times bound the calls of a discovery service. A change has to be known within 6 s of when the service had it and could be
-// reached, so the longest call that comes to nothing and the longest wait before the next one must stay under that together.
+// Times bounds the durations of calls to a discovery service. The router must know a change within 6 s after the
+// service has it and can be reached. So the longest call that fails and the longest wait before the next call must
+// together stay below 6 s.
 type Times struct {
-	Connect time.Duration // until the connection is up; a lost first packet is sent again after 1 s
-	Head    time.Duration // from the start to the answer's first line; a service under load answers after a while
-	First   time.Duration // from the start to the first message or empty line
-	Silence time.Duration // between two messages or empty lines, of which one comes each 2 s
+	Connect time.Duration // until the connection is established; a lost first packet is sent again after 1 s
+	Head    time.Duration // from the start of the call to the head of the answer; a loaded service answers late
+	First   time.Duration // from the start of the call to the first message or empty line
+	Silence time.Duration // between two messages or empty lines; the service sends one every 2 s
 }
 
-// PlatformTimes are those for the platform's service, which gives a call up after 3 s itself.
+// PlatformTimes holds the limits for the platform's service, which itself gives up a call after 3 s.
 var PlatformTimes = Times{Connect: 1200 * time.Millisecond, Head: 3200 * time.Millisecond, First: 4200 * time.Millisecond,
 	Silence: 3 * time.Second}
 
-// Longest is how long a call or watch can have come to nothing before that is known.
+// Longest returns how long a call or watch that has failed can remain undetected.
 func (t Times) Longest() time.Duration { return max(t.Head, t.First, t.Silence) }
 
-// maxLine bounds a message, in bytes. A server takes some 130 of a list, or twice that where it is indented: more than 10,000 fit.
-const maxLine = 4 << 20
+// maxMessage is the maximum length of a message, in bytes. A server takes about 130 bytes of a list, or twice that if
+// the list is indented, so more than 10,000 servers fit.
+const maxMessage = 4 << 20
 
-var errEnded = errors.New("the watch has ended")
+var errWatchEnded = errors.New("the watch has ended")
 
 // List implements Source.
 func (r *Registry) List(ctx context.Context) (u Update, err error) {
@@ -49,24 +51,25 @@
 }
 
 // Watch implements Source.
-func (r *Registry) Watch(ctx context.Context, after int64, told func(Update) error) error {
-	path := "/registry/instances?watch=1&after=" + strconv.FormatInt(after, 10)
+func (r *Registry) Watch(ctx context.Context, afterVersion int64, onUpdate func(Update) error) error {
+	path := "/registry/instances?watch=1&after=" + strconv.FormatInt(afterVersion, 10)
 	err := r.get(ctx, path, func(text []byte) error {
 		u, err := ParseUpdate(text)
 		if err == nil {
-			err = told(u)
+			err = onUpdate(u)
 		}
 		return err
 	})
 	if err == nil {
-		err = errEnded
+		err = errWatchEnded
 	}
 	return err
 }
 
-// get makes a call and hands over each message of the answer's body as it comes, empty lines left out.
-func (r *Registry) get(ctx context.Context, path string, message func([]byte) error) error {
-	begun := time.Now()
+// get makes a GET request and passes each message of the answer's body to onMessage as it arrives. It skips empty
+// lines.
+func (r *Registry) get(ctx context.Context, path string, onMessage func([]byte) error) error {
+	started := time.Now()
 	dialer := net.Dialer{Timeout: r.Times.Connect}
 	conn, err := dialer.DialContext(ctx, "tcp", r.Addr)
 	if err != nil {
@@ -74,37 +77,37 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	conn.SetDeadline(begun.Add(r.Times.Head))
+	conn.SetDeadline(started.Add(r.Times.Head))
 	if _, err := conn.Write(http1.AppendRequest(nil, "GET", path, r.Addr, -1)); err != nil {
 		return err
 	}
-	body := body{message: message}
+	parser := bodyParser{onMessage: onMessage}
 	buf := buffer.Get()
 	defer buffer.Put(buf)
-	var b []byte
+	var received []byte
 	for {
 		n, err := conn.Read(buf[:])
-		b = append(b, buf[:n]...)
-		ended := body.ended
-		used, done, bad := body.take(b)
+		received = append(received, buf[:n]...)
+		completed := parser.completed
+		consumed, done, parseErr := parser.decode(received)
 		switch {
-		case bad != nil:
-			return bad
+		case parseErr != nil:
+			return parseErr
 		case done:
 			return nil
-		case err == io.EOF && body.toEnd(): // a reset is no end
-			return body.end()
+		case err == io.EOF && parser.endsWithConnection(): // a reset connection does not mark the end
+			return parser.finish()
 		case err != nil:
 			return err
-		case len(b)-used > maxLine:
-			return errLong
+		case len(received)-consumed > maxMessage:
+			return errMessageTooLong
 		}
-		b = append(b[:0], b[used:]...)
+		received = append(received[:0], received[consumed:]...)
 		switch {
-		case body.ended > ended:
+		case parser.completed > completed:
 			conn.SetReadDeadline(time.Now().Add(r.Times.Silence))
-		case body.begun && body.ended == 0:
-			conn.SetReadDeadline(begun.Add(r.Times.First))
+		case parser.headParsed && parser.completed == 0:
+			conn.SetReadDeadline(started.Add(r.Times.First))
 		}
 	}
 }
