--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a router is told when it starts.
+// Package config reads the configuration of a router at its start.
 package config
 
 import (
@@ -18,41 +18,41 @@
 	"hoptiller/internal/discovery"
 )
 
-const mostLimit = 1 << 20 // megabytes, sockets, or calls on a connection
+const maxLimit = 1 << 20 // the largest accepted limit: megabytes, sockets, or calls on a connection
 
-// Config is all that a router is told.
+// Config is the configuration of a router.
 type Config struct {
 	Name        string
 	Listen      string
 	Discovery   string
-	Admin       string // where operators call; empty: nowhere
-	SocketFD    string // the descriptor on which clients' connections come, if the platform holds it
+	Admin       string // address at which operators call; empty: none
+	SocketFD    string // file descriptor of the socket for client connections, if the platform holds it
 	Seed        uint64
 	MemoryMB    int64 // 0: no limit stated
 	Sockets     int   // 0: no limit stated
 	Known       discovery.Update
-	Peers       []string // one address for each router of the tier, its own included; none: not told
-	PeerListen  string   // where datagrams of other routers come; empty: nowhere
+	Peers       []string // one address for each router of the tier, including its own; none: not stated
+	PeerListen  string   // address for datagrams of other routers; empty: none
 	MayTell     bool     // routers may send each other datagrams
-	PeerFee     float64  // what these are priced at; a price must be earned
-	ConnFees    bool     // connections or handshakes are priced
-	Digest      uint32   // of the settings, the router's own number aside
-	Doubts      string   // what of the text can't be right, and was taken for something careful; empty: nothing
-	AnyClass    bool     // no class is stated: all requests are of the one that there is
-	Contradicts string   // how the settings contradict themselves; empty: they don't
-	Assumed     []string // what was taken for granted of the fleet, where the text does not say it
+	PeerFee     float64  // price of these datagrams; datagrams with a price must pay off
+	ConnFees    bool     // connections or handshakes have a price
+	Digest      uint32   // digest of the settings without the parts that differ between routers
+	Doubts      string   // invalid parts of the text, each replaced by a safe value; empty: none
+	AnyClass    bool     // no class is stated, so all requests belong to the one default class
+	Contradicts string   // contradictions within the settings; empty: none
+	Assumed     []string // assumptions about the fleet where the text states nothing
 
 	Settings     hoptiller.Settings
-	Classes      []string // names, in the order of the settings
-	Tenants      []string // the same of the customers
-	Reports      []string // names of what load reports in answers carry; none: they carry none
+	Classes      []string // names of the classes, in the order of the settings
+	Tenants      []string // names of the tenants, in the order of the settings
+	Reports      []string // columns of the load reports that answers carry; none: answers carry no load report
 	Zones, Kinds []string
-	ConnIdle     time.Duration // after which providers close a connection without use
-	MostCalls    int           // that one connection carries at once
+	ConnIdle     time.Duration // time after which cache servers close an idle connection
+	MostCalls    int           // number of calls that one connection carries at once
 }
 
-// Load reads the file that RELAY_CONFIG names; the other RELAY_ variables, as
-// far as they are set, go before what it says.
+// Load reads the file that RELAY_CONFIG names. The other RELAY_ variables, where they are set, take precedence over
+// the file.
 func Load(env func(string) string) (*Config, error) {
 	path := env("RELAY_CONFIG")
 	if path == "" {
@@ -82,85 +82,86 @@
 	return c, nil
 }
 
-// Parse reads a configuration's text.
+// Parse reads a configuration from its JSON text.
 func Parse(text []byte) (*Config, error) {
 	if !gjson.ValidBytes(text) {
 		return nil, errors.New("not JSON")
 	}
 	root := gjson.ParseBytes(text)
-	set := root.Get("settings")
-	if !set.IsObject() {
+	settings := root.Get("settings")
+	if !settings.IsObject() {
 		return nil, errors.New("no settings")
 	}
 	c := &Config{
 		Name: root.Get("name").String(), Listen: root.Get("listen").String(),
 		Discovery: root.Get("discovery").String(), Admin: root.Get("admin").String(),
-		Zones: texts(set.Get("failureDomains")), Kinds: texts(set.Get("kinds")),
-		Classes: names(set.Get("classes")), Tenants: names(set.Get("accounts")),
+		Zones: stringList(settings.Get("failureDomains")), Kinds: stringList(settings.Get("kinds")),
+		Classes: objectNames(settings.Get("classes")), Tenants: objectNames(settings.Get("accounts")),
 	}
 	var err error
 	if seed := root.Get("seed").String(); seed != "" {
 		if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("seed %q is no hexadecimal number of 64 bits", seed)
+			return nil, fmt.Errorf("seed %q is not a hexadecimal number of 64 bits", seed)
 		}
 	}
-	var doubts []string
-	if c.Settings, doubts, err = ParseSettings([]byte(set.Raw)); err != nil {
+	var warnings []string
+	if c.Settings, warnings, err = ParseSettings([]byte(settings.Raw)); err != nil {
 		return nil, err
 	}
 	if known := root.Get("known"); known.Exists() {
-		if c.Known, err = discovery.ParseUpdate([]byte(known.Raw)); err != nil { // discovery will tell
-			doubts, c.Known = append(doubts, fmt.Sprintf("known: %v", err)), discovery.Update{}
+		if c.Known, err = discovery.ParseUpdate([]byte(known.Raw)); err != nil { // the discovery service provides the list later
+			warnings, c.Known = append(warnings, fmt.Sprintf("known: %v", err)), discovery.Update{}
 		}
 	}
-	bounds := &reader{root: root}
-	c.MemoryMB, c.Sockets = int64(max(0, bounds.whole("limits.memory_mb", mostLimit))), max(0, bounds.whole("limits.sockets", mostLimit))
-	c.ConnIdle, c.MostCalls = bounds.time("settings.bounds.connIdle"), max(0, bounds.whole("settings.bounds.streamsPerConn", mostLimit))
-	c.Doubts = doubtful(append(append(doubts, bounds.doubts...), c.careful()...))
-	if set.Get("stats.how").String() == "piggyback" {
-		c.Reports = texts(set.Get("stats.columns"))
-	}
-	c.Contradicts = c.contradictions()
-	c.Peers, c.PeerListen = texts(root.Get("peers")), root.Get("peer_listen").String()
-	c.MayTell, c.PeerFee = set.Get("bounds.mayTell").Bool(), set.Get("fees.peer").Float()
-	c.ConnFees = set.Get("fees.connection").Float() > 0 || set.Get("fees.handshake").Float() > 0
-	c.Digest = digest(set)
-	c.assume(c.PeerListen)
+	limits := &reader{root: root}
+	c.MemoryMB, c.Sockets = int64(max(0, limits.integer("limits.memory_mb", maxLimit))), max(0, limits.integer("limits.sockets", maxLimit))
+	c.ConnIdle, c.MostCalls = limits.time("settings.bounds.connIdle"), max(0, limits.integer("settings.bounds.streamsPerConn", maxLimit))
+	c.Doubts = joinWarnings(append(append(warnings, limits.warnings...), c.applySafeDefaults()...))
+	if settings.Get("stats.how").String() == "piggyback" {
+		c.Reports = stringList(settings.Get("stats.columns"))
+	}
+	c.Contradicts = c.findContradictions()
+	c.Peers, c.PeerListen = stringList(root.Get("peers")), root.Get("peer_listen").String()
+	c.MayTell, c.PeerFee = settings.Get("bounds.mayTell").Bool(), settings.Get("fees.peer").Float()
+	c.ConnFees = settings.Get("fees.connection").Float() > 0 || settings.Get("fees.handshake").Float() > 0
+	c.Digest = settingsDigest(settings)
+	c.assumeFleetSize(c.PeerListen)
 	return c, nil
 }
 
-// names are those of a list's objects, in order; one without a name has an empty one, which nobody can ask for.
-func names(list gjson.Result) (all []string) {
+// objectNames returns the names of a list's objects, in order. The name of an object without one is empty, so no
+// request can select it.
+func objectNames(list gjson.Result) (all []string) {
 	for _, e := range list.Array() {
 		all = append(all, e.Get("name").String())
 	}
 	return all
 }
 
-// doubtful makes one line of what is in doubt.
-func doubtful(doubts []string) string {
-	const most = 8
-	if n := len(doubts) - most; n > 0 {
-		doubts = append(doubts[:most:most], fmt.Sprintf("and %d more", n))
+// joinWarnings joins warnings into one line. It keeps the first eight and counts the rest.
+func joinWarnings(warnings []string) string {
+	const maxShown = 8
+	if n := len(warnings) - maxShown; n > 0 {
+		warnings = append(warnings[:maxShown:maxShown], fmt.Sprintf("and %d more", n))
 	}
-	return strings.Join(doubts, "; ")
+	return strings.Join(warnings, "; ")
 }
 
-// assume settles how large the fleet is: the bounds that hold for all routers together hang on that, and are safe
-// where it is taken for too large, never where for too small.
-func (c *Config) assume(own string) {
-	told := c.Settings.Balancers
-	c.Settings.Balancers = max(told, len(c.Peers), 1)
+// assumeFleetSize sets the number of routers and records the assumptions behind it. Limits that apply to all routers
+// together depend on that number. They are safe if the assumed number is too large, never if it is too small.
+func (c *Config) assumeFleetSize(ownAddr string) {
+	stated := c.Settings.Balancers
+	c.Settings.Balancers = max(stated, len(c.Peers), 1)
 	switch {
-	case len(c.Peers) == 0 && told <= 0:
-		c.Assumed = append(c.Assumed, "neither peers nor settings tell of other routers: taken for the only one")
+	case len(c.Peers) == 0 && stated <= 0:
+		c.Assumed = append(c.Assumed, "neither peers nor settings name other routers: assuming to be the only one")
 	case len(c.Peers) == 0:
-		c.Assumed = append(c.Assumed, fmt.Sprintf("no peers: taken for one of %d routers, as the settings say", told))
-	case len(c.Peers) != told:
-		c.Assumed = append(c.Assumed, fmt.Sprintf("%d peers, and the settings tell of %d routers: taken for one of %d",
-			len(c.Peers), told, c.Settings.Balancers))
-	case own != "" && !slices.Contains(c.Peers, own):
-		c.Assumed = append(c.Assumed, fmt.Sprintf("own address %s is not among the %d peers: counted as one of them", own, told))
+		c.Assumed = append(c.Assumed, fmt.Sprintf("no peers: taken for one of %d routers, as the settings say", stated))
+	case len(c.Peers) != stated:
+		c.Assumed = append(c.Assumed, fmt.Sprintf("%d peers, but the settings state %d routers: assuming to be one of %d",
+			len(c.Peers), stated, c.Settings.Balancers))
+	case ownAddr != "" && !slices.Contains(c.Peers, ownAddr):
+		c.Assumed = append(c.Assumed, fmt.Sprintf("own address %s is not among the %d peers: counted as one of them", ownAddr, stated))
 	}
 	for _, e := range c.Known.Entries {
 		if e.Zone != "" && len(c.Zones) > 0 && !slices.Contains(c.Zones, e.Zone) {
@@ -170,19 +171,19 @@
 	}
 }
 
-// digest is the same for all routers that were told the same settings.
-func digest(set gjson.Result) uint32 {
-	h := xxhash.New()
-	set.ForEach(func(name, value gjson.Result) bool {
-		if name.Str != "selfIndex" && name.Str != "zone" { // these are each router's own
-			h.WriteString(name.Raw + value.Raw)
+// settingsDigest returns a digest that is equal for all routers with the same settings.
+func settingsDigest(settings gjson.Result) uint32 {
+	hash := xxhash.New()
+	settings.ForEach(func(name, value gjson.Result) bool {
+		if name.Str != "selfIndex" && name.Str != "zone" { // these differ between routers
+			hash.WriteString(name.Raw + value.Raw)
 		}
 		return true
 	})
-	return uint32(h.Sum64())
+	return uint32(hash.Sum64())
 }
 
-func texts(list gjson.Result) []string {
+func stringList(list gjson.Result) []string {
 	var s []string
 	for _, v := range list.Array() {
 		s = append(s, v.String())
--- a/internal/config/careful_test.go
+++ b/internal/config/defaults_test.go
@@ -8,19 +8,19 @@
 	"hoptiller"
 )
 
-// Settings that lack what is needed, or say what can't be, are told in one line, and no class has another one's rules.
-func TestCareful(t *testing.T) {
+// Missing or invalid settings are reported in one line, and no class gets the rules of another class.
+func TestSafeDefaults(t *testing.T) {
 	const read = `{"name":"read","effect":"idempotent","onTime":600000,"deadline":1500000}`
-	for set, says := range map[string]string{
+	for set, warning := range map[string]string{
 		`"classes":[` + read + `]`: "",
 		`"classes":[]`:             "no classes: no request is sent twice",
 		`"classes":"none"`:         "classes is of a wrong type; no classes: no request is sent twice",
 		``:                         "no classes: no request is sent twice",
-		`"classes":[{"effect":"at_most_once","deadline":9},` + read + `]`:                          "class 0 has no name: nobody can ask for it",
+		`"classes":[{"effect":"at_most_once","deadline":9},` + read + `]`:                          "class 0 has no name: no request can select it",
 		`"classes":[` + read + `,{"name":"read","effect":"at_most_once","deadline":1500000}]`:      `class "read" is stated twice: its requests are not sent twice`,
 		`"classes":[{"name":"read","effect":"idempotent"}]`:                                        `class "read" has no deadline: 3s`,
 		`"classes":[{"name":"read","effect":"idempotent","deadline":-5,"onTime":7000000}]`:         `class "read" has no deadline: 7s`,
-		`"classes":[` + read + `],"accounts":[{"allowancePerS":5},{"name":"b","allowancePerS":1}]`: "account 0 has no name: nobody has its share",
+		`"classes":[` + read + `],"accounts":[{"allowancePerS":5},{"name":"b","allowancePerS":1}]`: "account 0 has no name: no customer can use its share",
 		`"classes":[` + read + `],"bounds":{"streamsPerConn":1e300}`:                               "settings.bounds.streamsPerConn is beyond 1048576",
 		`"classes":[{"name":"a"},{"name":"b"},{"name":"c"},{"name":"d"},{"name":"e"}]`:             "and 2 more",
 	} {
@@ -29,8 +29,8 @@
 			t.Errorf("%s: %v", set, err)
 			continue
 		}
-		if !strings.HasSuffix(c.Doubts, says) || (says == "") != (c.Doubts == "") || strings.Contains(c.Doubts, "\n") {
-			t.Errorf("%s: said %q", set, c.Doubts)
+		if !strings.HasSuffix(c.Doubts, warning) || (warning == "") != (c.Doubts == "") || strings.Contains(c.Doubts, "\n") {
+			t.Errorf("%s: got the warnings %q", set, c.Doubts)
 		}
 		if len(c.Classes) != len(c.Settings.Classes) || len(c.Tenants) != len(c.Settings.Tenants) || c.Settings.ConnTimeout <= 0 {
 			t.Errorf("%s: classes %q of %+v", set, c.Classes, c.Settings)
@@ -41,20 +41,20 @@
 			}
 		}
 	}
-	for text, says := range map[string]string{
+	for text, warning := range map[string]string{
 		`"known":{"servers":[{}]}`:              "known: directory: a server has no id",
 		`"limits":{"sockets":1e300}`:            "limits.sockets is beyond 1048576",
 		`"limits":{"memory_mb":"much"}`:         "limits.memory_mb is of a wrong type",
 		`"limits":{"memory_mb":-1,"sockets":0}`: "",
 	} {
 		c, err := Parse([]byte(`{` + text + `,"settings":{"classes":[` + read + `]}}`))
-		if err != nil || c.Doubts != says || c.MemoryMB < 0 || c.Sockets < 0 || len(c.Known.Entries) > 0 {
+		if err != nil || c.Doubts != warning || c.MemoryMB < 0 || c.Sockets < 0 || len(c.Known.Entries) > 0 {
 			t.Errorf("%s: %q, %v, %+v", text, c.Doubts, err, c)
 		}
 	}
 }
 
-// However large the times that are stated, sums of them with the present time stay in range.
+// Stated times are capped, so that sums of them with the present time do not overflow.
 func TestLargestTimes(t *testing.T) {
 	c, err := Parse([]byte(`{"settings":{"classes":[{"name":"a","effect":"deduplicated","keyTtl":9e99,"deadline":9e99,"onTime":9e99}],
 		"rules":{"cold":9e99,"fall":9e99}}}`))
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	now := time.Duration(time.Now().UnixNano())
-	if class := c.Settings.Classes[0]; now+3*class.KeyTTL < now || now+3*class.Deadline < now || class.KeyTTL != mostTime {
+	if class := c.Settings.Classes[0]; now+3*class.KeyTTL < now || now+3*class.Deadline < now || class.KeyTTL != maxTime {
 		t.Errorf("%+v", class)
 	}
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -6,21 +6,21 @@
 	"testing"
 )
 
-// Whatever is told of the fleet or not: the router serves, as one of as many as it can know of, and says in a line
-// what it took for granted. Where nothing is missing it says nothing.
+// Whatever the configuration states about the fleet, the router serves as one of as many routers as it can know of,
+// and reports in one line what it assumed. It reports nothing if nothing is missing.
 func TestFleetAssumed(t *testing.T) {
 	for name, c := range map[string]struct {
 		peers, balancers, zone string
 		size                   int
-		says                   string
+		assumption             string
 	}{
 		"whole":          {`["a:1","b:1","c:1"]`, "3", "x", 3, ""},
 		"no peers":       {`[]`, "300", "x", 300, "no peers: taken for one of 300 routers"},
-		"nothing":        {`[]`, "0", "x", 1, "taken for the only one"},
+		"nothing":        {`[]`, "0", "x", 1, "assuming to be the only one"},
 		"one router":     {`["a:1"]`, "1", "x", 1, ""},
 		"itself missing": {`["b:1","c:1"]`, "2", "x", 2, "own address a:1 is not among the 2 peers"},
-		"more peers":     {`["a:1","b:1","c:1"]`, "2", "x", 3, "3 peers, and the settings tell of 2 routers: taken for one of 3"},
-		"fewer peers":    {`["a:1"]`, "40", "x", 40, "1 peers, and the settings tell of 40 routers: taken for one of 40"},
+		"more peers":     {`["a:1","b:1","c:1"]`, "2", "x", 3, "3 peers, but the settings state 2 routers: assuming to be one of 3"},
+		"fewer peers":    {`["a:1"]`, "40", "x", 40, "1 peers, but the settings state 40 routers: assuming to be one of 40"},
 		"another zone":   {`["a:1"]`, "1", "y", 1, `zone "y" is not among the 1 of the settings`},
 	} {
 		text := fmt.Sprintf(`{"listen":"a:2","discovery":"d:1","peer_listen":"a:1","peers":%s,
@@ -30,10 +30,10 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		said := strings.Join(got.Assumed, "\n")
-		if got.Settings.Balancers != c.size || !strings.Contains(said, c.says) || (c.says == "") != (said == "") ||
-			strings.Contains(said, "\n") {
-			t.Errorf("%s: one of %d routers, said %q", name, got.Settings.Balancers, said)
+		assumed := strings.Join(got.Assumed, "\n")
+		if got.Settings.Balancers != c.size || !strings.Contains(assumed, c.assumption) || (c.assumption == "") != (assumed == "") ||
+			strings.Contains(assumed, "\n") {
+			t.Errorf("%s: one of %d routers, assumed %q", name, got.Settings.Balancers, assumed)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,10 +11,10 @@
 	"hoptiller"
 )
 
-// ParseSettings reads the settings that an instance of the decision module is given, as JSON. Unknown names are passed over,
-// absent ones are zero. What can't be read is in doubt, and taken for what is safest: a figure for not stated, a class for one
-// that must not run twice.
-func ParseSettings(text []byte) (s hoptiller.Settings, doubts []string, err error) {
+// ParseSettings reads the settings of an instance of the decision module from JSON. It ignores unknown names, and
+// absent values are zero. A value that cannot be read causes a warning and is replaced by the safest one: an invalid
+// number counts as not stated, and a class with an invalid effect or group as one whose requests must not run twice.
+func ParseSettings(text []byte) (s hoptiller.Settings, warnings []string, err error) {
 	if !gjson.ValidBytes(text) {
 		return s, nil, errors.New("settings: not JSON")
 	}
@@ -40,38 +40,38 @@
 	}
 	window := r.time("rules.budgetWindow")
 	free, ratio := r.float("rules.budgetFree"), r.float("rules.furtherRatio")
-	if r.has("rules.budgetFree") || r.has("rules.furtherRatio") { // a window alone states no budget
+	if r.has("rules.budgetFree") || r.has("rules.furtherRatio") { // a window alone does not state a budget
 		s.BudgetFree, s.BudgetRatio, s.BudgetWindow = free, ratio, window
 	}
-	for _, a := range r.list("accounts") {
-		s.Tenants = append(s.Tenants, hoptiller.Tenant{Allowance: a.float("allowancePerS")})
+	for _, account := range r.list("accounts") {
+		s.Tenants = append(s.Tenants, hoptiller.Tenant{Allowance: account.float("allowancePerS")})
 	}
-	for _, c := range r.list("classes") {
-		s.Classes = append(s.Classes, c.class())
+	for _, class := range r.list("classes") {
+		s.Classes = append(s.Classes, class.class())
 	}
-	return s, r.doubts, nil
+	return s, r.warnings, nil
 }
 
-// What is larger than these is taken for them, so that sums of a few stay in range.
+// Larger values are capped to these, so that sums of a few values do not overflow.
 const (
-	mostTime   = 366 * 24 * time.Hour
-	mostNumber = 1e12
+	maxTime   = 366 * 24 * time.Hour
+	maxNumber = 1e12
 )
 
-// reader takes values out of an object, and notes those that it can't take.
+// reader reads values from a JSON object and records a warning for each invalid one.
 type reader struct {
-	root   gjson.Result
-	name   string // of the object
-	parent *reader
-	doubts []string // of the outermost
+	root     gjson.Result
+	prefix   string // text before the warnings about this object
+	parent   *reader
+	warnings []string // collected by the outermost reader only
 }
 
-func (r *reader) doubt(format string, args ...any) {
+func (r *reader) warn(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	for ; r.parent != nil; r = r.parent {
-		text = r.name + text
+		text = r.prefix + text
 	}
-	r.doubts = append(r.doubts, text)
+	r.warnings = append(r.warnings, text)
 }
 
 func (r *reader) has(path string) bool {
@@ -79,8 +79,8 @@
 	return v.Exists() && v.Type != gjson.Null
 }
 
-// get takes a value, if there is one that is of a type.
-func (r *reader) get(path string, types ...gjson.Type) (v gjson.Result, ok bool) {
+// getTyped returns the value at path. ok is false if there is none, or if it has none of the types.
+func (r *reader) getTyped(path string, types ...gjson.Type) (v gjson.Result, ok bool) {
 	if !r.has(path) {
 		return v, false
 	}
@@ -90,55 +90,55 @@
 			return v, true
 		}
 	}
-	r.doubt("%s is of a wrong type", path)
+	r.warn("%s is of a wrong type", path)
 	return gjson.Result{}, false
 }
 
-func (r *reader) number(path string, most float64) float64 {
-	v, _ := r.get(path, gjson.Number)
-	if math.Abs(v.Num) > most {
-		r.doubt("%s is beyond %.0f", path, most)
-		return math.Copysign(most, v.Num)
+func (r *reader) number(path string, limit float64) float64 {
+	v, _ := r.getTyped(path, gjson.Number)
+	if math.Abs(v.Num) > limit {
+		r.warn("%s is beyond %.0f", path, limit)
+		return math.Copysign(limit, v.Num)
 	}
 	return v.Num
 }
 
-func (r *reader) float(path string) float64 { return r.number(path, mostNumber) }
+func (r *reader) float(path string) float64 { return r.number(path, maxNumber) }
 
-func (r *reader) whole(path string, most float64) int {
-	x := r.number(path, most)
+func (r *reader) integer(path string, limit float64) int {
+	x := r.number(path, limit)
 	if x != math.Trunc(x) {
-		r.doubt("%s is no whole number", path)
+		r.warn("%s is no whole number", path)
 		return 0
 	}
 	return int(x)
 }
 
-func (r *reader) int(path string) int { return r.whole(path, mostNumber) }
+func (r *reader) int(path string) int { return r.integer(path, maxNumber) }
 
-// time reads microseconds; less than none is none.
+// time reads a duration in microseconds. A negative value counts as zero.
 func (r *reader) time(path string) time.Duration {
-	return time.Duration(max(0, r.whole(path, float64(mostTime.Microseconds())))) * time.Microsecond
+	return time.Duration(max(0, r.integer(path, float64(maxTime.Microseconds())))) * time.Microsecond
 }
 
 func (r *reader) bool(path string) bool {
-	v, _ := r.get(path, gjson.True, gjson.False)
+	v, _ := r.getTyped(path, gjson.True, gjson.False)
 	return v.Type == gjson.True
 }
 
 func (r *reader) text(path string) string {
-	v, _ := r.get(path, gjson.String)
+	v, _ := r.getTyped(path, gjson.String)
 	return v.Str
 }
 
 func (r *reader) list(path string) (objects []*reader) {
-	v, ok := r.get(path, gjson.JSON)
+	v, ok := r.getTyped(path, gjson.JSON)
 	if ok && !v.IsArray() {
-		r.doubt("%s is of a wrong type", path)
+		r.warn("%s is of a wrong type", path)
 		return nil
 	}
-	for i, e := range v.Array() {
-		objects = append(objects, &reader{root: e, name: fmt.Sprintf("%s %d: ", path, i), parent: r})
+	for i, element := range v.Array() {
+		objects = append(objects, &reader{root: element, prefix: fmt.Sprintf("%s %d: ", path, i), parent: r})
 	}
 	return objects
 }
@@ -155,9 +155,9 @@
 		c.Effect = hoptiller.Deduplicated
 	case "at_most_once":
 		c.Effect = hoptiller.AtMostOnce
-	default: // also where there is none
+	default: // also for an absent effect
 		c.Effect = hoptiller.AtMostOnce
-		r.doubt("unknown effect %q", effect)
+		r.warn("unknown effect %q", effect)
 	}
 	switch group := r.text("group"); group {
 	case "all", "":
@@ -168,7 +168,7 @@
 		c.Group = hoptiller.GroupCell
 	default:
 		c.Effect = hoptiller.AtMostOnce
-		r.doubt("unknown group %q", group)
+		r.warn("unknown group %q", group)
 	}
 	return c
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -9,12 +9,12 @@
 )
 
 func TestSettings(t *testing.T) {
-	s, doubts, err := ParseSettings([]byte(`{"balancers": 2, "future": [1], "bounds": {"mostTries": 4, "secondCopies": true},
+	s, warnings, err := ParseSettings([]byte(`{"balancers": 2, "future": [1], "bounds": {"mostTries": 4, "secondCopies": true},
 		"classes": [{"deadline": 1000000, "effect": "deduplicated", "group": "zone", "keyTtl": 3000000, "onTime": 500000}],
 		"familyInfo": {"mode": "aside", "originKind": 2}, "membershipMode": "on_request",
 		"accounts": [{"allowancePerS": 241.0}], "rules": {"cold": 23000000, "coldFrom": 0.13}}`))
-	if err != nil || len(doubts) > 0 {
-		t.Fatal(doubts, err)
+	if err != nil || len(warnings) > 0 {
+		t.Fatal(warnings, err)
 	}
 	c := s.Classes[0]
 	if s.Balancers != 2 || s.MaxAttempts != 4 || !s.SecondCopies || !s.Aside || s.OriginKind != 2 ||
@@ -28,11 +28,11 @@
 	}
 	for _, bad := range []string{"", "{"} {
 		if _, _, err := ParseSettings([]byte(bad)); err == nil {
-			t.Errorf("settings %q were taken", bad)
+			t.Errorf("settings %q were accepted", bad)
 		}
 	}
-	// What can't be right is told, and taken for what is safest.
-	for text, says := range map[string]string{
+	// An invalid value causes a warning and is replaced by the safest one.
+	for text, warning := range map[string]string{
 		`{"balancers": "two"}`:               "balancers is of a wrong type",
 		`{"balancers": 1.5}`:                 "balancers is no whole number",
 		`{"classes": [{"effect": "magic"}]}`: `classes 0: unknown effect "magic"`,
@@ -45,19 +45,19 @@
 		`{"rules": {"overloadFactor": -1e300}}`:                                  "rules.overloadFactor is beyond 1000000000000",
 		`{"classes": [{"effect": "at_most_once", "deadline": 1e18, "worth":1}]}`: "classes 0: deadline is beyond 31622400000000",
 	} {
-		s, doubts, err := ParseSettings([]byte(text))
-		if err != nil || len(doubts) == 0 || doubts[0] != says {
-			t.Errorf("%s: %q, %v", text, doubts, err)
+		s, warnings, err := ParseSettings([]byte(text))
+		if err != nil || len(warnings) == 0 || warnings[0] != warning {
+			t.Errorf("%s: %q, %v", text, warnings, err)
 		}
 		for _, c := range s.Classes {
-			if c.Effect != hoptiller.AtMostOnce || c.Deadline > mostTime {
+			if c.Effect != hoptiller.AtMostOnce || c.Deadline > maxTime {
 				t.Errorf("%s: class %+v", text, c)
 			}
 		}
 	}
 }
 
-// The part of the goal that counts late answers is read, absent or unknown parts are harmless.
+// The share of the score for late answers is read. Absent or unknown shares cause no error.
 func TestScoringMix(t *testing.T) {
 	for text, want := range map[string]float64{
 		`{"scoringMix": {"tailPart": 0.3, "tailMiss": 0.01, "logLossPart": 0.4, "newPart": 1}}`: 0.3,
@@ -65,14 +65,14 @@
 		`{}`:                 0,
 	} {
 		if s, _, err := ParseSettings([]byte(text)); err != nil || s.TailPart != want {
-			t.Errorf("%s: tail part %v, error %v", text, s.TailPart, err)
+			t.Errorf("%s: tail share %v, error %v", text, s.TailPart, err)
 		}
 	}
 }
 
-// The rules on further attempts and on removal are read; absent
-// or odd figures are harmless, and a wrong type is named.
-func TestFurtherRules(t *testing.T) {
+// The rules on retries and on removal are read. Absent or unusual values cause no error, and a value of the wrong
+// type is named.
+func TestRetryRules(t *testing.T) {
 	s, _, err := ParseSettings([]byte(`{"rules": {"budgetFree": 2, "furtherRatio": 0.15, "budgetWindow": 2000000,
 		"removalNotBinding": true}}`))
 	if err != nil || s.BudgetFree != 2 || s.BudgetRatio != 0.15 || s.BudgetWindow != 2*time.Second ||
@@ -92,32 +92,32 @@
 		}
 	}
 	for _, field := range []string{"budgetFree", "furtherRatio", "budgetWindow", "removalNotBinding"} {
-		s, doubts, err := ParseSettings([]byte(`{"rules": {"` + field + `": "two"}}`))
-		if err != nil || len(doubts) != 1 || doubts[0] != "rules."+field+" is of a wrong type" || s.BudgetRatio != 0 {
-			t.Errorf("%s of a wrong type: %q, error %v", field, doubts, err)
+		s, warnings, err := ParseSettings([]byte(`{"rules": {"` + field + `": "two"}}`))
+		if err != nil || len(warnings) != 1 || warnings[0] != "rules."+field+" is of a wrong type" || s.BudgetRatio != 0 {
+			t.Errorf("%s of a wrong type: %q, error %v", field, warnings, err)
 		}
 	}
 }
 
-// Settings that contradict themselves are told in one line and used as they stand; whole ones, bare ones and those with
-// names that nobody knows say nothing.
+// Contradictory settings are reported in one line and used as stated. Complete settings, minimal ones and those with
+// unknown names cause no report.
 func TestContradictions(t *testing.T) {
 	const classes = `"classes":[{"name":"read","effect":"idempotent","onTime":600000,"deadline":1500000}]`
-	for set, says := range map[string]string{
+	for set, warning := range map[string]string{
 		classes: "",
 		classes + `,"future":{"x":[1]},"stats":{"how":"piggyback","columns":["queue"]}`: "",
-		`"classes":[{"name":"read","onTime":2000000,"deadline":1500000}]`:               "class read: answers are wanted within 2s and given up after 1.5s",
-		`"classes":[{"name":"put","effect":"deduplicated"}]`:                            "class put: repeats are dropped for no time",
+		`"classes":[{"name":"read","onTime":2000000,"deadline":1500000}]`:               "class read: the aim 2s is longer than the deadline 1.5s",
+		`"classes":[{"name":"put","effect":"deduplicated"}]`:                            "class put: deduplicated, but without a time for which repeats are dropped",
 		classes + `,"rules":{"coldFrom":1.5}`:                                           "a cold server has 1.5 of its capacity",
-		classes + `,"balancers":2,"selfIndex":2`:                                        "number 2 of 2 routers",
-		classes + `,"failureDomains":["a"],"zone":1`:                                    "zone 1 of 1",
-		classes + `,"familyInfo":{"mode":"aside"}`:                                      "routers fetch, and there is no origin",
-		classes + `,"failureDomains":["a","a"]`:                                         `two of the name zone "a"`,
-		classes + `,"kinds":["c"],"familyInfo":{"originKind":4}`:                        "the origin's kind is 4 of 1",
+		classes + `,"balancers":2,"selfIndex":2`:                                        "router index 2 is out of range for 2 routers",
+		classes + `,"failureDomains":["a"],"zone":1`:                                    "zone index 1 is out of range for 1 zones",
+		classes + `,"familyInfo":{"mode":"aside"}`:                                      "routers fetch missing values, but there is no origin",
+		classes + `,"failureDomains":["a","a"]`:                                         `the name of zone "a" is used twice`,
+		classes + `,"kinds":["c"],"familyInfo":{"originKind":4}`:                        "the origin's kind 4 is out of range for 1 kinds",
 	} {
 		c, err := Parse([]byte(`{"listen":"a:2","discovery":"d:1","settings":{` + set + `}}`))
-		if err != nil || c.Contradicts != says {
-			t.Errorf("%s: said %q, %v", set, c.Contradicts, err)
+		if err != nil || c.Contradicts != warning {
+			t.Errorf("%s: reported %q, %v", set, c.Contradicts, err)
 		}
 	}
 	c, err := Parse([]byte(`{"settings":{` + classes + `,"rules":{"coldFrom":2},"balancers":1,"selfIndex":1}}`))
