--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -22,9 +22,9 @@
 const (
 	// MostBytes is the size of the largest file that is read.
 	MostBytes = 1 << 20
-	// MostDepth is how deep blocks may stand in one another. The language needs
+	// MaxDepth is how deep blocks may stand in one another. The language needs
 	// two; the parser calls itself for each.
-	MostDepth = 8
+	MaxDepth = 8
 	// MostFindings is how many things wrong with a form are told of one file.
 	MostFindings = 100
 )
@@ -207,12 +207,12 @@
 func (p *parser) find(t lexer.Token, width int, rule, what, accept string) {
 	p.broken = true
 	if len(p.findings) < MostFindings {
-		p.findings = append(p.findings, &Finding{Place(t.Pos), width, rule, what, accept})
+		p.findings = append(p.findings, &Finding{PosOf(t.Pos), width, rule, what, accept})
 	}
 }
 
 // Place is a position of the lexer's.
-func Place(p lexer.Position) Pos { return Pos{p.Filename, p.Line, p.Column} }
+func PosOf(p lexer.Position) Pos { return Pos{p.Filename, p.Line, p.Column} }
 
 // read takes token by token, and has each chunk parsed as it ends.
 func (p *parser) read(lx lexer.Lexer) {
@@ -228,7 +228,7 @@
 		case space:
 			continue
 		case lexer.EOF:
-			for _, o := range open[:min(len(open), MostDepth)] {
+			for _, o := range open[:min(len(open), MaxDepth)] {
 				p.find(o, 1, "brace", "this block has no end", "} behind its last statement")
 			}
 			p.parse(t)
@@ -241,8 +241,8 @@
 				p.find(t, utf8.RuneCountInString(t.Value), "string", "a string with an escape that there is not", `\\, \", \n, \t`)
 			}
 		case opening:
-			if open = append(open, t); len(open) > MostDepth && !deep {
-				p.find(t, 1, "depth", fmt.Sprintf("blocks stand more than %d deep in one another", MostDepth), "")
+			if open = append(open, t); len(open) > MaxDepth && !deep {
+				p.find(t, 1, "depth", fmt.Sprintf("blocks stand more than %d deep in one another", MaxDepth), "")
 				deep = true // once is enough
 			}
 		case closing:
--- a/internal/plan/check.go
+++ b/internal/plan/check.go
@@ -13,62 +13,62 @@
 	"hoptiller/internal/unit"
 )
 
-// checker makes a plan of statements.
+// checker parses statements into a plan and checks it.
 type checker struct {
 	*loader
-	plan     *Plan
-	platform *Platform
-	named    map[string]place // "route x" and the like, where it is stated
-	uses     []use
-	routes   []*Route
+	plan        *Plan
+	platform    *Platform
+	definitions map[string]location // location of each definition, by kind and name such as "route x"
+	references  []reference
+	routes      []*Route
 }
 
-// use is a name that must exist once all is read.
-type use struct {
+// reference is the use of a name. The name must be defined once all statements have been parsed.
+type reference struct {
 	kind, name string
-	at         place
-	set        func()
+	loc        location
+	resolve    func()
 }
 
-func (c *checker) all(statements []*statement) {
-	c.named = map[string]place{}
+func (c *checker) check(statements []*statement) {
+	c.definitions = map[string]location{}
 	for _, s := range statements {
 		switch s.name {
 		case "pool":
-			c.pool(s)
+			c.parsePool(s)
 		case "policy":
-			c.policy(s)
+			c.parsePolicy(s)
 		case "route":
-			c.route(s)
+			c.parseRoute(s)
 		case "listener":
-			c.listener(s)
+			c.parseListener(s)
 		case "limits":
-			c.limits(s)
+			c.parseLimits(s)
 		case "log":
-			c.log(s)
+			c.parseLog(s)
 		case "fleet":
-			c.fleet(s)
+			c.parseFleet(s)
 		default:
-			c.find(s.at, "statement", fmt.Sprintf("there is no statement %q", s.name),
+			c.addFinding(s.loc, "statement", fmt.Sprintf("there is no statement %q", s.name),
 				"include, const, fleet, listener, limits, log, pool, policy, route")
 		}
 	}
-	for _, u := range c.uses {
-		if _, exists := c.named[u.kind+" "+u.name]; exists {
-			u.set()
+	for _, ref := range c.references {
+		if _, exists := c.definitions[ref.kind+" "+ref.name]; exists {
+			ref.resolve()
 		} else {
-			c.find(u.at, "name", fmt.Sprintf("there is no %s %q", u.kind, u.name), c.names(u.kind))
+			c.addFinding(ref.loc, "name", fmt.Sprintf("there is no %s %q", ref.kind, ref.name), c.knownNames(ref.kind))
 		}
 	}
 	slices.SortFunc(c.routes, func(a, b *Route) int { return strings.Compare(a.Name, b.Name) })
 	c.plan.Routes = c.routes
-	c.rules()
+	c.checkAgainstPlatform()
 }
 
-// names lists what there is of a kind.
-func (c *checker) names(kind string) string {
+// knownNames lists up to 12 of the defined names of a kind.
+func (c *checker) knownNames(kind string) string {
 	var names []string
-	for full := range c.named {
+	for full := range c.definitions {
 		if name, is := strings.CutPrefix(full, kind+" "); is {
 			names = append(names, name)
 		}
@@ -77,71 +77,73 @@
 	return strings.Join(names[:min(len(names), 12)], ", ")
 }
 
-// begin takes the head of a statement with a block: its name, which must be its own, or none.
-func (c *checker) begin(s *statement, named bool) (name string, ok bool) {
-	if !s.braces {
-		c.find(s.at, "block", s.name+" needs a block", s.name+" { ... }")
+// parseHeader parses the head of a statement with a block: a name that no other such statement has, or, if named is
+// false, no name.
+func (c *checker) parseHeader(s *statement, named bool) (name string, ok bool) {
+	if !s.hasBlock {
+		c.addFinding(s.loc, "block", s.name+" needs a block", s.name+" { ... }")
 		ok = false
 	}
 	key := s.name
 	if named {
 		if len(s.values) != 1 || !isName(s.values[0].text) {
-			c.find(s.at, "values", s.name+" takes one name: letters, digits, - and _", s.name+" near { ... }")
+			c.addFinding(s.loc, "values", s.name+" takes one name: letters, digits, - and _", s.name+" near { ... }")
 			return "", false
 		}
 		name = s.values[0].text
 		key += " " + name
 	} else if len(s.values) > 0 {
-		c.find(s.values[0].at, "values", s.name+" takes no name", s.name+" { ... }")
+		c.addFinding(s.values[0].loc, "values", s.name+" takes no name", s.name+" { ... }")
 	}
-	if at, twice := c.named[key]; twice {
-		c.find(s.at, "redefined", fmt.Sprintf("%s is stated at %v already", key, at.pos), "")
+	if loc, defined := c.definitions[key]; defined {
+		c.addFinding(s.loc, "redefined", fmt.Sprintf("%s is stated at %v already", key, loc.pos), "")
 		return name, false
 	}
-	c.named[key] = s.at
-	return name, s.braces
+	c.definitions[key] = s.loc
+	return name, s.hasBlock
 }
 
-// block takes the statements of a block, each of which may stand there once.
-func (c *checker) block(s *statement, at places, take map[string]func(*statement)) {
-	at[""] = s.at
+// parseBlock parses the statements of a block with the parser for each name, and records their locations. Each
+// statement may occur once.
+func (c *checker) parseBlock(s *statement, locations locationMap, parsers map[string]func(*statement)) {
+	locations[""] = s.loc
 	for _, inner := range s.block {
-		f := take[inner.name]
+		f := parsers[inner.name]
 		if f == nil {
-			names := make([]string, 0, len(take))
-			for name := range take {
+			names := make([]string, 0, len(parsers))
+			for name := range parsers {
 				names = append(names, name)
 			}
 			slices.Sort(names)
-			c.find(inner.at, "statement", fmt.Sprintf("%s has no %q", s.name, inner.name), strings.Join(names, ", "))
+			c.addFinding(inner.loc, "statement", fmt.Sprintf("%s has no %q", s.name, inner.name), strings.Join(names, ", "))
 			continue
 		}
-		if before, twice := at[inner.name]; twice {
-			c.find(inner.at, "redefined", fmt.Sprintf("%s is stated at %v already", inner.name, before.pos), "")
+		if before, defined := locations[inner.name]; defined {
+			c.addFinding(inner.loc, "redefined", fmt.Sprintf("%s is stated at %v already", inner.name, before.pos), "")
 			continue
 		}
-		at[inner.name] = inner.at
+		locations[inner.name] = inner.loc
 		if len(inner.values) > 0 {
-			at[inner.name] = inner.values[0].at
+			locations[inner.name] = inner.values[0].loc
 		}
 		f(inner)
 	}
 }
 
-// list takes the values of a statement, each but once.
-func (c *checker) list(s *statement) []value {
-	c.noBlock(s)
+// uniqueValues returns the values of a statement. Each may occur only once.
+func (c *checker) uniqueValues(s *statement) []value {
+	c.rejectBlock(s)
 	if len(s.values) == 0 {
-		c.find(s.at, "values", s.name+" has no value", "")
+		c.addFinding(s.loc, "values", s.name+" has no value", "")
 	}
 	var all []value
 	seen := map[string]bool{}
 	for _, v := range s.values {
 		if v.text == "" && !v.quoted {
-			continue // told already
+			continue // reported already
 		}
 		if seen[v.text] {
-			c.find(v.at, "redefined", fmt.Sprintf("%s has %q twice", s.name, v.text), "")
+			c.addFinding(v.loc, "redefined", fmt.Sprintf("%s has %q twice", s.name, v.text), "")
 			continue
 		}
 		seen[v.text] = true
@@ -150,52 +152,52 @@
 	return all
 }
 
-// indices takes names as their numbers in a list.
+// indices converts the names that a statement gives to their indices in known, sorted.
 func (c *checker) indices(s *statement, known []string, rule string) []int {
 	var numbers []int
-	for _, v := range c.list(s) {
+	for _, v := range c.uniqueValues(s) {
 		if i := slices.Index(known, v.text); i >= 0 {
 			numbers = append(numbers, i)
 		} else {
-			c.find(v.at, rule, fmt.Sprintf("there is no %s %q", s.name, v.text), strings.Join(known, ", "))
+			c.addFinding(v.loc, rule, fmt.Sprintf("there is no %s %q", s.name, v.text), strings.Join(known, ", "))
 		}
 	}
 	slices.Sort(numbers)
 	return numbers
 }
 
-func (c *checker) count(s *statement, least, most int) int {
-	return int(c.number(s, unit.Count, float64(least), float64(most)))
+func (c *checker) parseCount(s *statement, minimum, maximum int) int {
+	return int(c.singleQuantity(s, unit.Count, float64(minimum), float64(maximum)))
 }
 
-func (c *checker) time(s *statement, least, most time.Duration) time.Duration {
-	return time.Duration(c.number(s, unit.Time, float64(least), float64(most)))
+func (c *checker) parseTime(s *statement, minimum, maximum time.Duration) time.Duration {
+	return time.Duration(c.singleQuantity(s, unit.Time, float64(minimum), float64(maximum)))
 }
 
-func (c *checker) pool(s *statement) {
-	name, ok := c.begin(s, true)
-	p := &Pool{Name: name, AtLeast: 1, pos: places{}}
-	c.block(s, p.pos, map[string]func(*statement){
+func (c *checker) parsePool(s *statement) {
+	name, ok := c.parseHeader(s, true)
+	p := &Pool{Name: name, AtLeast: 1, locations: locationMap{}}
+	c.parseBlock(s, p.locations, map[string]func(*statement){
 		"zone": func(s *statement) { p.Zones = c.indices(s, c.platform.Zones, "zone") },
 		"kind": func(s *statement) { p.Kinds = c.indices(s, c.platform.Kinds, "kind") },
 		"cell": func(s *statement) {
-			for _, v := range c.list(s) {
-				p.Cells = append(p.Cells, int(c.quantity(v, "cell", unit.Count, 0, 1e6)))
+			for _, v := range c.uniqueValues(s) {
+				p.Cells = append(p.Cells, int(c.parseQuantity(v, "cell", unit.Count, 0, 1e6)))
 			}
 			slices.Sort(p.Cells)
 		},
 		"address": func(s *statement) {
-			for _, v := range c.list(s) {
-				if c.address(v, false) {
+			for _, v := range c.uniqueValues(s) {
+				if c.parseAddress(v, false) {
 					p.Addrs = append(p.Addrs, v.text)
 				}
 			}
 			slices.Sort(p.Addrs)
 		},
-		"at-least": func(s *statement) { p.AtLeast = c.count(s, 1, 10000) },
+		"at-least": func(s *statement) { p.AtLeast = c.parseCount(s, 1, 10000) },
 		"fallback": func(s *statement) {
-			if v, ok := c.one(s); ok {
-				c.uses = append(c.uses, use{"pool", v.text, v.at, func() { p.Fallback = v.text }})
+			if v, ok := c.singleValue(s); ok {
+				c.references = append(c.references, reference{"pool", v.text, v.loc, func() { p.Fallback = v.text }})
 			}
 		},
 	})
@@ -204,8 +206,9 @@
 	}
 }
 
-// address checks host:port; the host is an address, since names are not looked up.
-func (c *checker) address(v value, anyPort bool) bool {
+// parseAddress checks that a value has the form host:port. The host must be an IP address, since names are not looked
+// up.
+func (c *checker) parseAddress(v value, anyPort bool) bool {
 	host, port, err := net.SplitHostPort(v.text)
 	n, perr := strconv.ParseUint(port, 10, 16)
 	if err == nil && perr == nil && (n > 0 || anyPort) {
@@ -213,42 +216,42 @@
 			return true
 		}
 	}
-	c.find(v.at, "address", fmt.Sprintf("%q is no address with a port", v.text), "127.0.0.1:7001")
+	c.addFinding(v.loc, "address", fmt.Sprintf("%q is not an address with a port", v.text), "127.0.0.1:7001")
 	return false
 }
 
-func (c *checker) policy(s *statement) {
-	name, ok := c.begin(s, true)
-	p := &Policy{Name: name, pos: places{}}
-	c.block(s, p.pos, map[string]func(*statement){
-		"timeout":  func(s *statement) { p.Timeout = c.time(s, time.Millisecond, time.Hour) },
-		"attempts": func(s *statement) { p.Attempts = c.count(s, 1, 100) },
-		"repeat":   func(s *statement) { c.repeat(s, p) },
-		"copies":   func(s *statement) { p.Copies = c.count(s, 1, 2) },
+func (c *checker) parsePolicy(s *statement) {
+	name, ok := c.parseHeader(s, true)
+	p := &Policy{Name: name, locations: locationMap{}}
+	c.parseBlock(s, p.locations, map[string]func(*statement){
+		"timeout":  func(s *statement) { p.Timeout = c.parseTime(s, time.Millisecond, time.Hour) },
+		"attempts": func(s *statement) { p.Attempts = c.parseCount(s, 1, 100) },
+		"repeat":   func(s *statement) { c.parseRepeat(s, p) },
+		"copies":   func(s *statement) { p.Copies = c.parseCount(s, 1, 2) },
 		"budget": func(s *statement) {
-			c.pairs(s, "least", func(v value) { p.Budget = c.quantity(v, "budget", unit.Part, 0, 1) },
-				func(v value) { p.BudgetLeast = c.quantity(v, "least", unit.Rate, 0, 1e6) })
+			c.valueWithOption(s, "least", func(v value) { p.Budget = c.parseQuantity(v, "budget", unit.Part, 0, 1) },
+				func(v value) { p.BudgetLeast = c.parseQuantity(v, "least", unit.Rate, 0, 1e6) })
 			p.BudgetSaid = true
 		},
-		"concurrency": func(s *statement) { c.concurrency(s, &p.Concurrency) },
-		"queue":       func(s *statement) { c.queue(s, &p.Queue, &p.QueueFor) },
+		"concurrency": func(s *statement) { c.parseConcurrency(s, &p.Concurrency) },
+		"queue":       func(s *statement) { c.parseQueue(s, &p.Queue, &p.QueueFor) },
 		"rate": func(s *statement) {
-			c.pairs(s, "burst", func(v value) { p.Rate = c.quantity(v, "rate", unit.Rate, 1.0/3600, 1e6) },
-				func(v value) { p.Burst = c.quantity(v, "burst", unit.Count, 1, 1e6) })
+			c.valueWithOption(s, "burst", func(v value) { p.Rate = c.parseQuantity(v, "rate", unit.Rate, 1.0/3600, 1e6) },
+				func(v value) { p.Burst = c.parseQuantity(v, "burst", unit.Count, 1, 1e6) })
 			if p.Burst == 0 {
 				p.Burst = max(1, p.Rate/10)
 			}
 		},
-		"priority": func(s *statement) { p.Priority = c.count(s, 0, 9) },
+		"priority": func(s *statement) { p.Priority = c.parseCount(s, 0, 9) },
 	})
 	if ok {
 		c.plan.Policies[name] = p
 	}
 }
 
-// pairs takes a value, and behind a word another one.
-func (c *checker) pairs(s *statement, word string, first, second func(value)) {
-	c.noBlock(s)
+// valueWithOption parses one value, optionally followed by a keyword and a second value.
+func (c *checker) valueWithOption(s *statement, word string, first, second func(value)) {
+	c.rejectBlock(s)
 	switch v := s.values; {
 	case len(v) == 1:
 		first(v[0])
@@ -256,18 +259,18 @@
 		first(v[0])
 		second(v[2])
 	default:
-		c.find(s.at, "values", fmt.Sprintf("%s takes a value, and may take %q with another one", s.name, word), "")
+		c.addFinding(s.loc, "values", fmt.Sprintf("%s takes a value, and may take %q with another one", s.name, word), "")
 	}
 }
 
-func (c *checker) repeat(s *statement, p *Policy) {
-	c.noBlock(s)
-	p.RepeatSaid = true
+func (c *checker) parseRepeat(s *statement, p *Policy) {
+	c.rejectBlock(s)
+	p.RepeatStated = true
 	if len(s.values) == 1 && s.values[0].text == "never" {
 		return
 	}
 	if len(s.values) < 2 || s.values[0].text != "on" {
-		c.find(s.at, "values", "repeat takes never, or on with outcomes", "repeat on "+outcomeList(AllOutcomes))
+		c.addFinding(s.loc, "values", "repeat takes never, or on with outcomes", "repeat on "+outcomeList(AllOutcomes))
 		return
 	}
 	for _, v := range s.values[1:] {
@@ -279,12 +282,12 @@
 			}
 		}
 		if !known {
-			c.find(v.at, "outcome", fmt.Sprintf("there is no outcome %q", v.text), outcomeList(AllOutcomes))
+			c.addFinding(v.loc, "outcome", fmt.Sprintf("there is no outcome %q", v.text), outcomeList(AllOutcomes))
 		}
 	}
 }
 
-// outcomeList writes a set as the language does.
+// outcomeList writes a set of outcomes as the language does.
 func outcomeList(set Outcomes) string {
 	var names []string
 	for _, o := range outcomeNames {
@@ -295,42 +298,42 @@
 	return strings.Join(names, " ")
 }
 
-func (c *checker) queue(s *statement, most *int, longest *time.Duration) {
-	c.pairs(s, "for", func(v value) { *most = int(c.quantity(v, "queue", unit.Count, 1, 10000)) }, func(v value) {
-		*longest = time.Duration(c.quantity(v, "for", unit.Time, float64(time.Millisecond), float64(time.Minute)))
+func (c *checker) parseQueue(s *statement, maxLength *int, maxWait *time.Duration) {
+	c.valueWithOption(s, "for", func(v value) { *maxLength = int(c.parseQuantity(v, "queue", unit.Count, 1, 10000)) }, func(v value) {
+		*maxWait = time.Duration(c.parseQuantity(v, "for", unit.Time, float64(time.Millisecond), float64(time.Minute)))
 	})
-	if *most > 0 && *longest == 0 {
-		c.find(s.at, "queue", "a queue without a time for which one may wait in it", "queue 20 for 50ms")
+	if *maxLength > 0 && *maxWait == 0 {
+		c.addFinding(s.loc, "queue", "a queue without a limit on the time in it", "queue 20 for 50ms")
 	}
 }
 
-func (c *checker) concurrency(s *statement, k *Concurrency) {
-	c.noBlock(s)
+func (c *checker) parseConcurrency(s *statement, k *Concurrency) {
+	c.rejectBlock(s)
 	switch v := s.values; {
 	case len(v) == 1:
-		k.Most = int(c.quantity(v[0], "concurrency", unit.Count, 1, 1e5))
+		k.Most = int(c.parseQuantity(v[0], "concurrency", unit.Count, 1, 1e5))
 		k.Least = k.Most
 	case len(v) == 3 && v[0].text == "adaptive":
 		k.Adaptive = true
-		k.Least = int(c.quantity(v[1], "concurrency", unit.Count, 1, 1e5))
-		k.Most = int(c.quantity(v[2], "concurrency", unit.Count, 1, 1e5))
+		k.Least = int(c.parseQuantity(v[1], "concurrency", unit.Count, 1, 1e5))
+		k.Most = int(c.parseQuantity(v[2], "concurrency", unit.Count, 1, 1e5))
 		if k.Most < k.Least {
-			c.find(v[2].at, "range", fmt.Sprintf("the most is %d and the least %d", k.Most, k.Least), "adaptive LEAST MOST")
+			c.addFinding(v[2].loc, "range", fmt.Sprintf("the maximum %d is less than the minimum %d", k.Most, k.Least), "adaptive LEAST MOST")
 		}
 	default:
-		c.find(s.at, "values", "concurrency takes a number, or adaptive with the least and the most", "concurrency 40, concurrency adaptive 4 200")
+		c.addFinding(s.loc, "values", "concurrency takes a number, or adaptive with the least and the most", "concurrency 40, concurrency adaptive 4 200")
 	}
 }
 
-func (c *checker) route(s *statement) {
-	name, ok := c.begin(s, true)
-	r := &Route{Name: name, pos: places{}}
-	c.block(s, r.pos, map[string]func(*statement){
+func (c *checker) parseRoute(s *statement) {
+	name, ok := c.parseHeader(s, true)
+	r := &Route{Name: name, locations: locationMap{}}
+	c.parseBlock(s, r.locations, map[string]func(*statement){
 		"class": func(s *statement) { r.Classes = c.indices(s, c.platform.Classes, "class") },
 		"key": func(s *statement) {
-			for _, v := range c.list(s) {
+			for _, v := range c.uniqueValues(s) {
 				if v.text == "" || len(v.text) > 250 || strings.ContainsFunc(v.text, func(r rune) bool { return r <= ' ' || r == 127 }) {
-					c.find(v.at, "key", fmt.Sprintf("%q begins no key", v.text), "1 to 250 bytes without spaces")
+					c.addFinding(v.loc, "key", fmt.Sprintf("%q is not a valid beginning of a key", v.text), "1 to 250 bytes without spaces")
 					continue
 				}
 				r.Keys = append(r.Keys, v.text)
@@ -338,26 +341,26 @@
 			slices.Sort(r.Keys)
 		},
 		"tenant": func(s *statement) {
-			for _, v := range c.list(s) {
+			for _, v := range c.uniqueValues(s) {
 				r.Tenants = append(r.Tenants, v.text)
 			}
 			slices.Sort(r.Tenants)
 		},
 		"client": func(s *statement) {
-			for _, v := range c.list(s) {
-				c.client(r, v)
+			for _, v := range c.uniqueValues(s) {
+				c.parseClient(r, v)
 			}
 			slices.SortFunc(r.Clients, func(a, b netip.Prefix) int { return strings.Compare(a.String(), b.String()) })
 		},
-		"rank": func(s *statement) { r.Rank = c.count(s, 0, 1000) },
+		"rank": func(s *statement) { r.Rank = c.parseCount(s, 0, 1000) },
 		"pool": func(s *statement) {
-			if v, ok := c.one(s); ok {
-				c.uses = append(c.uses, use{"pool", v.text, v.at, func() { r.Pool = c.plan.Pools[v.text] }})
+			if v, ok := c.singleValue(s); ok {
+				c.references = append(c.references, reference{"pool", v.text, v.loc, func() { r.Pool = c.plan.Pools[v.text] }})
 			}
 		},
 		"policy": func(s *statement) {
-			if v, ok := c.one(s); ok {
-				c.uses = append(c.uses, use{"policy", v.text, v.at, func() { r.Policy = c.plan.Policies[v.text] }})
+			if v, ok := c.singleValue(s); ok {
+				c.references = append(c.references, reference{"policy", v.text, v.loc, func() { r.Policy = c.plan.Policies[v.text] }})
 			}
 		},
 	})
@@ -366,7 +369,7 @@
 	}
 }
 
-func (c *checker) client(r *Route, v value) {
+func (c *checker) parseClient(r *Route, v value) {
 	p, err := netip.ParsePrefix(v.text)
 	if err != nil {
 		if a, aerr := netip.ParseAddr(v.text); aerr == nil {
@@ -375,98 +378,98 @@
 	}
 	switch {
 	case err != nil:
-		c.find(v.at, "address", fmt.Sprintf("%q is no address and no network", v.text), "127.0.0.1, 10.0.0.0/8")
+		c.addFinding(v.loc, "address", fmt.Sprintf("%q is neither an address nor a network", v.text), "127.0.0.1, 10.0.0.0/8")
 	case p != p.Masked():
-		c.find(v.at, "address", fmt.Sprintf("%s has bits behind its length", v.text), p.Masked().String())
+		c.addFinding(v.loc, "address", fmt.Sprintf("%s has bits set beyond its prefix length", v.text), p.Masked().String())
 	default:
 		r.Clients = append(r.Clients, p)
 	}
 }
 
-func (c *checker) listener(s *statement) {
-	name, ok := c.begin(s, true)
-	l := &Listener{Name: name, pos: places{}}
-	c.block(s, l.pos, map[string]func(*statement){
+func (c *checker) parseListener(s *statement) {
+	name, ok := c.parseHeader(s, true)
+	l := &Listener{Name: name, locations: locationMap{}}
+	c.parseBlock(s, l.locations, map[string]func(*statement){
 		"address": func(s *statement) {
-			if v, ok := c.one(s); ok && c.address(v, true) {
+			if v, ok := c.singleValue(s); ok && c.parseAddress(v, true) {
 				l.Addr = v.text
 			}
 		},
 	})
-	if ok && l.pos["address"] == (place{}) {
-		c.find(s.at, "address", "a listener without an address", `address "127.0.0.1:7001"`)
+	if ok && l.locations["address"] == (location{}) {
+		c.addFinding(s.loc, "address", "a listener without an address", `address "127.0.0.1:7001"`)
 	}
 	if ok {
 		c.plan.Listeners[name] = l
 	}
 }
 
-func (c *checker) limits(s *statement) {
-	c.begin(s, false)
+func (c *checker) parseLimits(s *statement) {
+	c.parseHeader(s, false)
 	l := &c.plan.Limits
-	l.pos = places{}
-	c.block(s, l.pos, map[string]func(*statement){
-		"clients":   func(s *statement) { l.Clients = c.count(s, 1, 1e6) },
-		"open":      func(s *statement) { l.Open = c.count(s, 1, 1e6) },
-		"providers": func(s *statement) { l.Providers = c.count(s, 1, 1e6) },
-		"origin":    func(s *statement) { l.Origin = c.count(s, 1, 1e6) },
-		"places":    func(s *statement) { l.Places = c.count(s, 3, 1e5) },
+	l.locations = locationMap{}
+	c.parseBlock(s, l.locations, map[string]func(*statement){
+		"clients":   func(s *statement) { l.Clients = c.parseCount(s, 1, 1e6) },
+		"open":      func(s *statement) { l.Open = c.parseCount(s, 1, 1e6) },
+		"providers": func(s *statement) { l.Providers = c.parseCount(s, 1, 1e6) },
+		"origin":    func(s *statement) { l.Origin = c.parseCount(s, 1, 1e6) },
+		"places":    func(s *statement) { l.Places = c.parseCount(s, 3, 1e5) },
 
-		"concurrency": func(s *statement) { c.concurrency(s, &l.Concurrency) },
-		"queue":       func(s *statement) { c.queue(s, &l.Queue, &l.QueueFor) },
+		"concurrency": func(s *statement) { c.parseConcurrency(s, &l.Concurrency) },
+		"queue":       func(s *statement) { c.parseQueue(s, &l.Queue, &l.QueueFor) },
 	})
 }
 
-func (c *checker) fleet(s *statement) {
-	c.begin(s, false)
+func (c *checker) parseFleet(s *statement) {
+	c.parseHeader(s, false)
 	f := &c.plan.Fleet
-	f.pos = places{}
-	c.block(s, f.pos, map[string]func(*statement){
-		"view":     c.word(&f.View, "on", "off"),
-		"out":      func(s *statement) { f.Out = c.bound(s) },
-		"out-zone": func(s *statement) { f.OutZone = c.bound(s) },
+	f.locations = locationMap{}
+	c.parseBlock(s, f.locations, map[string]func(*statement){
+		"view":     c.parseWord(&f.View, "on", "off"),
+		"out":      func(s *statement) { f.Out = c.parseBound(s) },
+		"out-zone": func(s *statement) { f.OutZone = c.parseBound(s) },
 
-		"caches":      func(s *statement) { f.Caches = c.bound(s) },
-		"caches-zone": func(s *statement) { f.CachesZone = c.bound(s) },
+		"caches":      func(s *statement) { f.Caches = c.parseBound(s) },
+		"caches-zone": func(s *statement) { f.CachesZone = c.parseBound(s) },
 	})
 	for name, b := range map[string][2]Bound{"out-zone": {f.OutZone, f.Out}, "caches-zone": {f.CachesZone, f.Caches}} {
 		if zone, all := b[0], b[1]; zone.Number > max(1, all.Number) && all.Part == 0 {
-			c.find(f.pos.of(name), "bounds", fmt.Sprintf("more may be out of one zone (%v) than of the whole fleet (%v)", zone, all), "")
+			c.addFinding(f.locations.lookup(name), "bounds", fmt.Sprintf("more may be out of one zone (%v) than of the whole fleet (%v)", zone, all), "")
 		}
 	}
 	if f.View == "off" && (f.Out != Bound{} || f.OutZone != Bound{} || f.Caches != Bound{} || f.CachesZone != Bound{}) {
-		c.find(f.pos.of("view"), "bounds", "without a view routers agree on nothing, and the bounds are for that", "on")
+		c.addFinding(f.locations.lookup("view"), "bounds", "these bounds need the fleet view, which is off", "on")
 	}
 }
 
-// bound takes a number of routers or servers, or a percentage.
-func (c *checker) bound(s *statement) (b Bound) {
+// parseBound parses a number of routers or servers, or a percentage.
+func (c *checker) parseBound(s *statement) (b Bound) {
 	if len(s.values) == 1 && strings.HasSuffix(s.values[0].text, "%") {
-		b.Part = c.number(s, unit.Part, 0.001, 1)
+		b.Part = c.singleQuantity(s, unit.Part, 0.001, 1)
 		return b
 	}
-	b.Number = c.count(s, 1, permit.MostPlaces)
+	b.Number = c.parseCount(s, 1, permit.MostPlaces)
 	return b
 }
 
-// word takes one of some words.
-func (c *checker) word(into *string, words ...string) func(*statement) {
+// parseWord returns a parser that accepts one of the given words and stores it in target.
+func (c *checker) parseWord(target *string, words ...string) func(*statement) {
 	return func(s *statement) {
-		if v, ok := c.one(s); ok && slices.Contains(words, v.text) {
-			*into = v.text
+		if v, ok := c.singleValue(s); ok && slices.Contains(words, v.text) {
+			*target = v.text
 		} else if ok {
-			c.find(v.at, "word", fmt.Sprintf("%s can't be %q", s.name, v.text), strings.Join(words, ", "))
+			c.addFinding(v.loc, "word", fmt.Sprintf("%s can't be %q", s.name, v.text), strings.Join(words, ", "))
 		}
 	}
 }
 
-func (c *checker) log(s *statement) {
-	c.begin(s, false)
+func (c *checker) parseLog(s *statement) {
+	c.parseHeader(s, false)
 	l := &c.plan.Log
-	l.pos = places{}
-	c.block(s, l.pos, map[string]func(*statement){
-		"level":  c.word(&l.Level, "debug", "info", "warn", "error"),
-		"format": c.word(&l.Format, "text", "json"),
-		"rate":   func(s *statement) { l.Rate = c.number(s, unit.Rate, 0.01, 1000) },
+	l.locations = locationMap{}
+	c.parseBlock(s, l.locations, map[string]func(*statement){
+		"level":  c.parseWord(&l.Level, "debug", "info", "warn", "error"),
+		"format": c.parseWord(&l.Format, "text", "json"),
+		"rate":   func(s *statement) { l.Rate = c.singleQuantity(s, unit.Rate, 0.01, 1000) },
 	})
 }
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -12,17 +12,17 @@
 	"hoptiller/internal/unit"
 )
 
-// Field is one figure of a thing, as the language writes it.
+// Field is one setting of a route, pool, policy or section, as the language writes it.
 type Field struct{ Name, Value string }
 
-// Change is one thing that means something else in another plan.
+// Change describes a route, pool, policy, listener or section whose meaning differs between two plans.
 type Change struct {
-	Thing  string  // "route desk" and the like
-	Before []Field // the figures that differ; none where the thing is new
-	After  []Field // the same of the other plan; none where it is gone
+	Thing  string  // kind and name, such as "route desk"
+	Before []Field // the fields that differ; none if the first plan lacks the thing
+	After  []Field // the same fields of the second plan; none if it lacks the thing
 }
 
-// String says a change in a line for each figure.
+// String returns a change with a line for each field.
 func (c Change) String() string {
 	var b strings.Builder
 	switch {
@@ -46,11 +46,10 @@
 	return b.String()
 }
 
-// Diff tells what means something else in b than in a: routes with all that their
-// requests get, the pools and policies that did it, listeners, limits and the log.
-// How it is written (constants, includes, order, comments, names of policies) means
-// nothing. It is empty exactly where both tables, listeners, limits and logs are the
-// same.
+// Diff returns the differences in meaning from a to b: routes with everything that their requests get, the pools and
+// policies that cause the change, listeners, limits and the log. It ignores how a file is written: constants,
+// includes, order, comments, names of policies. The result is empty if and only if tables, listeners, limits and logs
+// are the same.
 func Diff(a, b *Plan) []Change {
 	changes := map[string]Change{}
 	compare := func(thing string, x, y []Field) (differs bool) {
@@ -65,20 +64,20 @@
 		}
 		return len(c.Before) > 0
 	}
-	was, is := a.things(), b.things()
-	for name, x := range was {
-		if y, both := is[name]; both {
+	beforeSections, afterSections := a.sections(), b.sections()
+	for name, x := range beforeSections {
+		if y, both := afterSections[name]; both {
 			compare(name, x, y)
 		} else {
 			changes[name] = Change{name, x, nil}
 		}
 	}
-	for name, y := range is {
-		if _, both := was[name]; !both {
+	for name, y := range afterSections {
+		if _, both := beforeSections[name]; !both {
 			changes[name] = Change{name, nil, y}
 		}
 	}
-	before, after := a.byName(), b.byName()
+	before, after := a.routesByName(), b.routesByName()
 	for name, r := range before {
 		s := after[name]
 		if s == nil {
@@ -86,23 +85,23 @@
 			continue
 		}
 		x, y := a.Route(r), b.Route(s)
-		for i := range x { // what is stated in another way, and does the same, has not changed
-			if a.effect(r, x[i].Name) == b.effect(s, x[i].Name) {
+		for i := range x { // a field that is written differently with the same effect has not changed
+			if a.effectiveValue(r, x[i].Name) == b.effectiveValue(s, x[i].Name) {
 				y[i] = x[i]
 			}
 		}
 		if !compare("route "+name, x, y) {
 			continue
 		}
-		differs := func(from []Field) bool {
-			return slices.ContainsFunc(from, func(f Field) bool {
+		differsInAny := func(fields []Field) bool {
+			return slices.ContainsFunc(fields, func(f Field) bool {
 				return slices.ContainsFunc(changes["route "+name].Before, func(c Field) bool { return c.Name == f.Name })
 			})
 		}
-		if r.Pool != nil && s.Pool != nil && r.Pool.Name == s.Pool.Name && differs(a.poolFields(nil)) {
+		if r.Pool != nil && s.Pool != nil && r.Pool.Name == s.Pool.Name && differsInAny(a.poolFields(nil)) {
 			compare("pool "+r.Pool.Name, a.poolFields(r.Pool), b.poolFields(s.Pool))
 		}
-		if r.Policy != nil && s.Policy != nil && r.Policy.Name == s.Policy.Name && differs(a.policyFields(nil, -1)) {
+		if r.Policy != nil && s.Policy != nil && r.Policy.Name == s.Policy.Name && differsInAny(a.policyFields(nil, -1)) {
 			compare("policy "+r.Policy.Name, a.policyFields(r.Policy, -1), b.policyFields(s.Policy, -1))
 		}
 	}
@@ -112,13 +111,14 @@
 		}
 	}
 	var list []Change
-	for _, name := range sorted(changes) {
+	for _, name := range sortedKeys(changes) {
 		list = append(list, changes[name])
 	}
 	return list
 }
 
-func (p *Plan) byName() map[string]*Route {
+// routesByName indexes the routes by their names.
+func (p *Plan) routesByName() map[string]*Route {
 	all := map[string]*Route{}
 	for _, r := range p.Routes {
 		all[r.Name] = r
@@ -126,32 +126,34 @@
 	return all
 }
 
-// effect is what a figure of a route comes to for all its classes, with what the settings fill in.
-func (p *Plan) effect(r *Route, figure string) string {
+// effectiveValue returns the effective value of a route's field for all its classes, including what the settings fill
+// in.
+func (p *Plan) effectiveValue(r *Route, field string) string {
 	var b strings.Builder
 	for class := range p.platform.Classes {
 		if len(r.Classes) > 0 && !slices.Contains(r.Classes, class) {
 			continue
 		}
 		for _, f := range p.policyFields(r.Policy, class) {
-			if f.Name == figure {
+			if f.Name == field {
 				fmt.Fprintf(&b, "%d %s; ", class, f.Value)
 			}
 		}
 	}
 	for _, f := range append(p.matchFields(r), p.poolFields(r.Pool)...) {
-		if f.Name == figure {
+		if f.Name == field {
 			b.WriteString(f.Value)
 		}
 	}
 	return b.String()
 }
 
-// things are the things of a plan beside routes, by name, each with the same figures in the same order.
-func (p *Plan) things() map[string][]Field {
+// sections returns the parts of a plan other than routes, by name. Each has the same fields in the same order in
+// every plan.
+func (p *Plan) sections() map[string][]Field {
 	all := map[string][]Field{
-		"limits": {{"clients", amount(p.Limits.Clients)}, {"open", amount(p.Limits.Open)},
-			{"providers", amount(p.Limits.Providers)}, {"origin", amount(p.Limits.Origin)}, {"places", strconv.Itoa(cmp.Or(p.Limits.Places, 14))},
+		"limits": {{"clients", countText(p.Limits.Clients)}, {"open", countText(p.Limits.Open)},
+			{"providers", countText(p.Limits.Providers)}, {"origin", countText(p.Limits.Origin)}, {"places", strconv.Itoa(cmp.Or(p.Limits.Places, 14))},
 			{"concurrency", concurrencyText(p.Limits.Concurrency)}, {"queue", queueText(p.Limits.Queue, p.Limits.QueueFor)}},
 		"log": {{"level", p.Log.Level}, {"format", p.Log.Format}, {"rate", unit.Format(p.Log.Rate, unit.Rate)}},
 	}
@@ -164,15 +166,16 @@
 	return all
 }
 
-// amount writes a count of which 0 is none stated.
-func amount(n int) string {
+// countText writes a count. 0 means that none is stated.
+func countText(n int) string {
 	if n == 0 {
 		return "as the platform says"
 	}
 	return strconv.Itoa(n)
 }
 
-func names(numbers []int, known []string) string {
+// numberNames writes numbers by their names in known, or as digits if there is no name.
+func numberNames(numbers []int, known []string) string {
 	if len(numbers) == 0 {
 		return "any"
 	}
@@ -187,7 +190,7 @@
 	return strings.Join(s, " ")
 }
 
-func texts[T any](list []T, text func(T) string) string {
+func joinTexts[T any](list []T, text func(T) string) string {
 	if len(list) == 0 {
 		return "any"
 	}
@@ -198,25 +201,25 @@
 	return strings.Join(s, " ")
 }
 
-// Route gives a route's figures, with those of the pool and the policy that its requests get.
+// Route returns the fields of a route, with those of its pool and its policy.
 func (p *Plan) Route(r *Route) []Field {
 	return slices.Concat(p.matchFields(r), p.poolFields(r.Pool), p.policyFields(r.Policy, -1))
 }
 
-// matchFields tells which requests a route is for.
+// matchFields returns the fields that select the requests of a route.
 func (p *Plan) matchFields(r *Route) []Field {
 	return []Field{
-		{"class", names(r.Classes, p.platform.Classes)}, {"key", texts(r.Keys, strconv.Quote)},
-		{"tenant", texts(r.Tenants, strconv.Quote)}, {"client", texts(r.Clients, netip.Prefix.String)}, {"rank", strconv.Itoa(r.Rank)},
+		{"class", numberNames(r.Classes, p.platform.Classes)}, {"key", joinTexts(r.Keys, strconv.Quote)},
+		{"tenant", joinTexts(r.Tenants, strconv.Quote)}, {"client", joinTexts(r.Clients, netip.Prefix.String)}, {"rank", strconv.Itoa(r.Rank)},
 	}
 }
 
 func (p *Plan) poolFields(pool *Pool) []Field {
-	// A chain of fallbacks is told whole: what a pool does when it is empty is a part of what it does.
+	// The fields cover the whole chain of fallbacks, since the fallback of an empty pool is part of its behaviour.
 	var zones, kinds, cells, addrs, least []string
 	for n := 0; pool != nil && n <= len(p.Pools); n++ {
-		zones, kinds = append(zones, names(pool.Zones, p.platform.Zones)), append(kinds, names(pool.Kinds, p.platform.Kinds))
-		cells, addrs = append(cells, names(pool.Cells, nil)), append(addrs, texts(pool.Addrs, strings.Clone))
+		zones, kinds = append(zones, numberNames(pool.Zones, p.platform.Zones)), append(kinds, numberNames(pool.Kinds, p.platform.Kinds))
+		cells, addrs = append(cells, numberNames(pool.Cells, nil)), append(addrs, joinTexts(pool.Addrs, strings.Clone))
 		least = append(least, strconv.Itoa(pool.AtLeast))
 		pool = p.Pools[pool.Fallback]
 	}
@@ -227,33 +230,33 @@
 	return []Field{{"zone", join(zones)}, {"kind", join(kinds)}, {"cell", join(cells)}, {"address", join(addrs)}, {"at-least", join(least)}}
 }
 
-// policyFields gives a policy's figures; for a class, with what the settings fill in.
+// policyFields returns the fields of a policy. For a class of 0 or more they include what the settings fill in.
 func (p *Plan) policyFields(policy *Policy, class int) []Field {
-	var x Policy
+	var values Policy
 	if policy != nil {
-		x = *policy
+		values = *policy
 	}
 	if class >= 0 {
-		x = p.effective(policy, class)
+		values = p.effective(policy, class)
 	}
-	or := func(stated bool, value, otherwise string) string {
-		if stated {
+	textOr := func(isStated bool, value, otherwise string) string {
+		if isStated {
 			return value
 		}
 		return otherwise
 	}
-	const open = "as the module decides"
-	repeat := or(x.RepeatSaid, or(x.Repeat == 0, "never", "on "+outcomeList(x.Repeat)), open)
+	const unstated = "as the module decides"
+	repeat := textOr(values.RepeatStated, textOr(values.Repeat == 0, "never", "on "+outcomeList(values.Repeat)), unstated)
 	return []Field{
-		{"timeout", or(x.Timeout > 0, showTime(x.Timeout), open)},
-		{"attempts", or(x.Attempts > 0, strconv.Itoa(x.Attempts), open)},
+		{"timeout", textOr(values.Timeout > 0, formatTime(values.Timeout), unstated)},
+		{"attempts", textOr(values.Attempts > 0, strconv.Itoa(values.Attempts), unstated)},
 		{"repeat", repeat},
-		{"copies", or(x.Copies > 0, strconv.Itoa(x.Copies), open)},
-		{"budget", or(x.BudgetSaid, unit.Format(x.Budget, unit.Part)+" least "+unit.Format(x.BudgetLeast, unit.Rate), open)},
-		{"concurrency", concurrencyText(x.Concurrency)},
-		{"queue", queueText(x.Queue, x.QueueFor)},
-		{"rate", or(x.Rate > 0, unit.Format(x.Rate, unit.Rate)+" burst "+strconv.FormatFloat(x.Burst, 'g', -1, 64), "no limit")},
-		{"priority", strconv.Itoa(x.Priority)},
+		{"copies", textOr(values.Copies > 0, strconv.Itoa(values.Copies), unstated)},
+		{"budget", textOr(values.BudgetSaid, unit.Format(values.Budget, unit.Part)+" least "+unit.Format(values.BudgetLeast, unit.Rate), unstated)},
+		{"concurrency", concurrencyText(values.Concurrency)},
+		{"queue", queueText(values.Queue, values.QueueFor)},
+		{"rate", textOr(values.Rate > 0, unit.Format(values.Rate, unit.Rate)+" burst "+strconv.FormatFloat(values.Burst, 'g', -1, 64), "no limit")},
+		{"priority", strconv.Itoa(values.Priority)},
 	}
 }
 
@@ -267,46 +270,46 @@
 	return strconv.Itoa(c.Most)
 }
 
-func queueText(n int, longest time.Duration) string {
+func queueText(n int, maxWait time.Duration) string {
 	if n == 0 {
 		return "none"
 	}
-	return fmt.Sprintf("%d for %s", n, showTime(longest))
+	return fmt.Sprintf("%d for %s", n, formatTime(maxWait))
 }
 
-// Explain tells what an invocation gets, and why: the entry's figures, and of each
-// route that does not fit, or goes behind the one that does, the reason.
-func (p *Plan) Explain(class int, key, tenant string, client netip.Addr) (e *Entry, fields []Field, why []string) {
+// Explain returns what a request gets and why: its entry, the fields of the entry, and for each route the reason why
+// it is taken, does not match, or has a lower precedence.
+func (p *Plan) Explain(class int, key, tenant string, client netip.Addr) (e *Entry, fields []Field, reasons []string) {
 	e = p.table.Lookup(class, []byte(key), []byte(tenant), client)
-	all := p.rules()
-	slices.SortStableFunc(all, func(a, b rule) int { return b.compare(&a) })
-	var taken *rule
+	all := p.matchers()
+	slices.SortStableFunc(all, func(a, b matcher) int { return b.compare(&a) })
+	var chosen *matcher
 	for i := range all {
 		r := &all[i]
 		name := "route " + r.route.Name
 		switch {
 		case len(r.route.Classes) > 0 && !slices.Contains(r.route.Classes, class):
-			why = append(why, name+": another class")
+			reasons = append(reasons, name+": another class")
 		case !strings.HasPrefix(key, r.key):
-			why = append(why, fmt.Sprintf("%s: the key does not begin with %q", name, r.key))
+			reasons = append(reasons, fmt.Sprintf("%s: the key does not begin with %q", name, r.key))
 		case r.client.IsValid() && !r.client.Contains(client):
-			why = append(why, fmt.Sprintf("%s: the client is not in %v", name, r.client))
+			reasons = append(reasons, fmt.Sprintf("%s: the client is not in %v", name, r.client))
 		case len(r.route.Tenants) > 0 && !slices.Contains(r.route.Tenants, tenant):
-			why = append(why, name+": another tenant")
-		case taken == nil:
-			taken = r
-			why = append(why, name+": taken")
-		case taken.route == r.route:
+			reasons = append(reasons, name+": another tenant")
+		case chosen == nil:
+			chosen = r
+			reasons = append(reasons, name+": taken")
+		case chosen.route == r.route:
 		default:
-			why = append(why, fmt.Sprintf("%s: fits, but goes behind route %s", name, taken.route.Name))
+			reasons = append(reasons, fmt.Sprintf("%s: fits, but route %s takes precedence", name, chosen.route.Name))
 		}
 	}
-	if taken == nil {
-		why = append(why, "no route fits: the settings alone hold")
+	if chosen == nil {
+		reasons = append(reasons, "no route fits: only the settings apply")
 	}
 	policy := (*Policy)(nil)
 	if e.Route != nil {
 		policy = e.Route.Policy
 	}
-	return e, append(p.poolFields(e.Pool), p.policyFields(policy, class)...), why
+	return e, append(p.poolFields(e.Pool), p.policyFields(policy, class)...), reasons
 }
--- a/internal/plan/large_test.go
+++ b/internal/plan/large_test.go
@@ -6,12 +6,13 @@
 	"testing"
 )
 
-// Bounds hold for fleets of 1,024 routers and slot caches; what is no bound is refused with one finding that says what is.
+// Bounds must be accepted for fleets of 1,024 routers and slot caches. An invalid bound is refused with one finding
+// that names the valid range.
 func TestFleetBounds(t *testing.T) {
 	for _, name := range []string{"out", "caches"} {
 		for text, accepted := range map[string]bool{"1": true, "200": true, "201": true, "1024": true, "4096": true,
 			"0": false, "4097": false, "-1": false, "99999999999999999999": false, "0%": false, "101%": false} {
-			p, report := of(fmt.Sprintf("fleet {\n\t%s %s\n\t%s-zone 1\n}\n", name, text, name))
+			p, report := loadTexts(fmt.Sprintf("fleet {\n\t%s %s\n\t%s-zone 1\n}\n", name, text, name))
 			if accepted && (p == nil || fmt.Sprint(max(p.Fleet.Out.Number, p.Fleet.Caches.Number)) != text) {
 				t.Errorf("%s %s: %v", name, text, report)
 			}
@@ -20,13 +21,13 @@
 			}
 		}
 	}
-	_, report := of("fleet {\n\tout 4097\n}\n")
-	if says := report.String(); !strings.Contains(says, "1 to 4096") {
-		t.Errorf("refused with %s", says)
+	_, report := loadTexts("fleet {\n\tout 4097\n}\n")
+	if message := report.String(); !strings.Contains(message, "1 to 4096") {
+		t.Errorf("refused with %s", message)
 	}
 }
 
-// A pool may name 1,024 servers, and a release 1,024 routers, all of them in one wave.
+// A pool may list 1,024 servers, and a release 1,024 routers, all of them in one wave.
 func TestLargeLists(t *testing.T) {
 	const many = 1024
 	var pool, routers strings.Builder
@@ -34,7 +35,7 @@
 		fmt.Fprintf(&pool, " \"127.0.%d.%d:7001\"", i/256, i%256)
 		fmt.Fprintf(&routers, "router %d \"127.0.%d.%d:9190\"\n", i, i/256, i%256)
 	}
-	p, report := of("pool all {\n\taddress" + pool.String() + "\n\tat-least 1024\n}\nroute every {\n\tpool all\n}\n")
+	p, report := loadTexts("pool all {\n\taddress" + pool.String() + "\n\tat-least 1024\n}\nroute every {\n\tpool all\n}\n")
 	if p == nil || len(p.Pools["all"].Addrs) != many {
 		t.Errorf("%.300v", report)
 	}
@@ -48,7 +49,7 @@
 	if r, report := load(text(many)); r == nil || len(r.Routers) != many || r.First != many || r.Most != many {
 		t.Errorf("%.300v", report)
 	}
-	if r, report := load(text(mostRouters + 1)); r != nil || len(report.Findings) != 2 {
+	if r, report := load(text(maxRouters + 1)); r != nil || len(report.Findings) != 2 {
 		t.Errorf("%.300v", report)
 	}
 }
--- a/internal/plan/load.go
+++ b/internal/plan/load.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	mostFiles    = 64  // files of one plan
-	mostIncludes = 16  // files that include one another in a chain
-	mostFindings = 200 // that are told of one plan
+	maxFiles        = 64  // files of one plan
+	maxIncludeDepth = 16  // files in a chain of includes
+	maxFindings     = 200 // findings that one report contains
 
-	// mostValues of one statement, once constants are put in: the addresses of a pool of 1,024 servers, and room to grow. It
-	// bounds what constants of constants can come to.
-	mostValues = 4096
+	// maxValues bounds the values of one statement after constants are replaced: enough for the addresses of a pool
+	// of 1,024 servers, and room to grow. It also bounds the expansion of constants that contain constants.
+	maxValues = 4096
 
-	// mostRules bounds what a request is held against, pairs of a key and a client's network. Neither routers nor servers are
-	// among them.
-	mostRules = 2048
+	// maxMatchers bounds the pairs of a key prefix and a client network that a request is compared with. Their number
+	// does not depend on the number of routers or servers.
+	maxMatchers = 2048
 )
 
-// Report is what Load found wrong.
+// Report lists the findings of Load.
 type Report struct {
 	Findings []*opfile.Finding
-	texts    map[string][]string // lines of each file, to be shown
+	texts    map[string][]string // lines of each file, for display
 }
 
-// Err is nil where nothing is wrong; else it says the first finding, and how many there are.
+// Err returns nil if there are no findings. Otherwise it returns the first finding and the number of the others.
 func (r *Report) Err() error {
 	switch n := len(r.Findings); {
 	case n == 0:
@@ -44,10 +44,10 @@
 	}
 }
 
-// Error says all findings, as String does.
+// Error returns all findings in the form of String.
 func (r *Report) Error() string { return strings.TrimSuffix(r.String(), "\n") }
 
-// String says all findings, each with its line of the file and a marker under what it concerns.
+// String returns all findings, each with its line of the file and a marker under the text that it concerns.
 func (r *Report) String() string {
 	var b strings.Builder
 	for _, f := range r.Findings {
@@ -55,7 +55,7 @@
 		if lines := r.texts[f.Pos.File]; f.Width > 0 && f.Pos.Line <= len(lines) {
 			line := []rune(strings.TrimRight(lines[f.Pos.Line-1], "\r"))
 			from := min(f.Pos.Column-1, len(line))
-			// Of a very long line the part round the marker is shown.
+			// A very long line is shortened to the part around the marker.
 			first := max(0, from-60)
 			shown := line[first:min(len(line), from+60)]
 			mark := strings.Map(func(c rune) rune {
@@ -73,57 +73,56 @@
 	return b.String()
 }
 
-// loader puts the files of a plan together.
+// loader collects the statements and constants of a plan from its files.
 type loader struct {
-	read       func(name string) ([]byte, error)
-	report     *Report
-	seen       map[string]bool
-	chain      []string // files that are being read, each included by the one before it
-	statements []*opfile.Statement
-	constants  map[string]*constant
+	read         func(name string) ([]byte, error)
+	report       *Report
+	loaded       map[string]bool
+	includeChain []string // files that are being loaded; each includes the next one
+	statements   []*opfile.Statement
+	constants    map[string]*constant
 }
 
 type constant struct {
-	at     place
-	raw    []*opfile.Value
-	values []value
-	done   bool // values are known
-	going  bool // they are being found out
+	loc       location
+	raw       []*opfile.Value
+	values    []value
+	resolved  bool // values is complete
+	resolving bool // values is being computed
 }
 
-// statement is a statement whose constants are put in.
+// statement is a statement in which the constants are replaced by their values.
 type statement struct {
-	name   string
-	at     place
-	values []value
-	block  []*statement
-	braces bool
+	name     string
+	loc      location
+	values   []value
+	block    []*statement
+	hasBlock bool
 }
 
-// value is a value with the place where it is written; for one from a constant, that of the constant's use.
+// value is a value with its location. For a value from a constant that is the location where the constant is used.
 type value struct {
-	text   string
-	quoted bool
-	at     place
-	from   string // the constant that it comes from
+	text     string
+	quoted   bool
+	loc      location
+	constant string // name of the constant that it comes from; empty: none
 }
 
-// Load reads a file and what it includes, and gives its meaning. The plan is nil
-// where anything is wrong; the report then says all that is, in the order of the
-// text. Paths in an include are relative to the file that it stands in.
+// Load reads a file with its includes and returns its plan. If there are findings, the plan is nil and the report
+// lists all of them, in the order of the text. Paths in an include are relative to the file with the include.
 func Load(name string, read func(name string) ([]byte, error), p *Platform) (*Plan, *Report) {
-	l := &loader{read: read, report: &Report{texts: map[string][]string{}}, seen: map[string]bool{}, constants: map[string]*constant{}}
-	l.file(filepath.Clean(name), place{opfile.Pos{File: name, Line: 1, Column: 1}, 0})
+	l := &loader{read: read, report: &Report{texts: map[string][]string{}}, loaded: map[string]bool{}, constants: map[string]*constant{}}
+	l.loadFile(filepath.Clean(name), location{opfile.Pos{File: name, Line: 1, Column: 1}, 0})
 	var statements []*statement
 	for _, s := range l.statements {
-		statements = append(statements, l.resolve(s))
+		statements = append(statements, l.resolveStatement(s))
 	}
-	for _, name := range sorted(l.constants) {
-		l.constant(l.constants[name], nil) // those that are used nowhere must make sense too
+	for _, name := range sortedKeys(l.constants) {
+		l.constantValues(l.constants[name], nil) // unused constants must be valid too
 	}
 	plan := newPlan(p)
 	c := &checker{loader: l, plan: plan, platform: p}
-	c.all(statements)
+	c.check(statements)
 	slices.SortStableFunc(l.report.Findings, func(a, b *opfile.Finding) int { return a.Pos.Compare(b.Pos) })
 	if len(l.report.Findings) > 0 {
 		return nil, l.report
@@ -132,33 +131,33 @@
 	return plan, l.report
 }
 
-func (l *loader) find(at place, rule, what, accept string) {
-	if len(l.report.Findings) < mostFindings {
-		l.report.Findings = append(l.report.Findings, &opfile.Finding{Pos: at.pos, Width: at.width, Rule: rule, Text: what, Accept: accept})
+func (l *loader) addFinding(loc location, rule, what, accept string) {
+	if len(l.report.Findings) < maxFindings {
+		l.report.Findings = append(l.report.Findings, &opfile.Finding{Pos: loc.pos, Width: loc.width, Rule: rule, Text: what, Accept: accept})
 	}
 }
 
-func placeOf(pos lexer.Position, text string) place {
-	return place{opfile.Place(pos), utf8.RuneCountInString(text)}
+func locationOf(pos lexer.Position, text string) location {
+	return location{opfile.PosOf(pos), utf8.RuneCountInString(text)}
 }
 
-// file takes a file's statements, unless they have been taken: a file that two others include counts once.
-func (l *loader) file(name string, at place) {
-	if i := slices.Index(l.chain, name); i >= 0 {
-		l.find(at, "include-cycle", "these files include one another: "+strings.Join(append(slices.Clone(l.chain[i:]), name), " -> "), "")
+// loadFile loads the statements of a file. A file that is included more than once is loaded once.
+func (l *loader) loadFile(name string, loc location) {
+	if i := slices.Index(l.includeChain, name); i >= 0 {
+		l.addFinding(loc, "include-cycle", "these files include one another: "+strings.Join(append(slices.Clone(l.includeChain[i:]), name), " -> "), "")
 		return
 	}
 	switch {
-	case l.seen[name]:
+	case l.loaded[name]:
 		return
-	case len(l.seen) >= mostFiles || len(l.chain) >= mostIncludes:
-		l.find(at, "includes", fmt.Sprintf("more than %d files, or more than %d that include one another", mostFiles, mostIncludes), "")
+	case len(l.loaded) >= maxFiles || len(l.includeChain) >= maxIncludeDepth:
+		l.addFinding(loc, "includes", fmt.Sprintf("more than %d files, or more than %d that include one another", maxFiles, maxIncludeDepth), "")
 		return
 	}
-	l.seen[name] = true
+	l.loaded[name] = true
 	text, err := l.read(name)
 	if err != nil {
-		l.find(at, "include", "can't be read: "+err.Error(), "")
+		l.addFinding(loc, "include", "can't be read: "+err.Error(), "")
 		return
 	}
 	f, findings := opfile.Parse(name, text)
@@ -166,47 +165,47 @@
 		l.report.texts[name] = strings.Split(string(text), "\n")
 	}
 	for _, x := range findings {
-		l.find(place{x.Pos, x.Width}, x.Rule, x.Text, x.Accept)
+		l.addFinding(location{x.Pos, x.Width}, x.Rule, x.Text, x.Accept)
 	}
-	l.chain = append(l.chain, name)
-	defer func() { l.chain = l.chain[:len(l.chain)-1] }()
+	l.includeChain = append(l.includeChain, name)
+	defer func() { l.includeChain = l.includeChain[:len(l.includeChain)-1] }()
 	for _, s := range opfile.Statements(f.Lines) {
-		at := placeOf(s.Pos, s.Name)
+		loc := locationOf(s.Pos, s.Name)
 		switch s.Name {
 		case "include":
 			if len(s.Values) != 1 || s.Block != nil || s.Values[0].Const != "" {
-				l.find(at, "values", "include takes the path of one file", `include "other.hop"`)
+				l.addFinding(loc, "values", "include takes the path of one file", `include "other.hop"`)
 				continue
 			}
 			path := s.Values[0].Plain()
 			if !filepath.IsAbs(path) {
 				path = filepath.Join(filepath.Dir(name), path)
 			}
-			l.file(filepath.Clean(path), placeOf(s.Values[0].Pos, s.Values[0].String()))
+			l.loadFile(filepath.Clean(path), locationOf(s.Values[0].Pos, s.Values[0].String()))
 		case "const":
-			l.define(s, at)
+			l.defineConstant(s, loc)
 		default:
 			l.statements = append(l.statements, s)
 		}
 	}
 }
 
-// define takes a constant. Constants hold in all files, also in those before them.
-func (l *loader) define(s *opfile.Statement, at place) {
+// defineConstant records a constant. A constant is valid in all files, including those loaded before its definition.
+func (l *loader) defineConstant(s *opfile.Statement, loc location) {
 	if len(s.Values) < 2 || s.Block != nil || s.Values[0].Word == "" || !isName(s.Values[0].Word) {
-		l.find(at, "values", "const takes a name and its values", "const quick 40ms")
+		l.addFinding(loc, "values", "const takes a name and its values", "const quick 40ms")
 		return
 	}
 	name := s.Values[0].Word
-	at = placeOf(s.Values[0].Pos, name)
-	if before := l.constants[name]; before != nil {
-		l.find(at, "redefined", fmt.Sprintf("the constant %s is defined at %v already", name, before.at.pos), "another name")
+	loc = locationOf(s.Values[0].Pos, name)
+	if previous := l.constants[name]; previous != nil {
+		l.addFinding(loc, "redefined", fmt.Sprintf("the constant %s is defined at %v already", name, previous.loc.pos), "another name")
 		return
 	}
-	l.constants[name] = &constant{at: at, raw: s.Values[1:]}
+	l.constants[name] = &constant{loc: loc, raw: s.Values[1:]}
 }
 
-// isName tells whether a word can name something.
+// isName reports whether a word is a valid name.
 func isName(s string) bool {
 	for i, c := range []byte(s) {
 		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_'
@@ -217,48 +216,48 @@
 	return s != "" && len(s) <= 64
 }
 
-// constant finds out the values of a constant, which may name others.
-func (l *loader) constant(c *constant, use *opfile.Value) []value {
+// constantValues returns the values of a constant, whose definition may use other constants.
+func (l *loader) constantValues(c *constant, use *opfile.Value) []value {
 	switch {
-	case c.done:
-	case c.going:
-		l.find(placeOf(use.Pos, use.Const), "constant-cycle", use.Const+" is stated by itself", "")
+	case c.resolved:
+	case c.resolving:
+		l.addFinding(locationOf(use.Pos, use.Const), "constant-cycle", use.Const+" is defined in terms of itself", "")
 	default:
-		c.going = true
-		c.values = l.values(c.raw)
-		c.done, c.going = true, false
+		c.resolving = true
+		c.values = l.resolveValues(c.raw)
+		c.resolved, c.resolving = true, false
 	}
 	return c.values
 }
 
-// values puts the constants in.
-func (l *loader) values(raw []*opfile.Value) []value {
+// resolveValues replaces constants by their values.
+func (l *loader) resolveValues(raw []*opfile.Value) []value {
 	var all []value
 	for _, v := range raw {
-		at := placeOf(v.Pos, v.String())
+		loc := locationOf(v.Pos, v.String())
 		if v.Const == "" {
-			all = append(all, value{v.Plain(), v.Text != "", at, ""})
+			all = append(all, value{v.Plain(), v.Text != "", loc, ""})
 		} else if c := l.constants[v.Const[1:]]; c == nil {
-			l.find(at, "constant", "there is no constant "+v.Const[1:], "")
-			all = append(all, value{from: v.Const[1:], at: at}) // stands for what is missing
+			l.addFinding(loc, "constant", "there is no constant "+v.Const[1:], "")
+			all = append(all, value{constant: v.Const[1:], loc: loc}) // placeholder for the missing value
 		} else {
-			for _, x := range l.constant(c, v) {
-				all = append(all, value{x.text, x.quoted, at, v.Const[1:]})
+			for _, x := range l.constantValues(c, v) {
+				all = append(all, value{x.text, x.quoted, loc, v.Const[1:]})
 			}
 		}
-		if len(all) > mostValues {
-			l.find(at, "values", fmt.Sprintf("more than %d values", mostValues), "")
-			return all[:mostValues]
+		if len(all) > maxValues {
+			l.addFinding(loc, "values", fmt.Sprintf("more than %d values", maxValues), "")
+			return all[:maxValues]
 		}
 	}
 	return all
 }
 
-func (l *loader) resolve(s *opfile.Statement) *statement {
-	r := &statement{name: s.Name, at: placeOf(s.Pos, s.Name), values: l.values(s.Values), braces: s.Block != nil}
+func (l *loader) resolveStatement(s *opfile.Statement) *statement {
+	r := &statement{name: s.Name, loc: locationOf(s.Pos, s.Name), values: l.resolveValues(s.Values), hasBlock: s.Block != nil}
 	if s.Block != nil {
 		for _, inner := range opfile.Statements(s.Block.Lines) {
-			r.block = append(r.block, l.resolve(inner))
+			r.block = append(r.block, l.resolveStatement(inner))
 		}
 	}
 	return r
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,11 +1,9 @@
-// Package plan gives an operator's file its meaning: it loads the file with what it
-// includes, checks each value and the whole against the rules of the platform, and
-// compiles routes, pools and policies to a table that is looked up for each
-// invocation.
+// Package plan compiles an operator's file. It loads the file with its includes, checks each value and the complete
+// plan against the rules of the platform, and compiles routes, pools and policies to a table in which each request is
+// looked up.
 //
-// It does no I/O of its own: files are read by a function that it is given. A plan
-// that comes out of Load breaks no rule of the platform, and it only narrows what
-// the decision module may do.
+// The package does no I/O of its own: a function that its caller provides reads the files. A plan that Load returns
+// violates no rule of the platform, and it can only restrict what the decision module may do.
 package plan
 
 import (
@@ -18,27 +16,26 @@
 	"hoptiller/internal/unit"
 )
 
-// Platform is what a router is told by its platform, as far as files are checked
-// against it.
+// Platform holds the settings from the platform that files are checked against.
 type Platform struct {
 	Settings     hoptiller.Settings
 	Classes      []string // names, by number
 	Zones, Kinds []string // names, by number
 	MemoryMB     int64    // 0: no limit stated
-	Sockets      int      // descriptors; 0: no limit stated
+	Sockets      int      // file descriptors; 0: no limit stated
 }
 
-// Outcomes is a set of ways in which a call can end.
+// Outcomes is a set of outcomes of a call.
 type Outcomes uint16
 
-// Of makes a set of one.
+// Of returns the set of one outcome.
 func Of(s hoptiller.Status) Outcomes { return 1 << s }
 
-// Has tells whether an outcome is in the set.
+// Has reports whether an outcome is in the set.
 func (o Outcomes) Has(s hoptiller.Status) bool { return o&Of(s) != 0 }
 
-// outcomeNames are the names of the outcomes after which a call may be repeated. What a miss leads to
-// is no repeat, and what was given up by the router itself is the module's affair.
+// outcomeNames maps the outcomes after which a call may be retried to their names. The fetch that follows a miss is
+// not a retry, and the decision module handles attempts that the router itself has cancelled.
 var outcomeNames = []struct {
 	name   string
 	status hoptiller.Status
@@ -47,111 +44,112 @@
 	{"timeout", hoptiller.Timeout}, {"reset", hoptiller.Reset},
 }
 
-// AllOutcomes are all that a file can name. After those in NeverRan a call is sure not to have run.
+// AllOutcomes contains all outcomes that a file can name. NeverRan contains those after which a call has certainly
+// not run.
 const (
 	AllOutcomes = Outcomes(1<<hoptiller.Full | 1<<hoptiller.ConnectFailed | 1<<hoptiller.ServerError |
 		1<<hoptiller.Timeout | 1<<hoptiller.Reset)
 	NeverRan = Outcomes(1<<hoptiller.Full | 1<<hoptiller.ConnectFailed)
 )
 
-// Pool is a set of providers: those that fit all of what is stated.
+// Pool selects the cache servers that match all stated fields.
 type Pool struct {
-	Name     string
-	Zones    []int
-	Kinds    []int
-	Cells    []int
-	Addrs    []string // host:port
-	AtLeast  int      // providers below which the pool counts as empty
-	Fallback string   // name of the pool that stands in for an empty one; "": requests are refused
-	pos      places
+	Name      string
+	Zones     []int
+	Kinds     []int
+	Cells     []int
+	Addrs     []string // host:port
+	AtLeast   int      // the pool counts as empty if it has fewer cache servers
+	Fallback  string   // name of the pool that replaces an empty one; "": requests are refused
+	locations locationMap
 }
 
-// Concurrency bounds the invocations of a policy that are out at once.
+// Concurrency limits the number of requests of a policy that are in flight at once.
 type Concurrency struct {
 	Adaptive    bool
-	Least, Most int // a fixed limit has both the same; 0 for none
+	Least, Most int // bounds of the limit: equal for a fixed one, 0 for none
 }
 
-// Policy narrows what the module may do for an invocation. Zero values narrow nothing.
+// Policy restricts what the decision module may do for a request. Zero values restrict nothing.
 type Policy struct {
-	Name        string
-	Timeout     time.Duration // of one call
-	Attempts    int           // calls, the first one included, without fetches after a miss
-	Repeat      Outcomes      // after which another call may be made
-	RepeatSaid  bool          // Repeat is stated
-	Copies      int           // calls out at once
-	Budget      float64       // repeats for each invocation, as a part of one
-	BudgetLeast float64       // repeats a second that are allowed anyway
-	BudgetSaid  bool
-	Concurrency Concurrency
-	Queue       int           // invocations that may wait for one of the others to end
-	QueueFor    time.Duration // and how long
-	Rate        float64       // invocations a second; 0: no limit
-	Burst       float64       // and how many at once
-	Priority    int           // the lowest is shed first; 0 to 9
-	pos         places
-}
-
-// Route says which invocations get which pool and policy. Of the routes that fit,
-// the one with the highest rank is taken, then the one with the longest key prefix,
-// the longest client prefix, a tenant, and a class.
+	Name         string
+	Timeout      time.Duration // timeout of one call
+	Attempts     int           // number of calls, including the first, without fetches after a miss
+	Repeat       Outcomes      // outcomes after which a retry is allowed
+	RepeatStated bool          // the file states Repeat
+	Copies       int           // number of calls in flight at once
+	Budget       float64       // retries for each request, as a fraction
+	BudgetLeast  float64       // retries per second that are always allowed
+	BudgetSaid   bool          // the file states a budget
+	Concurrency  Concurrency
+	Queue        int           // number of requests that may wait for another one to end
+	QueueFor     time.Duration // longest wait in the queue
+	Rate         float64       // requests per second; 0: no limit
+	Burst        float64       // number of requests that may exceed the rate at once
+	Priority     int           // 0 to 9; the lowest priority is shed first
+	locations    locationMap
+}
+
+// Route assigns a pool and a policy to the requests that it matches. If several routes match, the order of precedence
+// is: the highest rank, the longest key prefix, the longest client prefix, a route with tenants, a route with
+// classes.
 type Route struct {
-	Name    string
-	Classes []int // none: all
-	Keys    []string
-	Tenants []string
-	Clients []netip.Prefix
-	Rank    int
-	Pool    *Pool   // nil: all providers
-	Policy  *Policy // nil: narrows nothing
-	pos     places
-}
-
-// Listener is a further address at which clients are served.
+	Name      string
+	Classes   []int // none: all
+	Keys      []string
+	Tenants   []string
+	Clients   []netip.Prefix
+	Rank      int
+	Pool      *Pool   // nil: all cache servers
+	Policy    *Policy // nil: no restrictions
+	locations locationMap
+}
+
+// Listener is an additional address at which clients are served.
 type Listener struct {
-	Name string
-	Addr string
-	pos  places
+	Name      string
+	Addr      string
+	locations locationMap
 }
 
-// Limits bound the whole program; 0 leaves what the platform's limits give.
+// Limits holds the limits of the whole program. 0 leaves a limit to the platform.
 type Limits struct {
 	Clients   int // client connections at once
-	Open      int // invocations at once beyond the first of each connection
+	Open      int // requests in flight at once, beyond the first of each connection
 	Providers int // connections to slot caches
 	Origin    int // connections to the origin
 	Places    int // connections that each core of a slot cache accepts from all routers
 
-	// All routes share this one, and what has a low priority makes room first.
+	// All routes share these limits. Requests of a low priority are shed first.
 	Concurrency Concurrency
 	Queue       int
 	QueueFor    time.Duration
-	pos         places
+	locations   locationMap
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
-	Level  string  // debug, info, warn or error
-	Format string  // text or json
-	Rate   float64 // records a second of one kind
-	pos    places
+	Level     string  // debug, info, warn or error
+	Format    string  // text or json
+	Rate      float64 // records per second of one kind
+	locations locationMap
 }
 
-// Fleet says what routers do together.
+// Fleet configures how the routers cooperate.
 type Fleet struct {
-	View    string // on or off; empty: as the platform's settings have it
-	Out     Bound  // how many routers may be out by agreement; the zero value: one
-	OutZone Bound  // and how many of a zone; the zero value: as many as of the fleet
+	View    string // on or off; empty: as the platform's settings state
+	Out     Bound  // how many routers may be out of service by permit; zero value: one
+	OutZone Bound  // how many routers of one zone may; zero value: as many as of the fleet
 
-	Caches     Bound // the same of slot caches
-	CachesZone Bound
-	pos        places
+	Caches     Bound // how many slot caches of the fleet may be out of service by permit
+	CachesZone Bound // how many slot caches of one zone may
+	locations  locationMap
 }
 
-// Bound is a number, or a part of a group.
+// Bound is a number of group members, or a fraction of the group.
 type Bound struct {
 	Number int
-	Part   float64 // of 1; 0: the number is meant
+	Part   float64 // 0: Number applies
 }
 
 func (b Bound) text(unstated string) string {
@@ -169,9 +167,9 @@
 	return strconv.Itoa(b.Number)
 }
 
-// Plan is the meaning of a file.
+// Plan is a compiled file.
 type Plan struct {
-	Routes    []*Route // in the order of their names
+	Routes    []*Route // sorted by name
 	Pools     map[string]*Pool
 	Policies  map[string]*Policy
 	Listeners map[string]*Listener
@@ -183,7 +181,7 @@
 	table    *Table
 }
 
-// Empty is the plan of a router without an operator's file.
+// Empty returns the plan of a router without an operator's file.
 func Empty(p *Platform) *Plan {
 	plan := newPlan(p)
 	plan.table = compile(plan)
@@ -195,23 +193,25 @@
 		Log: Log{Level: "info", Format: "text", Rate: 1}, platform: p}
 }
 
-// Table is what invocations are looked up in.
+// Table returns the table in which requests are looked up.
 func (p *Plan) Table() *Table { return p.table }
 
-// Platform is what the plan was checked against.
+// Platform returns the platform settings that the plan was checked against.
 func (p *Plan) Platform() *Platform { return p.platform }
 
-// places says where a thing is stated, and each of its figures.
-type places map[string]place
+// locationMap maps the names of statements to their locations. The empty name stands for the whole block.
+type locationMap map[string]location
 
-type place struct {
+// location is a range of characters in a file.
+type location struct {
 	pos   opfile.Pos
 	width int
 }
 
-func (p places) of(name string) place {
-	if at, ok := p[name]; ok {
-		return at
+// lookup returns the location of a statement, or that of the block if the statement is missing.
+func (m locationMap) lookup(name string) location {
+	if loc, ok := m[name]; ok {
+		return loc
 	}
-	return p[""]
+	return m[""]
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -15,8 +15,9 @@
 	"hoptiller/internal/opfile"
 )
 
-// platform is that of a booking site, with one class more, whose repeats are known within a zone alone.
-func platform() *Platform {
+// testPlatform returns the platform of a booking site, with one more class that recognises repeats only within a
+// zone.
+func testPlatform() *Platform {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	return &Platform{
 		Settings: hoptiller.Settings{MaxAttempts: 5, OriginKind: 2, RetryAfter: true, Classes: []hoptiller.Class{
@@ -30,10 +31,10 @@
 	}
 }
 
-func load(name string) (*Plan, *Report) { return Load(name, os.ReadFile, platform()) }
+func loadFile(name string) (*Plan, *Report) { return Load(name, os.ReadFile, testPlatform()) }
 
-// of loads files that are not there, the first one by name.
-func of(files ...string) (*Plan, *Report) {
+// loadTexts loads a plan from texts. The files are named "0", "1" and so on, and loading starts with the first.
+func loadTexts(files ...string) (*Plan, *Report) {
 	return Load("0", func(name string) ([]byte, error) {
 		for i, text := range files {
 			if fmt.Sprint(i) == name {
@@ -41,7 +42,7 @@
 			}
 		}
 		return nil, os.ErrNotExist
-	}, platform())
+	}, testPlatform())
 }
 
 func glob(t testing.TB, pattern string) []string {
@@ -52,7 +53,7 @@
 	return names
 }
 
-// Each bad file is refused for what its last line says, at that line, and for nothing else.
+// Each file in testdata/bad is refused with exactly the findings that its last line lists, by line and rule.
 func TestBadFiles(t *testing.T) {
 	names := glob(t, "testdata/bad/*.hop")
 	if len(names) < 60 {
@@ -64,7 +65,7 @@
 			t.Fatal(err)
 		}
 		want := strings.Fields(string(regexp.MustCompile(`# finds (.*)\n$`).FindSubmatch(text)[1]))
-		plan, report := load(name)
+		plan, report := loadFile(name)
 		var got []string
 		for _, f := range report.Findings {
 			got = append(got, fmt.Sprintf("%d:%s", f.Pos.Line, f.Rule))
@@ -76,10 +77,10 @@
 	}
 }
 
-// Good files are taken, and are in the one form already.
+// The good files load without findings and are already formatted.
 func TestGoodFiles(t *testing.T) {
 	for _, name := range append(glob(t, "testdata/good/*.hop"), glob(t, "testdata/parts/*s.hop")...) {
-		if _, report := load(name); report.Err() != nil {
+		if _, report := loadFile(name); report.Err() != nil {
 			t.Errorf("%s: %v", name, report)
 		}
 		text, _ := os.ReadFile(name)
@@ -89,9 +90,9 @@
 	}
 }
 
-// A finding shows its line with a marker, also behind tabs.
+// A finding shows its line with a marker at the right column, also after tabs.
 func TestReport(t *testing.T) {
-	_, report := of("policy p {\n\ttimeout 1s 500\n}\n")
+	_, report := loadTexts("policy p {\n\ttimeout 1s 500\n}\n")
 	want := "0:2:13: \"1s 500\" could mean more than one time: each part but one lacks a unit, or they are to be added (unit)\n" +
 		"    \ttimeout 1s 500\n    \t           ^~~\n    accepted: one number with one unit, such as 1500ms or 1.5s\n"
 	if got := report.String(); got != want {
@@ -100,7 +101,7 @@
 }
 
 func TestLookup(t *testing.T) {
-	plan, report := load("testdata/good/clinics.hop")
+	plan, report := loadFile("testdata/good/clinics.hop")
 	if plan == nil {
 		t.Fatal(report)
 	}
@@ -125,8 +126,8 @@
 		if e.Route == nil || e.Route.Name != c.want {
 			t.Errorf("%+v: %+v", c, e.Route)
 		}
-		if explained, fields, why := plan.Explain(c.class, c.key, c.tenant, netip.MustParseAddr(c.client)); explained != e || len(fields) == 0 || len(why) == 0 {
-			t.Errorf("explained as %+v: %v", explained, why)
+		if explained, fields, reasons := plan.Explain(c.class, c.key, c.tenant, netip.MustParseAddr(c.client)); explained != e || len(fields) == 0 || len(reasons) == 0 {
+			t.Errorf("explained as %+v: %v", explained, reasons)
 		}
 	}
 	e := plan.Table().Lookup(0, []byte("urgent:"), nil, netip.Addr{})
@@ -145,10 +146,11 @@
 	}
 }
 
-// How a file is written means nothing; each figure that does something is told, and where it comes from does not matter.
+// The way in which a file is written makes no difference. Each field with an effect that differs is reported,
+// wherever it is stated.
 func TestDiff(t *testing.T) {
 	base := "policy p {\n\ttimeout 1s\n}\npool q {\n\tzone regina\n}\nroute a {\n\tpolicy p\n\tpool q\n}\nroute b {\n\tclass book\n}\n"
-	a, report := of(base)
+	a, report := loadTexts(base)
 	if a == nil {
 		t.Fatal(report)
 	}
@@ -160,7 +162,7 @@
 		{strings.Replace(base, "zone regina", "zone winnipeg", 1), "~ pool q\n    zone: regina -> winnipeg\n~ route a\n    zone: regina -> winnipeg\n"},
 		{strings.Replace(base, "class book", "class cancel", 1) + "limits {\n\tclients 9\n}\n", "~ limits\n    clients: as the platform says -> 9\n~ route b\n    class: book -> cancel\n"},
 	} {
-		b, report := of(strings.Split(c.files, "|")...)
+		b, report := loadTexts(strings.Split(c.files, "|")...)
 		if b == nil {
 			t.Fatal(report)
 		}
@@ -172,38 +174,38 @@
 			t.Errorf("%s\nchanges:\n%s", c.files, &got)
 		}
 	}
-	b, _ := of("")
+	b, _ := loadTexts("")
 	if d := Diff(a, b); len(d) != 2 || !strings.HasPrefix(d[0].String(), "- route a\n    class: any\n") || !strings.HasPrefix(Diff(b, a)[0].String(), "+ route a\n") {
 		t.Errorf("%v", d)
 	}
 }
 
-// What is huge is refused in the end, and takes no more than its size.
-func TestMany(t *testing.T) {
+// Too many routes or includes are refused with a single finding.
+func TestTooManyRoutesOrIncludes(t *testing.T) {
 	var many strings.Builder
 	for i := range 4000 {
 		fmt.Fprintf(&many, "route r%d { key %q }\n", i, fmt.Sprint("k", i))
 	}
-	if _, report := of(many.String()); len(report.Findings) != 1 || report.Findings[0].Rule != "routes" {
+	if _, report := loadTexts(many.String()); len(report.Findings) != 1 || report.Findings[0].Rule != "routes" {
 		t.Errorf("%.300v", report.Findings)
 	}
 	files := []string{}
 	for i := range 100 {
 		files = append(files, fmt.Sprintf("include %d\n", i+1))
 	}
-	if _, report := of(files...); len(report.Findings) != 1 || report.Findings[0].Rule != "includes" {
+	if _, report := loadTexts(files...); len(report.Findings) != 1 || report.Findings[0].Rule != "includes" {
 		t.Errorf("%.300v", report.Findings)
 	}
 }
 
-// What a look-up costs, by the number of routes.
+// BenchmarkLookup measures a lookup by the number of routes.
 func BenchmarkLookup(b *testing.B) {
 	for _, n := range []int{1, 30, 1000} {
 		var many strings.Builder
 		for i := range n {
 			fmt.Fprintf(&many, "route r%d {\n\tkey \"k%d:\"\n\tclass slot-view\n}\n", i, i)
 		}
-		plan, report := of(many.String())
+		plan, report := loadTexts(many.String())
 		if plan == nil {
 			b.Fatal(report)
 		}
--- a/internal/plan/release_test.go
+++ b/internal/plan/release_test.go
@@ -43,17 +43,17 @@
 	if got := strings.Join(Command(r.Replace, 7, "h:1"), " "); got != "./replace.sh 7 new" {
 		t.Errorf("command %q", got)
 	}
-	var found Report
-	r.Find(&found, "wave", 0, "bounds", "too large")
-	r.Find(&found, "", 1, "router", "not there")
-	if found.Findings[0].Pos.Line != 7 || found.Findings[1].Pos.Line != 13 {
-		t.Errorf("found at %v and %v", found.Findings[0].Pos, found.Findings[1].Pos)
+	var fleetReport Report
+	r.Find(&fleetReport, "wave", 0, "bounds", "too large")
+	r.Find(&fleetReport, "", 1, "router", "not there")
+	if fleetReport.Findings[0].Pos.Line != 7 || fleetReport.Findings[1].Pos.Line != 13 {
+		t.Errorf("found at %v and %v", fleetReport.Findings[0].Pos, fleetReport.Findings[1].Pos)
 	}
 }
 
-// What can't be is told with line and rule.
-func TestBadRelease(t *testing.T) {
-	for was, c := range map[string][3]string{
+// Each invalid plan is refused with a finding that names the line and the fault.
+func TestInvalidRelease(t *testing.T) {
+	for original, c := range map[string][3]string{
 		"settings 4fc80064":            {"settings new", "plan.hop:2", "figure"},
 		"\tsettings 4fc80064\n":        {"", "plan.hop:1", "what changed routers show"},
 		"canary 2":                     {"canary 0", "plan.hop:6", "range"},
@@ -67,10 +67,10 @@
 		"soak 10s":                     {"soak 10", "plan.hop:9", "unit"},
 		"release lists-2 {\n\tsetting": {"release a-name-that-is-longer-than-it-may-be {\n\tsetting", "plan.hop:1", "24 at the most"},
 	} {
-		if !strings.Contains(goodRelease, was) {
-			t.Fatalf("%q is not in the plan", was)
+		if !strings.Contains(goodRelease, original) {
+			t.Fatalf("%q is not in the plan", original)
 		}
-		r, report := loadRelease(strings.Replace(goodRelease, was, c[0], 1))
+		r, report := loadRelease(strings.Replace(goodRelease, original, c[0], 1))
 		if r != nil || !strings.Contains(report.String(), c[1]) || !strings.Contains(report.String(), c[2]) {
 			t.Errorf("%q: %v", c[0], report)
 		}
--- a/internal/plan/table.go
+++ b/internal/plan/table.go
@@ -8,45 +8,47 @@
 	"time"
 )
 
-// Entry is what an invocation gets.
+// Entry is the result of looking up a request.
 type Entry struct {
-	Route  *Route // nil where none fits
-	Pool   *Pool  // nil: all providers
-	Policy Policy // with what the settings say where the file says nothing
+	Route  *Route // nil: no route matches
+	Pool   *Pool  // nil: all cache servers
+	Policy Policy // the policy, completed from the settings
 	Class  int
 }
 
-// Table finds the entry of an invocation. It is never changed once it is made.
+// Table maps requests to entries. It is immutable.
 type Table struct {
 	classes []classTable
 }
 
+// classTable holds the entries for one class.
 type classTable struct {
-	levels []level // those that go before others first
-	none   *Entry
+	levels []level // in order of precedence, the highest first
+	none   *Entry  // for requests that no route matches
 }
 
-// level has the routes of one rank whose key prefix has one length.
+// level holds the routes of one rank whose key prefixes have the same length.
 type level struct {
 	rank, length int
 	byKey        map[string][]target
 }
 
+// target is a matcher with the entry for the requests that it matches.
 type target struct {
-	rule
+	matcher
 	entry *Entry
 }
 
-// rule is one combination of key prefix and client prefix of a route.
-type rule struct {
+// matcher is one combination of key prefix and client prefix of a route.
+type matcher struct {
 	route  *Route
 	key    string
-	client netip.Prefix // not valid: all
+	client netip.Prefix // invalid: all clients
 }
 
-// rules gives all combinations of all routes.
-func (p *Plan) rules() []rule {
-	var all []rule
+// matchers returns all combinations of all routes. It stops after maxMatchers + 1 of them.
+func (p *Plan) matchers() []matcher {
+	var all []matcher
 	for _, r := range p.Routes {
 		keys, clients := r.Keys, r.Clients
 		if len(keys) == 0 {
@@ -57,7 +59,7 @@
 		}
 		for _, key := range keys {
 			for _, client := range clients {
-				if all = append(all, rule{r, key, client}); len(all) > mostRules {
+				if all = append(all, matcher{r, key, client}); len(all) > maxMatchers {
 					return all
 				}
 			}
@@ -66,20 +68,20 @@
 	return all
 }
 
-// compare is above 0 where a goes before b, and 0 where neither does.
-func (a *rule) compare(b *rule) int {
-	named := func(r *rule, list int) int { return min(1, list) }
+// compare returns a positive number if a takes precedence over b, a negative one if b does, and 0 if neither does.
+func (a *matcher) compare(b *matcher) int {
+	isRestricted := func(r *matcher, count int) int { return min(1, count) }
 	return cmp.Or(
 		cmp.Compare(a.route.Rank, b.route.Rank),
 		cmp.Compare(len(a.key), len(b.key)),
-		cmp.Compare(a.client.Bits(), b.client.Bits()), // -1 where there is none
-		cmp.Compare(named(a, len(a.route.Tenants)), named(b, len(b.route.Tenants))),
-		cmp.Compare(named(a, len(a.route.Classes)), named(b, len(b.route.Classes))),
+		cmp.Compare(a.client.Bits(), b.client.Bits()), // -1 without a client prefix
+		cmp.Compare(isRestricted(a, len(a.route.Tenants)), isRestricted(b, len(b.route.Tenants))),
+		cmp.Compare(isRestricted(a, len(a.route.Classes)), isRestricted(b, len(b.route.Classes))),
 	)
 }
 
-// covers tells whether a fits all requests of a class and a tenant ("" for all tenants) that b fits.
-func (a *rule) covers(b *rule, class int, tenant string) bool {
+// covers reports whether a matches all requests of a class and a tenant ("" for all tenants) that b matches.
+func (a *matcher) covers(b *matcher, class int, tenant string) bool {
 	if len(a.route.Classes) > 0 && !slices.Contains(a.route.Classes, class) {
 		return false
 	}
@@ -92,11 +94,11 @@
 	return !a.client.IsValid() || b.client.IsValid() && a.client.Bits() <= b.client.Bits() && a.client.Contains(b.client.Addr())
 }
 
-// compile makes the table of a plan that has been checked.
+// compile builds the table of a plan that has been checked.
 func compile(p *Plan) *Table {
 	t := &Table{classes: make([]classTable, max(1, len(p.platform.Classes)))}
-	all := p.rules()
-	slices.SortStableFunc(all, func(a, b rule) int { return b.compare(&a) })
+	all := p.matchers()
+	slices.SortStableFunc(all, func(a, b matcher) int { return b.compare(&a) })
 	for class := range t.classes {
 		ct := &t.classes[class]
 		ct.none = &Entry{Class: class, Policy: p.effective(nil, class)}
@@ -120,25 +122,25 @@
 	return t
 }
 
-// effective fills in what a policy leaves to the settings.
-func (p *Plan) effective(of *Policy, class int) Policy {
+// effective returns a policy whose unstated fields are filled in from the settings.
+func (p *Plan) effective(policy *Policy, class int) Policy {
 	var e Policy
-	if of != nil {
-		e = *of
+	if policy != nil {
+		e = *policy
 	}
 	set := &p.platform.Settings
-	patience := time.Duration(0)
+	deadline := time.Duration(0)
 	if class < len(set.Classes) {
-		patience = set.Classes[class].Deadline
+		deadline = set.Classes[class].Deadline
 	}
 	if e.Timeout == 0 {
-		e.Timeout = patience
+		e.Timeout = deadline
 	}
 	if e.Attempts == 0 {
 		e.Attempts = set.MaxAttempts
 	}
-	if !e.RepeatSaid {
-		e.Repeat = AllOutcomes // as far as the module does
+	if !e.RepeatStated {
+		e.Repeat = AllOutcomes // the decision module still decides which of them it retries
 	}
 	if e.Copies == 0 {
 		e.Copies = 1
@@ -146,11 +148,11 @@
 			e.Copies = 2
 		}
 	}
-	e.Name, e.pos = "", nil
+	e.Name, e.locations = "", nil
 	return e
 }
 
-// Entries gives each entry once.
+// Entries returns each entry once.
 func (t *Table) Entries() []*Entry {
 	var all []*Entry
 	seen := map[*Entry]bool{}
@@ -170,8 +172,8 @@
 	return all
 }
 
-// Lookup finds the entry for a class, a key, a tenant and a client's address. It
-// allocates nothing. A class that there is not gets the entry of the first.
+// Lookup returns the entry for a class, a key, a tenant and a client's address. It does not allocate memory. An
+// unknown class gets the entry of the first class.
 func (t *Table) Lookup(class int, key, tenant []byte, client netip.Addr) *Entry {
 	if class < 0 || class >= len(t.classes) {
 		class = 0
@@ -184,7 +186,7 @@
 		}
 		targets := l.byKey[string(key[:l.length])]
 		for j := range targets {
-			if targets[j].fits(tenant, client) {
+			if targets[j].matches(tenant, client) {
 				return targets[j].entry
 			}
 		}
@@ -192,7 +194,8 @@
 	return ct.none
 }
 
-func (a *rule) fits(tenant []byte, client netip.Addr) bool {
+// matches reports whether a tenant and a client satisfy the route and the client prefix.
+func (a *matcher) matches(tenant []byte, client netip.Addr) bool {
 	if a.client.IsValid() && !a.client.Contains(client) {
 		return false
 	}
