--- a/internal/opfile/format.go
+++ b/internal/opfile/format.go
@@ -2,10 +2,9 @@
 
 import "strings"
 
-// Format writes a file in the one form that all files should have: a tab for each
-// block, one space between values, a statement a line, no more than one empty line
-// at a time. Words, strings and comments stay as they were. What it has written it
-// would write again.
+// Format returns the file in canonical form: a tab for each block level, one space between values, one statement per
+// line, and at most one empty line in a row. Words, strings and comments are unchanged. Formatting the result again
+// changes nothing.
 func (f *File) Format() []byte {
 	var b strings.Builder
 	writeLines(&b, f.Lines, 0)
@@ -13,27 +12,28 @@
 }
 
 func writeLines(b *strings.Builder, lines []*Line, depth int) {
-	var empty, ended, any bool // an empty line is due; the last line has been ended; something is written
-	begin := func() {
-		if empty && any {
+	// An empty line goes before the next line; the previous line has ended; the block is not empty.
+	var emptyLineDue, lastLineEnded, written bool
+	startLine := func() {
+		if emptyLineDue && written {
 			b.WriteByte('\n')
 		}
 		b.WriteString(strings.Repeat("\t", depth))
-		empty, ended, any = false, false, true
+		emptyLineDue, lastLineEnded, written = false, false, true
 	}
 	for _, l := range lines {
 		switch {
 		case l.Statement != nil:
-			begin()
+			startLine()
 			l.Statement.write(b, depth)
 		case l.Comment != "":
-			begin()
+			startLine()
 			b.WriteString(trimComment(l.Comment))
 			b.WriteByte('\n')
-		case ended || !any:
-			empty = true
+		case lastLineEnded || !written:
+			emptyLineDue = true
 		default:
-			ended = true
+			lastLineEnded = true
 		}
 	}
 }
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -1,8 +1,7 @@
-// Package opfile reads and writes the text of an operator's file: words, strings,
-// blocks and comments, each with its place. It knows the form and no meaning; what
-// a statement may say is the affair of package plan.
+// Package opfile reads and writes the syntax of an operator's file: words, strings, blocks and comments, each with
+// its position. It does not interpret statements; package plan does.
 //
-// It does no I/O, and neither time nor memory grows faster than the text.
+// The package does no I/O. Time and memory grow linearly with the size of the text.
 package opfile
 
 import (
@@ -20,39 +19,39 @@
 )
 
 const (
-	// MostBytes is the size of the largest file that is read.
+	// MostBytes is the maximum size of a file, in bytes.
 	MostBytes = 1 << 20
-	// MaxDepth is how deep blocks may stand in one another. The language needs
-	// two; the parser calls itself for each.
+	// MaxDepth is the maximum nesting depth of blocks. The language needs two levels, and the parser recurses once
+	// for each level.
 	MaxDepth = 8
-	// MostFindings is how many things wrong with a form are told of one file.
-	MostFindings = 100
+	// MaxFindings is the maximum number of syntax findings for one file.
+	MaxFindings = 100
 )
 
-// Pos is a place in a file. Line and Column count from 1, columns in characters.
+// Pos is a position in a file. Line and Column count from 1, columns in characters.
 type Pos struct {
 	File         string
 	Line, Column int
 }
 
-// String says file:line:column.
+// String returns the position as file:line:column.
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
 
-// Compare orders places by file, line and column.
+// Compare orders positions by file, line and column.
 func (p Pos) Compare(q Pos) int {
 	return cmp.Or(cmp.Compare(p.File, q.File), cmp.Compare(p.Line, q.Line), cmp.Compare(p.Column, q.Column))
 }
 
-// Finding is one thing wrong with a file.
+// Finding describes one fault in a file.
 type Finding struct {
 	Pos    Pos
-	Width  int    // characters that it concerns; 0 where it has no place in the text
-	Rule   string // name of the rule that is broken, the same in each version of the program
-	Text   string // what is wrong
-	Accept string // what would be accepted
+	Width  int    // number of characters that it concerns; 0 if it has no place in the text
+	Rule   string // name of the violated rule, stable across versions of the program
+	Text   string // description of the fault
+	Accept string // what is accepted instead
 }
 
-// Error says it in one line.
+// Error returns the finding in one line.
 func (f *Finding) Error() string {
 	text := fmt.Sprintf("%v: %s (%s)", f.Pos, f.Text, f.Rule)
 	if f.Accept != "" {
@@ -61,57 +60,57 @@
 	return text
 }
 
-// File is the form of one file.
+// File is the syntax tree of one file.
 type File struct {
 	Name  string
 	Lines []*Line
 }
 
-// Line is a statement, a comment that stands alone, or the end of a line.
+// Line is a statement, a comment on a line of its own, or the end of a line.
 type Line struct {
 	End       bool       `parser:"(  @Newline"`
 	Comment   string     `parser:" | @Comment"`
 	Statement *Statement `parser:" | @@ )"`
 }
 
-// Statement is a name, its values and its block.
+// Statement is a name with its values, and possibly a block.
 type Statement struct {
 	Pos    lexer.Position
 	Name   string   `parser:"@Word"`
 	Values []*Value `parser:"@@*"`
 	Block  *Block   `parser:"@@?"`
-	Note   string   `parser:"@Comment?"` // the comment behind it
+	Note   string   `parser:"@Comment?"` // the comment after it on the same line
 }
 
-// Value is one value as it is written.
+// Value is one value in its source form. Exactly one of Word, Text and Const is set.
 type Value struct {
 	Pos   lexer.Position
 	Word  string `parser:"  @Word"`
-	Text  string `parser:"| @String"` // with its quotes
-	Const string `parser:"| @Const"`  // with its dollar sign
+	Text  string `parser:"| @String"` // including its quotes
+	Const string `parser:"| @Const"`  // including its dollar sign
 }
 
-// Block is what stands between braces.
+// Block is the text between braces.
 type Block struct {
 	Lines []*Line `parser:"Open @@* Close"`
 }
 
-// String is the value as it is written.
+// String returns the value in its source form.
 func (v *Value) String() string { return v.Word + v.Text + v.Const }
 
-// Plain is what the value says: a word as it is, a string without its quotes.
+// Plain returns the content of the value: a word as it is, a string without its quotes.
 func (v *Value) Plain() string {
 	if v.Text == "" {
 		return v.String()
 	}
 	text, err := strconv.Unquote(v.Text)
 	if err != nil {
-		return v.Text // the form has been checked: not reached from Parse
+		return v.Text // unreachable: Parse has checked the escapes
 	}
 	return text
 }
 
-// Statements gives the statements among some lines.
+// Statements returns the statements among lines.
 func Statements(lines []*Line) []*Statement {
 	var s []*Statement
 	for _, l := range lines {
@@ -122,9 +121,9 @@
 	return s
 }
 
-// tokens is the form of the words. Bad comes last and takes what is left, so that all that is wrong is found
-// and not the first of it alone.
-var tokens = lexer.MustSimple([]lexer.SimpleRule{
+// lexerDefinition defines the tokens. Bad comes last and matches any remaining character, so that every fault in a
+// text is found and not only the first.
+var lexerDefinition = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Newline", Pattern: `\n`},
 	{Name: "Space", Pattern: `[ \t\r]+`},
 	{Name: "Comment", Pattern: `#[^\n]*`},
@@ -136,47 +135,47 @@
 	{Name: "Bad", Pattern: `(?s:.)`},
 })
 
-// The kinds of word, by their numbers.
+// Token types of the lexer.
 var (
-	symbols = tokens.Symbols()
-	newline = symbols["Newline"]
-	space   = symbols["Space"]
-	text    = symbols["String"]
-	opening = symbols["Open"]
-	closing = symbols["Close"]
-	bad     = symbols["Bad"]
+	tokenTypes  = lexerDefinition.Symbols()
+	newlineType = tokenTypes["Newline"]
+	spaceType   = tokenTypes["Space"]
+	stringType  = tokenTypes["String"]
+	openType    = tokenTypes["Open"]
+	closeType   = tokenTypes["Close"]
+	badType     = tokenTypes["Bad"]
 )
 
-// grammar is built when the first file is read: a router without one should not hold it.
+// grammar builds the parser when the first file is read, so that a router without a file does not hold it in memory.
 var grammar = sync.OnceValue(func() *participle.Parser[chunk] {
-	return participle.MustBuild[chunk](participle.Lexer(tokens), participle.Elide("Space"))
+	return participle.MustBuild[chunk](participle.Lexer(lexerDefinition), participle.Elide("Space"))
 })
 
-// Grammar is the grammar that the parser is built from, in EBNF.
+// Grammar returns the grammar of the parser in EBNF.
 func Grammar() string { return grammar().String() }
 
-// chunk is what stands between two ends of lines outside all blocks. Each is parsed by itself, so that an error
-// in one does not hide those in the others.
+// chunk is the text between two line ends outside all blocks. Each chunk is parsed separately, so that an error in
+// one does not hide errors in the others.
 type chunk struct {
 	Lines []*Line `parser:"@@*"`
 }
 
-// Parse reads the form of a file. What could not be read is told by the findings, in the order of the text; the
-// file then has what could.
+// Parse parses a file. The findings, in the order of the text, describe what could not be parsed; the file contains
+// the rest.
 func Parse(name string, b []byte) (*File, []*Finding) {
 	f := &File{Name: name}
 	if len(b) > MostBytes {
 		return f, []*Finding{{Pos: Pos{name, 1, 1}, Rule: "file-size", Accept: fmt.Sprintf("%d bytes at the most", MostBytes),
 			Text: fmt.Sprintf("the file has %d bytes", len(b))}}
 	}
-	if at := invalid(b); at >= 0 {
-		head := string(b[:at])
+	if offset := invalidUTF8(b); offset >= 0 {
+		head := string(b[:offset])
 		line := strings.Count(head, "\n") + 1
 		column := utf8.RuneCountInString(head[strings.LastIndexByte(head, '\n')+1:]) + 1
-		return f, []*Finding{{Pos: Pos{name, line, column}, Rule: "encoding", Text: "a byte that is no UTF-8", Accept: "UTF-8"}}
+		return f, []*Finding{{Pos: Pos{name, line, column}, Rule: "encoding", Text: "a byte that is not valid UTF-8", Accept: "UTF-8"}}
 	}
-	lx, err := tokens.LexString(name, string(b))
-	if err != nil { // not reached: a string can be lexed
+	lx, err := lexerDefinition.LexString(name, string(b))
+	if err != nil { // unreachable: lexing a string does not fail
 		return f, []*Finding{{Pos: Pos{name, 1, 1}, Rule: "form", Text: err.Error()}}
 	}
 	p := &parser{file: f}
@@ -185,8 +184,8 @@
 	return f, p.findings
 }
 
-// invalid is where the first byte stands that is no UTF-8, or -1.
-func invalid(b []byte) int {
+// invalidUTF8 returns the offset of the first byte that is not valid UTF-8, or -1.
+func invalidUTF8(b []byte) int {
 	for i := 0; i < len(b); {
 		r, n := utf8.DecodeRune(b[i:])
 		if r == utf8.RuneError && n == 1 {
@@ -197,91 +196,92 @@
 	return -1
 }
 
+// parser splits the tokens of a file into chunks and parses them.
 type parser struct {
 	file     *File
 	findings []*Finding
-	chunk    []lexer.Token
-	broken   bool // the chunk has a fault that is told already
+	pending  []lexer.Token // tokens of the current chunk
+	broken   bool          // a fault of the pending chunk has been reported
 }
 
-func (p *parser) find(t lexer.Token, width int, rule, what, accept string) {
+func (p *parser) addFinding(t lexer.Token, width int, rule, what, accept string) {
 	p.broken = true
-	if len(p.findings) < MostFindings {
+	if len(p.findings) < MaxFindings {
 		p.findings = append(p.findings, &Finding{PosOf(t.Pos), width, rule, what, accept})
 	}
 }
 
-// Place is a position of the lexer's.
+// PosOf converts a position of the lexer.
 func PosOf(p lexer.Position) Pos { return Pos{p.Filename, p.Line, p.Column} }
 
-// read takes token by token, and has each chunk parsed as it ends.
+// read reads all tokens and parses each chunk at its end.
 func (p *parser) read(lx lexer.Lexer) {
 	var open []lexer.Token
-	deep := false
+	depthReported := false
 	for {
 		t, err := lx.Next()
 		if err != nil {
-			p.find(lexer.Token{Pos: lexer.Position{Filename: p.file.Name, Line: 1, Column: 1}}, 0, "form", err.Error(), "")
+			p.addFinding(lexer.Token{Pos: lexer.Position{Filename: p.file.Name, Line: 1, Column: 1}}, 0, "form", err.Error(), "")
 			return
 		}
 		switch t.Type {
-		case space:
+		case spaceType:
 			continue
 		case lexer.EOF:
 			for _, o := range open[:min(len(open), MaxDepth)] {
-				p.find(o, 1, "brace", "this block has no end", "} behind its last statement")
+				p.addFinding(o, 1, "brace", "this block has no end", "} behind its last statement")
 			}
-			p.parse(t)
+			p.parseChunk(t)
 			return
-		case bad:
-			p.bad(t)
+		case badType:
+			p.reportBad(t)
 			continue
-		case text:
+		case stringType:
 			if _, err := strconv.Unquote(t.Value); err != nil {
-				p.find(t, utf8.RuneCountInString(t.Value), "string", "a string with an escape that there is not", `\\, \", \n, \t`)
+				p.addFinding(t, utf8.RuneCountInString(t.Value), "string", "a string with an unknown escape", `\\, \", \n, \t`)
 			}
-		case opening:
-			if open = append(open, t); len(open) > MaxDepth && !deep {
-				p.find(t, 1, "depth", fmt.Sprintf("blocks stand more than %d deep in one another", MaxDepth), "")
-				deep = true // once is enough
+		case openType:
+			if open = append(open, t); len(open) > MaxDepth && !depthReported {
+				p.addFinding(t, 1, "depth", fmt.Sprintf("blocks are nested more than %d deep", MaxDepth), "")
+				depthReported = true // one finding is enough
 			}
-		case closing:
+		case closeType:
 			if len(open) == 0 {
-				p.find(t, 1, "brace", "a } that ends no block", "")
+				p.addFinding(t, 1, "brace", "a } without an open block", "")
 				continue
 			}
 			open = open[:len(open)-1]
 		}
-		if p.chunk = append(p.chunk, t); t.Type == newline && len(open) == 0 {
-			p.parse(lexer.EOFToken(t.Pos))
+		if p.pending = append(p.pending, t); t.Type == newlineType && len(open) == 0 {
+			p.parseChunk(lexer.EOFToken(t.Pos))
 		}
 	}
 }
 
-// bad tells what is wrong with a character that begins nothing.
-func (p *parser) bad(t lexer.Token) {
+// reportBad adds a finding for a character that starts no token.
+func (p *parser) reportBad(t lexer.Token) {
 	switch t.Value {
 	case `"`:
-		p.find(t, 1, "string", "a string has no end in its line", `a " at its end`)
+		p.addFinding(t, 1, "string", "a string does not end in its line", `a " at its end`)
 	case "$":
-		p.find(t, 1, "name", "a $ without the name of a constant", "$name")
+		p.addFinding(t, 1, "name", "a $ without the name of a constant", "$name")
 	default:
-		p.find(t, 1, "character", fmt.Sprintf("%q can't be part of a word", t.Value), "")
+		p.addFinding(t, 1, "character", fmt.Sprintf("%q can't be part of a word", t.Value), "")
 	}
 }
 
-// parse parses the chunk, unless it is known to be broken.
-func (p *parser) parse(end lexer.Token) {
-	part, broken := p.chunk, p.broken
-	p.chunk, p.broken = nil, false
-	if broken || len(part) == 0 {
+// parseChunk parses the pending chunk, unless a fault in it has already been reported.
+func (p *parser) parseChunk(end lexer.Token) {
+	chunkTokens, broken := p.pending, p.broken
+	p.pending, p.broken = nil, false
+	if broken || len(chunkTokens) == 0 {
 		return
 	}
-	if len(part) == 1 && part[0].Type == newline {
+	if len(chunkTokens) == 1 && chunkTokens[0].Type == newlineType {
 		p.file.Lines = append(p.file.Lines, &Line{End: true})
 		return
 	}
-	peeking, err := lexer.Upgrade(&replay{tokens: part, end: end}, space)
+	peeking, err := lexer.Upgrade(&replayLexer{tokens: chunkTokens, end: end}, spaceType)
 	if err == nil {
 		var c *chunk
 		if c, err = grammar().ParseFromLexer(peeking); err == nil {
@@ -289,29 +289,29 @@
 			return
 		}
 	}
-	t, what := part[0], err.Error()
-	if told := participle.Error(nil); errors.As(err, &told) {
-		t.Pos, what = told.Position(), told.Message()
+	t, what := chunkTokens[0], err.Error()
+	if parseErr := participle.Error(nil); errors.As(err, &parseErr) {
+		t.Pos, what = parseErr.Position(), parseErr.Message()
 	}
-	at := slices.IndexFunc(part, func(c lexer.Token) bool { return c.Pos == t.Pos })
-	if at >= 0 && (part[at].Type == text || part[at].Type == opening || strings.HasPrefix(part[at].Value, "$")) {
-		what = fmt.Sprintf("%s stands where the name of a statement is due", part[at].Value)
+	index := slices.IndexFunc(chunkTokens, func(c lexer.Token) bool { return c.Pos == t.Pos })
+	if index >= 0 && (chunkTokens[index].Type == stringType || chunkTokens[index].Type == openType || strings.HasPrefix(chunkTokens[index].Value, "$")) {
+		what = fmt.Sprintf("%s instead of the name of a statement", chunkTokens[index].Value)
 	}
 	width := 1
-	if at >= 0 {
-		width = utf8.RuneCountInString(part[at].Value)
+	if index >= 0 {
+		width = utf8.RuneCountInString(chunkTokens[index].Value)
 	}
-	p.find(t, width, "form", what, "name value ... { statements }")
+	p.addFinding(t, width, "form", what, "name value ... { statements }")
 	p.broken = false
 }
 
-// replay gives out tokens that were read before.
-type replay struct {
+// replayLexer is a lexer that returns tokens that were read before.
+type replayLexer struct {
 	tokens []lexer.Token
 	end    lexer.Token
 }
 
-func (r *replay) Next() (lexer.Token, error) {
+func (r *replayLexer) Next() (lexer.Token, error) {
 	if len(r.tokens) == 0 {
 		return r.end, nil
 	}
--- a/internal/opfile/opfile_test.go
+++ b/internal/opfile/opfile_test.go
@@ -14,29 +14,30 @@
 	_ "hoptiller/internal/draws"
 )
 
-// same tells that two files say the same words in the same order, whatever stands between them.
-func same(a, b []*Line) bool {
-	x, y := words(nil, a), words(nil, b)
+// sameContent reports whether two files contain the same words in the same order, regardless of white space.
+func sameContent(a, b []*Line) bool {
+	x, y := contentWords(nil, a), contentWords(nil, b)
 	return fmt.Sprint(x) == fmt.Sprint(y)
 }
 
-func words(w []string, lines []*Line) []string {
+// contentWords appends the words and comments of lines to list.
+func contentWords(list []string, lines []*Line) []string {
 	for _, l := range lines {
 		if l.Comment != "" {
-			w = append(w, trimComment(l.Comment))
+			list = append(list, trimComment(l.Comment))
 		}
 		if s := l.Statement; s != nil {
-			w = append(w, "statement", s.Name)
+			list = append(list, "statement", s.Name)
 			for _, v := range s.Values {
-				w = append(w, v.String())
+				list = append(list, v.String())
 			}
 			if s.Block != nil {
-				w = append(words(append(w, "{"), s.Block.Lines), "}")
+				list = append(contentWords(append(list, "{"), s.Block.Lines), "}")
 			}
-			w = append(w, trimComment(s.Note))
+			list = append(list, trimComment(s.Note))
 		}
 	}
-	return w
+	return list
 }
 
 func TestFormat(t *testing.T) {
@@ -48,7 +49,7 @@
 	}
 }
 
-// Each chunk is read by itself: what is wrong in one hides nothing in the others, and what is right is kept.
+// Each chunk is parsed separately: a fault in one hides nothing in the others, and the valid statements are kept.
 func TestFindings(t *testing.T) {
 	in := "a \"x\nb $ 1\npool x {\n \"y\"\n}\ngood 1\n} c\nd \"\\q\"\ne {\nf \x01\n"
 	f, findings := Parse("f", []byte(in))
@@ -65,8 +66,8 @@
 	}
 }
 
-// What is huge or deep is refused in little time, and takes no deep stack.
-func TestBounds(t *testing.T) {
+// Large or deeply nested texts are refused quickly and without deep recursion.
+func TestBoundedFindings(t *testing.T) {
 	for name, text := range map[string]string{
 		"file-size": strings.Repeat("a b\n", 10<<20/4),
 		"depth":     strings.Repeat("a {", 100_000) + strings.Repeat("}", 100_000),
@@ -74,15 +75,15 @@
 		"string":    strings.Repeat("\"\n", 100_000),
 	} {
 		_, findings := Parse("f", []byte(text))
-		if len(findings) == 0 || len(findings) > MostFindings || findings[0].Rule != name {
+		if len(findings) == 0 || len(findings) > MaxFindings || findings[0].Rule != name {
 			t.Errorf("%s: %d findings, %.200v", name, len(findings), findings)
 		}
 	}
 }
 
-// The memory for a file grows with its size, and not with its square; so does the time, which is not measured
-// here, since it is not the same each time.
-func TestLinear(t *testing.T) {
+// The memory for parsing a file grows linearly with its size and not quadratically. The same holds for the time,
+// which this test does not measure because it varies between runs.
+func TestLinearMemory(t *testing.T) {
 	bytesFor := func(n int) float64 {
 		text := bytes.Repeat([]byte("route x { class book # y\n}\n"), n)
 		var before, after runtime.MemStats
@@ -95,30 +96,30 @@
 	}
 	bytesFor(10)
 	if small, large := bytesFor(500), bytesFor(8000); large > 16*1.5*small {
-		t.Errorf("16 times the text took %.0f bytes instead of %.0f", large, small)
+		t.Errorf("16 times the text took %.0f bytes, compared with %.0f", large, small)
 	}
 }
 
-// Whatever is written by Format says what was read, and Format leaves it as it is.
-func TestFormatMeansTheSame(t *testing.T) {
+// The formatted text contains what was parsed, and formatting it again changes nothing.
+func TestFormatKeepsMeaning(t *testing.T) {
 	piece := rapid.SampledFrom([]string{"a", "1s", "\"x y\"", "$c", " ", "\t", "\n", "\n\n", "{", "}", "# c\n", "#", "{\n", "}\n", "é"})
 	rapid.Check(t, func(t *rapid.T) {
-		check(t, []byte(strings.Join(rapid.SliceOfN(piece, 0, 40).Draw(t, "text"), "")))
+		checkFormat(t, []byte(strings.Join(rapid.SliceOfN(piece, 0, 40).Draw(t, "text"), "")))
 	})
 }
 
-func check(t interface{ Fatalf(string, ...any) }, in []byte) {
+func checkFormat(t interface{ Fatalf(string, ...any) }, in []byte) {
 	f, findings := Parse("f", in)
 	if len(findings) > 0 {
 		return
 	}
 	out := f.Format()
 	g, findings := Parse("f", out)
-	if len(findings) > 0 || !same(f.Lines, g.Lines) {
+	if len(findings) > 0 || !sameContent(f.Lines, g.Lines) {
 		t.Fatalf("%q became %q: %v", in, out, findings)
 	}
 	if again := g.Format(); !bytes.Equal(out, again) {
-		t.Fatalf("%q was written as %q, and that as %q", in, out, again)
+		t.Fatalf("%q was formatted as %q, and that as %q", in, out, again)
 	}
 }
 
@@ -135,11 +136,11 @@
 		f.Add(b)
 	}
 	f.Add([]byte("a \"b\" $c { d # e\n} \"\\x\" \x00"))
-	f.Fuzz(func(t *testing.T, in []byte) { check(t, in) })
+	f.Fuzz(func(t *testing.T, in []byte) { checkFormat(t, in) })
 }
 
-// The grammar in the documents is the one that the parser is built from.
-func TestGrammarIsWritten(t *testing.T) {
+// The grammar in the documentation is the one that the parser is built from.
+func TestGrammarIsDocumented(t *testing.T) {
 	b, err := os.ReadFile("../../docs/grammar.ebnf")
 	if err != nil || strings.TrimSpace(string(b)) != strings.TrimSpace(Grammar()) {
 		t.Errorf("%v; the grammar is now:\n%s", err, Grammar())
