--- a/internal/unit/unit.go
+++ b/internal/unit/unit.go
@@ -1,5 +1,5 @@
-// Package unit reads and writes quantities as people write them in files: a
-// number and a unit. It knows nothing of the files themselves and does no I/O.
+// Package unit parses and formats quantities as people write them in files: a number and a unit. It does no I/O and
+// is independent of the format of the files.
 package unit
 
 import (
@@ -9,23 +9,22 @@
 	"time"
 )
 
-// Duration is a time that is written with one unit of us, ms, s, m or h, such
-// as "250 ms" or "1.5 s". Mixed values such as "1s 500" are refused: whether
-// 500 are ms or s can only be guessed.
+// Duration is a duration that is written with one unit of us, ms, s, m or h, such as "250 ms" or "1.5 s". Mixed
+// values such as "1s 500" are refused, since it is not clear whether 500 means ms or s.
 type Duration time.Duration
 
-// D is the value as the standard library has it.
+// D returns the value as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Seconds is the value in seconds.
+// Seconds returns the value in seconds.
 func (d Duration) Seconds() float64 { return time.Duration(d).Seconds() }
 
-// ParseDuration reads a Duration of 0 or more, up to 10,000 hours.
+// ParseDuration parses a Duration from 0 to 10,000 hours.
 func ParseDuration(text string) (Duration, error) {
 	if text == "0" {
 		return 0, nil
 	}
-	x, err := exact(text, Time)
+	x, err := parseExact(text, Time)
 	if err != nil {
 		return 0, err
 	}
@@ -41,17 +40,17 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// String writes the value in the largest unit in which it has at most three decimals; ParseDuration reads it as the
-// same where it takes it at all.
+// String writes the value in the largest unit in which it has at most three decimals. ParseDuration returns the same
+// value, if it is within its range.
 func (d Duration) String() string {
 	if d == 0 {
 		return "0 s"
 	}
 	list := units[Time]
-	in := list[0] // a us has no more decimals than ns
+	chosen := list[0] // a value in us has at most three decimals, since the base unit is ns
 	for _, u := range slices.Backward(list) {
-		if milli := u.of / 1000; d >= Duration(u.of) && int64(d)%milli == 0 {
-			in = u
+		if thousandth := u.numerator / 1000; d >= Duration(u.numerator) && int64(d)%thousandth == 0 {
+			chosen = u
 			break
 		}
 	}
@@ -59,17 +58,17 @@
 	if d < 0 {
 		sign = "-"
 	}
-	abs := func(x int64) int64 { return max(x, -x) } // of parts, which can be turned
-	text := fmt.Sprintf("%s%d.%03d", sign, abs(int64(d)/in.of), abs(int64(d)%in.of/(in.of/1000)))
-	return strings.TrimSuffix(strings.TrimRight(text, "0"), ".") + " " + in.name
+	abs := func(x int64) int64 { return max(x, -x) } // applied to the quotient and the remainder, which do not overflow when they are negated
+	text := fmt.Sprintf("%s%d.%03d", sign, abs(int64(d)/chosen.numerator), abs(int64(d)%chosen.numerator/(chosen.numerator/1000)))
+	return strings.TrimSuffix(strings.TrimRight(text, "0"), ".") + " " + chosen.name
 }
 
-// split cuts a quantity into its number and its unit.
-func split(text string) (number, unit string) {
+// splitUnit splits a quantity into its number and its unit.
+func splitUnit(text string) (number, unit string) {
 	text = strings.TrimSpace(text)
-	at := strings.IndexFunc(text, func(r rune) bool { return (r < '0' || r > '9') && r != '.' && r != '-' && r != '+' })
-	if at < 0 {
+	end := strings.IndexFunc(text, func(r rune) bool { return (r < '0' || r > '9') && r != '.' && r != '-' && r != '+' })
+	if end < 0 {
 		return text, ""
 	}
-	return text[:at], strings.TrimSpace(text[at:])
+	return text[:end], strings.TrimSpace(text[end:])
 }
