--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command is what the programs' command lines share: how they are read, and
-// how they end. It knows no command.
+// Package command holds what the command lines of all programs share: how they are parsed and which exit codes they
+// return. It contains no commands.
 package command
 
 import (
@@ -10,29 +10,29 @@
 	"github.com/alecthomas/kong"
 )
 
-// exit codes beside 0 and, for a command line that can't be read, kong's 80.
+// Exit codes other than 0 and 80. kong exits with 80 if it cannot parse the command line.
 const (
-	exitBad     = 1 // something can't be read, used or done
-	exitFinding = 3 // what was looked for was found
+	exitError   = 1 // something could not be read, used or done
+	exitFinding = 3 // the command has found what it searched for
 )
 
-// ErrFinding ends a command that has reported what it found: a broken rule, a
-// difference, a figure that fell.
+// ErrFinding is the error of a command that has reported what it found: a violated invariant, a difference, or a
+// figure that has fallen.
 var ErrFinding = errors.New("found")
 
-// Main reads the command line, runs the command with what bind binds for it, and
-// ends the program.
+// Main parses the command line, calls bind to bind the values for the command, runs the command, and exits with a
+// code other than 0 if it fails.
 func Main(name, description string, cli any, bind func(*kong.Context)) {
 	parser := kong.Must(cli, kong.Name(name), kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Description(description))
-	k, err := parser.Parse(os.Args[1:])
+	context, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
-	bind(k)
-	switch err := k.Run(); {
+	bind(context)
+	switch err := context.Run(); {
 	case errors.Is(err, ErrFinding):
 		os.Exit(exitFinding)
 	case err != nil:
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
-		os.Exit(exitBad)
+		os.Exit(exitError)
 	}
 }
--- a/internal/plan/check.go
+++ b/internal/plan/check.go
@@ -229,7 +229,7 @@
 		"repeat":   func(s *statement) { c.parseRepeat(s, p) },
 		"copies":   func(s *statement) { p.Copies = c.parseCount(s, 1, 2) },
 		"budget": func(s *statement) {
-			c.valueWithOption(s, "least", func(v value) { p.Budget = c.parseQuantity(v, "budget", unit.Part, 0, 1) },
+			c.valueWithOption(s, "least", func(v value) { p.Budget = c.parseQuantity(v, "budget", unit.Fraction, 0, 1) },
 				func(v value) { p.BudgetLeast = c.parseQuantity(v, "least", unit.Rate, 0, 1e6) })
 			p.BudgetSaid = true
 		},
@@ -445,7 +445,7 @@
 // parseBound parses a number of routers or servers, or a percentage.
 func (c *checker) parseBound(s *statement) (b Bound) {
 	if len(s.values) == 1 && strings.HasSuffix(s.values[0].text, "%") {
-		b.Part = c.singleQuantity(s, unit.Part, 0.001, 1)
+		b.Part = c.singleQuantity(s, unit.Fraction, 0.001, 1)
 		return b
 	}
 	b.Number = c.parseCount(s, 1, permit.MostPlaces)
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -252,7 +252,7 @@
 		{"attempts", textOr(values.Attempts > 0, strconv.Itoa(values.Attempts), unstated)},
 		{"repeat", repeat},
 		{"copies", textOr(values.Copies > 0, strconv.Itoa(values.Copies), unstated)},
-		{"budget", textOr(values.BudgetSaid, unit.Format(values.Budget, unit.Part)+" least "+unit.Format(values.BudgetLeast, unit.Rate), unstated)},
+		{"budget", textOr(values.BudgetSaid, unit.Format(values.Budget, unit.Fraction)+" least "+unit.Format(values.BudgetLeast, unit.Rate), unstated)},
 		{"concurrency", concurrencyText(values.Concurrency)},
 		{"queue", queueText(values.Queue, values.QueueFor)},
 		{"rate", textOr(values.Rate > 0, unit.Format(values.Rate, unit.Rate)+" burst "+strconv.FormatFloat(values.Burst, 'g', -1, 64), "no limit")},
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -162,7 +162,7 @@
 // String implements fmt.Stringer.
 func (b Bound) String() string {
 	if b.Part > 0 {
-		return unit.Format(b.Part, unit.Part)
+		return unit.Format(b.Part, unit.Fraction)
 	}
 	return strconv.Itoa(b.Number)
 }
--- a/internal/plan/release.go
+++ b/internal/plan/release.go
@@ -128,8 +128,8 @@
 		"settle":   func(s *statement) { r.Settle = c.parseTime(s, 5*time.Second, time.Hour) },
 		"permit":   func(s *statement) { r.Permit = c.parseTime(s, 5*time.Second, 24*time.Hour) },
 		"requests": func(s *statement) { r.Requests = c.parseCount(s, 50, 1e9) },
-		"error":    func(s *statement) { r.Error = c.singleQuantity(s, unit.Part, 0.0001, 0.2) },
-		"margin":   func(s *statement) { r.Margin = c.singleQuantity(s, unit.Part, 0, 0.5) },
+		"error":    func(s *statement) { r.Error = c.singleQuantity(s, unit.Fraction, 0.0001, 0.2) },
+		"margin":   func(s *statement) { r.Margin = c.singleQuantity(s, unit.Fraction, 0, 0.5) },
 	})
 	if r.ByZone = order == "zone"; !ok {
 		return
--- a/internal/plan/values.go
+++ b/internal/plan/values.go
@@ -48,7 +48,7 @@
 	x, err := unit.Parse(v.text, kind)
 	if invalid := (*unit.Error)(nil); errors.As(err, &invalid) {
 		rule := "unit"
-		if invalid.Range {
+		if invalid.OutOfRange {
 			rule = "range"
 		}
 		c.addFinding(v.loc, rule, name+": "+invalid.Text, invalid.Accept)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the binary frames between a simulator and the
-// adapter. It knows the dialect's codes and layouts and decides nothing.
+// Package wire reads and writes the binary frames between a simulator and the adapter. It knows the codes and layouts
+// of the protocol and takes no decisions.
 package wire
 
 import (
@@ -13,7 +13,7 @@
 	"hoptiller"
 )
 
-// MaxFrame bounds a frame's stated length; more is taken for damage.
+// MaxFrame is the maximum length that a frame may state, in bytes. A longer frame is treated as corrupt.
 const MaxFrame = 1 << 28
 
 const (
@@ -25,15 +25,15 @@
 // EventCode is the first byte of an event record.
 type EventCode uint8
 
-// The event records.
+// Codes of the event records.
 const (
 	Context EventCode = iota
 	Endpoints
 	Knock
 	ClientGone
 	ReportBack
-	Whisper
-	Probed
+	PeerMessage
+	ProbeResult
 	Provision
 	TimeoutFired
 	Destroy
@@ -41,21 +41,21 @@
 	List
 )
 
-// The action records.
+// Codes of the action records.
 const (
-	actAbort    = 64
-	actTrack    = 65
-	actTransmit = 66
-	actBy       = 68
-	actSayLog   = 70
-	actShutIdle = 71
-	actDeny     = 73
-	actGetList  = 74
-	actTimer    = 75
-	actWithdraw = 76
+	actionFail      = 64
+	actionWatch     = 65
+	actionSend      = 66
+	actionInstance  = 68
+	actionLog       = 70
+	actionCloseIdle = 71
+	actionRefuse    = 73
+	actionFetchList = 74
+	actionSetTimer  = 75
+	actionCancel    = 76
 )
 
-// Event is one decoded record. Only the fields of its code are set.
+// Event is one decoded event record. The comment on a field names the codes that set it.
 type Event struct {
 	Code     EventCode
 	Instance uint32             // Context
@@ -65,25 +65,25 @@
 	Buffer   uint8              // Endpoints, List
 	Servers  []hoptiller.Server // List
 	Request  hoptiller.Request  // Knock
-	Outcome  hoptiller.Outcome  // ReportBack; request and attempt of Flowing
+	Outcome  hoptiller.Outcome  // ReportBack; for Flowing its request, attempt, latency and server
 	ID       uint32             // ClientGone
 	Token    uint64             // TimeoutFired
 }
 
 // Reader reads batches from a stream.
 type Reader struct {
-	src   io.Reader
-	buf   []byte
-	pos   int
-	left  uint32
-	err   error
-	Clock time.Duration // of the batch last read
+	src       io.Reader
+	buf       []byte
+	pos       int
+	remaining uint32
+	err       error
+	Clock     time.Duration // clock of the batch that was last read
 }
 
-// NewReader returns a Reader of src.
+// NewReader returns a Reader that reads from src.
 func NewReader(src io.Reader) *Reader { return &Reader{src: src} }
 
-// ReadBatch reads one whole frame. It returns io.EOF at a clean end.
+// ReadBatch reads one complete frame. It returns io.EOF if the stream ends between two frames.
 func (r *Reader) ReadBatch() error {
 	var head [batchHeader]byte
 	if n, err := io.ReadFull(r.src, head[:]); err != nil {
@@ -112,27 +112,27 @@
 	if n, err := io.ReadFull(r.src, r.buf); err != nil {
 		return fmt.Errorf("batch cut short: %d of %d bytes", n+batchHeader, size)
 	}
-	r.pos, r.left, r.err = 0, count, nil
-	r.Clock = micros(clock)
+	r.pos, r.remaining, r.err = 0, count, nil
+	r.Clock = fromMicroseconds(clock)
 	return nil
 }
 
-// Next decodes the next record into e. It returns false at the batch's end.
+// Next decodes the next record into e. It returns false at the end of the batch.
 func (r *Reader) Next(e *Event) (bool, error) {
-	if r.left == 0 {
+	if r.remaining == 0 {
 		if r.pos != len(r.buf) {
-			return false, r.fault(r.pos, "%d bytes left over after the last record", len(r.buf)-r.pos)
+			return false, r.errorAt(r.pos, "%d bytes left over after the last record", len(r.buf)-r.pos)
 		}
 		return false, nil
 	}
-	r.left--
+	r.remaining--
 	start := r.pos
 	e.Code = EventCode(r.u8())
-	r.record(e, start)
+	r.readRecord(e, start)
 	return r.err == nil, r.err
 }
 
-func (r *Reader) record(e *Event, start int) {
+func (r *Reader) readRecord(e *Event, start int) {
 	switch e.Code {
 	case Context:
 		e.Instance = r.u32()
@@ -141,18 +141,18 @@
 		r.u32()
 		e.Buffer = r.u8()
 		if r.err == nil && e.Scope > hoptiller.ListFailed {
-			r.err = r.fault(start, "Endpoints: unknown scope %d", e.Scope)
+			r.err = r.errorAt(start, "Endpoints: unknown scope %d", e.Scope)
 		}
 	case Knock:
-		r.knock(&e.Request)
+		r.readRequest(&e.Request)
 	case ClientGone:
 		e.ID = r.u32()
 	case ReportBack:
-		r.report(&e.Outcome, start)
-	case Whisper:
+		r.readOutcome(&e.Outcome, start)
+	case PeerMessage:
 		r.u16()
 		r.bytes(int(r.u16()))
-	case Probed:
+	case ProbeResult:
 		r.u16()
 		r.u32()
 		r.u32()
@@ -167,56 +167,57 @@
 		e.Outcome = hoptiller.Outcome{Request: r.u32(), Attempt: int(r.u16()), Latency: r.time()}
 		e.Outcome.Server = r.u32()
 	case List:
-		r.list(e, start)
+		r.readList(e, start)
 	default:
 		if r.err == nil {
-			r.err = r.fault(start, "unknown event code %d", e.Code)
+			r.err = r.errorAt(start, "unknown event code %d", e.Code)
 		}
 	}
 }
 
-func (r *Reader) knock(q *hoptiller.Request) {
+func (r *Reader) readRequest(q *hoptiller.Request) {
 	q.ID = r.u32()
 	r.u32() // size
 	q.Remaining = r.time()
 	q.Class = int(r.u8())
-	bits := r.u16()
-	q.Write, q.Retry = bits&4 != 0, bits&2 != 0
+	flags := r.u16()
+	q.Write, q.Retry = flags&4 != 0, flags&2 != 0
 	q.Tenant = int(r.u16())
 	r.u32() // hint
 	q.Key = r.u64()
 }
 
-var statuses = map[uint16]hoptiller.Status{
+// statusByCode maps the outcome codes of the wire to statuses.
+var statusByCode = map[uint16]hoptiller.Status{
 	200: hoptiller.OK, 500: hoptiller.ServerError, 503: hoptiller.Full, 504: hoptiller.Timeout,
 	502: hoptiller.ConnectFailed, 598: hoptiller.Reset, 499: hoptiller.Cancelled, 410: hoptiller.Moot,
 	404: hoptiller.Miss,
 }
 
-func (r *Reader) report(o *hoptiller.Outcome, start int) {
+func (r *Reader) readOutcome(o *hoptiller.Outcome, start int) {
 	o.Request = r.u32()
-	how := r.u16()
+	code := r.u16()
 	o.Server = r.u32()
 	r.u32() // note
 	o.Latency = r.time()
 	o.Attempt = int(r.u16())
 	o.Closed = r.u8() != 0
 	r.bytes(4 * int(r.u8()))
-	status, known := statuses[how]
+	status, known := statusByCode[code]
 	if r.err == nil && !known {
-		r.err = r.fault(start, "ReportBack: unknown outcome %d", how)
+		r.err = r.errorAt(start, "ReportBack: unknown outcome %d", code)
 	}
 	o.Status = status
 }
 
-func (r *Reader) list(e *Event, start int) {
+func (r *Reader) readList(e *Event, start int) {
 	e.Buffer = r.u8()
 	n := int(r.u32())
 	if r.err == nil && e.Buffer > 15 {
-		r.err = r.fault(start, "List: number %d is over 15", e.Buffer)
+		r.err = r.errorAt(start, "List: number %d is over 15", e.Buffer)
 	}
 	if r.err == nil && n > (len(r.buf)-r.pos)/entrySize {
-		r.err = r.fault(start, "List: %d entries do not fit in the batch", n)
+		r.err = r.errorAt(start, "List: %d entries do not fit in the batch", n)
 	}
 	if r.err != nil {
 		return
@@ -228,24 +229,26 @@
 		s.Zone, s.Kind, s.Cell = int(r.u16()), int(r.u8()), int(r.u16())
 		s.Phase = hoptiller.Phase(r.u8())
 		s.Weight = float64(math.Float32frombits(r.u32()))
-		s.Started = micros(r.u64())
+		s.Started = fromMicroseconds(r.u64())
 		if s.Phase > hoptiller.Ready {
-			r.err = r.fault(start, "List: entry %d has unknown phase %d", i, s.Phase)
+			r.err = r.errorAt(start, "List: entry %d has unknown phase %d", i, s.Phase)
 			return
 		}
 	}
 }
 
-func (r *Reader) fault(at int, format string, args ...any) error {
-	return fmt.Errorf("batch byte %d: "+format, append([]any{at + batchHeader}, args...)...)
+// errorAt returns an error that names the byte of the batch at offset after the header.
+func (r *Reader) errorAt(offset int, format string, args ...any) error {
+	return fmt.Errorf("batch byte %d: "+format, append([]any{offset + batchHeader}, args...)...)
 }
 
+// bytes returns the next n bytes. If there are fewer it records an error and returns nil, and so do all later calls.
 func (r *Reader) bytes(n int) []byte {
 	if r.err != nil {
 		return nil
 	}
 	if n < 0 || n > len(r.buf)-r.pos {
-		r.err = r.fault(r.pos, "record cut short: wants %d bytes, %d left", n, len(r.buf)-r.pos)
+		r.err = r.errorAt(r.pos, "record cut short: wants %d bytes, %d left", n, len(r.buf)-r.pos)
 		return nil
 	}
 	b := r.buf[r.pos : r.pos+n]
@@ -281,10 +284,10 @@
 	return 0
 }
 
-func (r *Reader) time() time.Duration { return micros(uint64(r.u32())) }
+func (r *Reader) time() time.Duration { return fromMicroseconds(uint64(r.u32())) }
 
-// micros turns wire time into a Duration; what does not fit is capped.
-func micros(us uint64) time.Duration {
+// fromMicroseconds converts a time on the wire to a Duration. A value that does not fit is capped.
+func fromMicroseconds(us uint64) time.Duration {
 	if us > math.MaxInt64/1000 {
 		us = math.MaxInt64 / 1000
 	}
@@ -293,95 +296,96 @@
 
 // Reply collects the actions of one reply frame.
 type Reply struct {
-	buf      []byte
-	instance uint32
-	named    bool
+	buf         []byte
+	instance    uint32
+	hasInstance bool
 }
 
 // Reset starts a new reply.
 func (w *Reply) Reset() {
 	w.buf = append(w.buf[:0], 0, 0, 0, 0)
-	w.named = false
+	w.hasInstance = false
 }
 
-// Bytes closes the frame and returns it; it is valid until Reset.
+// Bytes completes the frame and returns it. The result is valid until Reset.
 func (w *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(w.buf, uint32(len(w.buf)))
 	return w.buf
 }
 
-// For returns the actions of one instance, written to this reply.
+// For returns a Sink that writes the actions of one instance to this reply.
 func (w *Reply) For(instance uint32) *Sink { return &Sink{reply: w, instance: instance} }
 
-// Sink implements hoptiller.Actions by writing records.
+// Sink implements hoptiller.Actions by writing action records.
 type Sink struct {
 	reply    *Reply
 	instance uint32
 }
 
-func (s *Sink) begin(code byte) *Reply {
+// startAction starts an action record. A record with the instance precedes it if the instance has changed.
+func (s *Sink) startAction(code byte) *Reply {
 	w := s.reply
-	if !w.named || w.instance != s.instance {
-		w.buf = binary.LittleEndian.AppendUint32(append(w.buf, actBy), s.instance)
-		w.instance, w.named = s.instance, true
+	if !w.hasInstance || w.instance != s.instance {
+		w.buf = binary.LittleEndian.AppendUint32(append(w.buf, actionInstance), s.instance)
+		w.instance, w.hasInstance = s.instance, true
 	}
 	w.buf = append(w.buf, code)
 	return w
 }
 
-// delay turns a Duration into wire time, rounded up so that nothing is early.
-func delay(d time.Duration) uint32 {
+// wireDelay converts a Duration to wire time. It rounds up so that nothing happens too early.
+func wireDelay(d time.Duration) uint32 {
 	us := (d + time.Microsecond - 1) / time.Microsecond
 	return uint32(min(max(us, 0), math.MaxUint32))
 }
 
 // Send implements hoptiller.Actions.
 func (s *Sink) Send(request, server uint32, timeout time.Duration) {
-	w := s.begin(actTransmit)
+	w := s.startAction(actionSend)
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, request)
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, server)
-	w.buf = binary.LittleEndian.AppendUint32(w.buf, delay(timeout))
+	w.buf = binary.LittleEndian.AppendUint32(w.buf, wireDelay(timeout))
 }
 
 // Cancel implements hoptiller.Actions.
 func (s *Sink) Cancel(request uint32, attempt int) {
-	w := s.begin(actWithdraw)
+	w := s.startAction(actionCancel)
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, request)
 	w.buf = binary.LittleEndian.AppendUint16(w.buf, uint16(attempt))
 }
 
 // CloseIdle implements hoptiller.Actions.
 func (s *Sink) CloseIdle(server uint32) {
-	w := s.begin(actShutIdle)
+	w := s.startAction(actionCloseIdle)
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, server)
 }
 
 // Refuse implements hoptiller.Actions.
 func (s *Sink) Refuse(request uint32, retryAfter time.Duration) {
-	w := s.begin(actDeny)
+	w := s.startAction(actionRefuse)
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, request)
-	w.buf = binary.LittleEndian.AppendUint32(w.buf, delay(retryAfter))
+	w.buf = binary.LittleEndian.AppendUint32(w.buf, wireDelay(retryAfter))
 }
 
 // Fail implements hoptiller.Actions.
 func (s *Sink) Fail(request uint32) {
-	w := s.begin(actAbort)
+	w := s.startAction(actionFail)
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, request)
 }
 
 // SetTimer implements hoptiller.Actions.
 func (s *Sink) SetTimer(token uint64, after time.Duration) {
-	w := s.begin(actTimer)
+	w := s.startAction(actionSetTimer)
 	w.buf = binary.LittleEndian.AppendUint64(w.buf, token)
-	w.buf = binary.LittleEndian.AppendUint32(w.buf, delay(after))
+	w.buf = binary.LittleEndian.AppendUint32(w.buf, wireDelay(after))
 }
 
 // FetchList implements hoptiller.Actions.
-func (s *Sink) FetchList() { s.begin(actGetList) }
+func (s *Sink) FetchList() { s.startAction(actionFetchList) }
 
 // Watch implements hoptiller.Actions.
 func (s *Sink) Watch(on bool) {
-	w := s.begin(actTrack)
+	w := s.startAction(actionWatch)
 	if on {
 		w.buf = append(w.buf, 1)
 	} else {
@@ -391,7 +395,7 @@
 
 // Log implements hoptiller.Actions.
 func (s *Sink) Log(text string) {
-	w := s.begin(actSayLog)
+	w := s.startAction(actionLog)
 	text = text[:min(len(text), math.MaxUint16)]
 	w.buf = binary.LittleEndian.AppendUint16(w.buf, uint16(len(text)))
 	w.buf = append(w.buf, text...)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,7 +13,7 @@
 	"hoptiller"
 )
 
-// frame puts a batch header before records.
+// frame returns a batch of records, which are given in hexadecimal, with its header.
 func frame(count int, records ...string) []byte {
 	body, err := hex.DecodeString(strings.ReplaceAll(strings.Join(records, ""), " ", ""))
 	if err != nil {
@@ -26,13 +26,13 @@
 }
 
 const (
-	inst3   = "00 03000000"
-	knock   = "02 c4913a5d 00000000 80a90300 00 0100 0000 e02e0000 640ad2557c3bf091"
-	timer   = "08 4d00000000000000"
-	report  = "04 c4913a5d c800 074a1203 00000000 44480000 0000 01 00"
-	list0   = "0b 00 02000000 074a1203 0000 00 0000 02 0000803f 0000000000000000 f211902c 0100 00 0000 02 0000c03f 20145d0000000000"
-	members = "01 02 29000000 00"
-	gone    = "03 192b6f0e"
+	instanceRecord   = "00 03000000"
+	requestRecord    = "02 c4913a5d 00000000 80a90300 00 0100 0000 e02e0000 640ad2557c3bf091"
+	timerRecord      = "08 4d00000000000000"
+	outcomeRecord    = "04 c4913a5d c800 074a1203 00000000 44480000 0000 01 00"
+	listRecord       = "0b 00 02000000 074a1203 0000 00 0000 02 0000803f 0000000000000000 f211902c 0100 00 0000 02 0000c03f 20145d0000000000"
+	endpointsRecord  = "01 02 29000000 00"
+	disconnectRecord = "03 192b6f0e"
 )
 
 func decode(b []byte) ([]Event, error) {
@@ -51,8 +51,8 @@
 	}
 }
 
-func TestPageExamples(t *testing.T) {
-	events, err := decode(frame(7, inst3, list0, members, knock, timer, report, gone))
+func TestDocumentedBatch(t *testing.T) {
+	events, err := decode(frame(7, instanceRecord, listRecord, endpointsRecord, requestRecord, timerRecord, outcomeRecord, disconnectRecord))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestReplyExample(t *testing.T) {
+func TestDocumentedReply(t *testing.T) {
 	var w Reply
 	w.Reset()
 	s3, s5 := w.For(3), w.For(5)
@@ -107,39 +107,39 @@
 	}
 }
 
-func TestEndsAndFaults(t *testing.T) {
+func TestEndAndCorruptBatches(t *testing.T) {
 	if _, err := decode(nil); !errors.Is(err, io.EOF) {
 		t.Errorf("clean end: %v", err)
 	}
-	whole := frame(2, inst3, knock)
+	complete := frame(2, instanceRecord, requestRecord)
 	oversized := frame(0)
 	binary.LittleEndian.PutUint32(oversized[4:], MaxFrame+1)
 	for name, c := range map[string]struct {
-		data []byte
-		says string
+		data    []byte
+		message string
 	}{
-		"short header":     {whole[:7], "header cut short"},
-		"short body":       {whole[:len(whole)-3], "cut short"},
+		"short header":     {complete[:7], "header cut short"},
+		"short body":       {complete[:len(complete)-3], "cut short"},
 		"oversized":        {oversized, "outside"},
-		"too few records":  {frame(1, inst3, knock), "left over"},
-		"too many records": {frame(3, inst3, knock), "cut short"},
-		"absurd count":     {frame(1<<20, inst3), "cannot fit"},
+		"too few records":  {frame(1, instanceRecord, requestRecord), "left over"},
+		"too many records": {frame(3, instanceRecord, requestRecord), "cut short"},
+		"absurd count":     {frame(1<<20, instanceRecord), "cannot fit"},
 		"unknown event":    {frame(1, "63"), "unknown event code 99"},
-		"unknown outcome":  {frame(1, strings.Replace(report, "c800", "c900", 1)), "unknown outcome 201"},
+		"unknown outcome":  {frame(1, strings.Replace(outcomeRecord, "c800", "c900", 1)), "unknown outcome 201"},
 		"unknown scope":    {frame(1, "01 09 29000000 00"), "unknown scope"},
-		"unknown phase":    {frame(1, strings.Replace(list0, "0000 02 0000803f", "0000 07 0000803f", 1)), "unknown phase"},
+		"unknown phase":    {frame(1, strings.Replace(listRecord, "0000 02 0000803f", "0000 07 0000803f", 1)), "unknown phase"},
 		"huge list":        {frame(1, "0b 00 ffffffff"), "do not fit"},
 		"list number":      {frame(1, "0b 10 00000000"), "over 15"},
 	} {
-		if _, err := decode(c.data); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: error %v, want one that says %q", name, err, c.says)
+		if _, err := decode(c.data); err == nil || !strings.Contains(err.Error(), c.message) {
+			t.Errorf("%s: error %v, want one that contains %q", name, err, c.message)
 		}
 	}
 }
 
 func FuzzReader(f *testing.F) {
 	f.Add(frame(0))
-	f.Add(frame(7, inst3, list0, members, knock, timer, report, gone))
+	f.Add(frame(7, instanceRecord, listRecord, endpointsRecord, requestRecord, timerRecord, outcomeRecord, disconnectRecord))
 	f.Add(frame(1, "07 0100000000000000 02000000 7b7d"))
 	f.Add(frame(3, "09", "05 0100 0200 6869", "06 c800 01000000 02000000 01 00000000"))
 	f.Add(frame(1, "0a 01000000 0000 05000000 02000000"))
@@ -151,7 +151,7 @@
 	})
 }
 
-// Closing idle connections is a record of its own, with the server's id.
+// Closing idle connections is a separate action record with the id of the server.
 func TestCloseIdle(t *testing.T) {
 	var w Reply
 	w.Reset()
@@ -162,9 +162,9 @@
 	}
 }
 
-// The mark of a client's retry is read.
-func TestRetryMark(t *testing.T) {
-	if events, err := decode(frame(2, inst3, strings.Replace(knock, "00 0100 0000", "00 0200 0000", 1))); err != nil ||
+// The flag that marks a retry by the client is decoded.
+func TestRetryFlag(t *testing.T) {
+	if events, err := decode(frame(2, instanceRecord, strings.Replace(requestRecord, "00 0100 0000", "00 0200 0000", 1))); err != nil ||
 		!events[1].Request.Retry {
 		t.Errorf("a marked retry: %+v, error %v", events, err)
 	}
