--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -114,8 +114,10 @@
 		}
 	}
 	limits := &reader{root: root}
-	c.MemoryMB, c.Sockets = int64(max(0, limits.integer("limits.memory_mb", maxLimit))), max(0, limits.integer("limits.sockets", maxLimit))
-	c.ConnIdle, c.MostCalls = limits.time("settings.bounds.connIdle"), max(0, limits.integer("settings.bounds.streamsPerConn", maxLimit))
+	c.MemoryMB, c.Sockets = int64(max(0, limits.integer("limits.memory_mb", maxLimit))),
+		max(0, limits.integer("limits.sockets", maxLimit))
+	c.ConnIdle, c.MostCalls = limits.time("settings.bounds.connIdle"),
+		max(0, limits.integer("settings.bounds.streamsPerConn", maxLimit))
 	c.Doubts = joinWarnings(append(append(warnings, limits.warnings...), c.applySafeDefaults()...))
 	if settings.Get("stats.how").String() == "piggyback" {
 		c.Reports = stringList(settings.Get("stats.columns"))
@@ -165,7 +167,8 @@
 	}
 	for _, e := range c.Known.Entries {
 		if e.Zone != "" && len(c.Zones) > 0 && !slices.Contains(c.Zones, e.Zone) {
-			c.Assumed = append(c.Assumed, fmt.Sprintf("zone %q is not among the %d of the settings: taken for another one", e.Zone, len(c.Zones)))
+			c.Assumed = append(c.Assumed, fmt.Sprintf("zone %q is not among the %d of the settings: taken for another one",
+				e.Zone, len(c.Zones)))
 			break
 		}
 	}
--- a/internal/discovery/watch_order_test.go
+++ b/internal/discovery/watch_order_test.go
@@ -61,7 +61,8 @@
 
 // startClient starts a Client of source a and consumes its first update. Source b is the one to move to.
 func startClient(t *testing.T) (c *Client, a, b *fakeSource, updates recordingListener) {
-	a, b = &fakeSource{"a", make(chan pendingCall, 9), make(chan pendingCall, 9)}, &fakeSource{"b", make(chan pendingCall, 9), make(chan pendingCall, 9)}
+	a, b = &fakeSource{"a", make(chan pendingCall, 9), make(chan pendingCall, 9)},
+		&fakeSource{"b", make(chan pendingCall, 9), make(chan pendingCall, 9)}
 	updates = make(recordingListener, 100)
 	c = NewClient(a, &Names{}, updates, update(1, true, "active"))
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -294,7 +294,8 @@
 		t.Pos, what = parseErr.Position(), parseErr.Message()
 	}
 	index := slices.IndexFunc(chunkTokens, func(c lexer.Token) bool { return c.Pos == t.Pos })
-	if index >= 0 && (chunkTokens[index].Type == stringType || chunkTokens[index].Type == openType || strings.HasPrefix(chunkTokens[index].Value, "$")) {
+	if index >= 0 && (chunkTokens[index].Type == stringType || chunkTokens[index].Type == openType ||
+		strings.HasPrefix(chunkTokens[index].Value, "$")) {
 		what = fmt.Sprintf("%s instead of the name of a statement", chunkTokens[index].Value)
 	}
 	width := 1
--- a/internal/opfile/opfile_test.go
+++ b/internal/opfile/opfile_test.go
@@ -102,7 +102,8 @@
 
 // The formatted text contains what was parsed, and formatting it again changes nothing.
 func TestFormatKeepsMeaning(t *testing.T) {
-	piece := rapid.SampledFrom([]string{"a", "1s", "\"x y\"", "$c", " ", "\t", "\n", "\n\n", "{", "}", "# c\n", "#", "{\n", "}\n", "é"})
+	piece := rapid.SampledFrom([]string{"a", "1s", "\"x y\"", "$c", " ", "\t", "\n", "\n\n", "{", "}", "# c\n", "#",
+		"{\n", "}\n", "é"})
 	rapid.Check(t, func(t *rapid.T) {
 		checkFormat(t, []byte(strings.Join(rapid.SliceOfN(piece, 0, 40).Draw(t, "text"), "")))
 	})
--- a/internal/plan/check.go
+++ b/internal/plan/check.go
@@ -299,9 +299,10 @@
 }
 
 func (c *checker) parseQueue(s *statement, maxLength *int, maxWait *time.Duration) {
-	c.valueWithOption(s, "for", func(v value) { *maxLength = int(c.parseQuantity(v, "queue", unit.Count, 1, 10000)) }, func(v value) {
-		*maxWait = time.Duration(c.parseQuantity(v, "for", unit.Time, float64(time.Millisecond), float64(time.Minute)))
-	})
+	c.valueWithOption(s, "for", func(v value) { *maxLength = int(c.parseQuantity(v, "queue", unit.Count, 1, 10000)) },
+		func(v value) {
+			*maxWait = time.Duration(c.parseQuantity(v, "for", unit.Time, float64(time.Millisecond), float64(time.Minute)))
+		})
 	if *maxLength > 0 && *maxWait == 0 {
 		c.addFinding(s.loc, "queue", "a queue without a limit on the time in it", "queue 20 for 50ms")
 	}
@@ -318,10 +319,12 @@
 		k.Least = int(c.parseQuantity(v[1], "concurrency", unit.Count, 1, 1e5))
 		k.Most = int(c.parseQuantity(v[2], "concurrency", unit.Count, 1, 1e5))
 		if k.Most < k.Least {
-			c.addFinding(v[2].loc, "range", fmt.Sprintf("the maximum %d is less than the minimum %d", k.Most, k.Least), "adaptive LEAST MOST")
+			c.addFinding(v[2].loc, "range", fmt.Sprintf("the maximum %d is less than the minimum %d", k.Most, k.Least),
+				"adaptive LEAST MOST")
 		}
 	default:
-		c.addFinding(s.loc, "values", "concurrency takes a number, or adaptive with the least and the most", "concurrency 40, concurrency adaptive 4 200")
+		c.addFinding(s.loc, "values", "concurrency takes a number, or adaptive with the least and the most",
+			"concurrency 40, concurrency adaptive 4 200")
 	}
 }
 
@@ -434,7 +437,8 @@
 	})
 	for name, b := range map[string][2]Bound{"out-zone": {f.OutZone, f.Out}, "caches-zone": {f.CachesZone, f.Caches}} {
 		if zone, all := b[0], b[1]; zone.Number > max(1, all.Number) && all.Part == 0 {
-			c.addFinding(f.locations.lookup(name), "bounds", fmt.Sprintf("more may be out of one zone (%v) than of the whole fleet (%v)", zone, all), "")
+			c.addFinding(f.locations.lookup(name), "bounds",
+				fmt.Sprintf("more may be out of one zone (%v) than of the whole fleet (%v)", zone, all), "")
 		}
 	}
 	if f.View == "off" && (f.Out != Bound{} || f.OutZone != Bound{} || f.Caches != Bound{} || f.CachesZone != Bound{}) {
--- a/internal/plan/check_platform.go
+++ b/internal/plan/check_platform.go
@@ -49,11 +49,13 @@
 func (c *checker) checkPools() {
 	for _, p := range c.plan.Pools {
 		if n := len(p.Addrs); n > 0 && n < p.AtLeast {
-			c.addFinding(p.locations.lookup("at-least"), "empty-pool", fmt.Sprintf("pool %s has %d addresses and counts as empty below %d", p.Name, n, p.AtLeast),
+			c.addFinding(p.locations.lookup("at-least"), "empty-pool",
+				fmt.Sprintf("pool %s has %d addresses and counts as empty below %d", p.Name, n, p.AtLeast),
 				fmt.Sprintf("at-least up to %d", n))
 		}
 		if len(p.Kinds) == 1 && p.Kinds[0] == c.platform.Settings.OriginKind {
-			c.addFinding(p.locations.lookup("kind"), "empty-pool", fmt.Sprintf("pool %s states only the origin, which belongs to no pool: fetches go there anyway", p.Name), "")
+			c.addFinding(p.locations.lookup("kind"), "empty-pool",
+				fmt.Sprintf("pool %s states only the origin, which belongs to no pool: fetches go there anyway", p.Name), "")
 		}
 		path := []string{p.Name}
 		for current := p; current.Fallback != ""; {
@@ -62,7 +64,8 @@
 				break
 			}
 			if path = append(path, next.Name); next == p {
-				c.addFinding(p.locations.lookup("fallback"), "fallback-cycle", "these pools fall back on one another: "+strings.Join(path, " -> "), "")
+				c.addFinding(p.locations.lookup("fallback"), "fallback-cycle",
+					"these pools fall back on one another: "+strings.Join(path, " -> "), "")
 				break
 			}
 			if len(path) > len(c.plan.Pools) {
@@ -77,14 +80,16 @@
 func (c *checker) checkPolicy(p *Policy) {
 	set := &c.platform.Settings
 	if set.MaxAttempts > 0 && p.Attempts > set.MaxAttempts {
-		c.addFinding(p.locations.lookup("attempts"), "attempts", fmt.Sprintf("%d attempts, and the settings allow %d", p.Attempts, set.MaxAttempts),
+		c.addFinding(p.locations.lookup("attempts"), "attempts",
+			fmt.Sprintf("%d attempts, and the settings allow %d", p.Attempts, set.MaxAttempts),
 			fmt.Sprintf("1 to %d", set.MaxAttempts))
 	}
 	if p.Copies > 1 && !set.SecondCopies {
 		c.addFinding(p.locations.lookup("copies"), "second-copies", "the settings allow no second copies", "copies 1")
 	}
 	if never := p.RepeatStated && p.Repeat == 0; p.Attempts > 1 && never {
-		c.addFinding(p.locations.lookup("attempts"), "contradiction", fmt.Sprintf("%d attempts, but a call is never repeated", p.Attempts), "attempts 1")
+		c.addFinding(p.locations.lookup("attempts"), "contradiction",
+			fmt.Sprintf("%d attempts, but a call is never repeated", p.Attempts), "attempts 1")
 	} else if p.BudgetSaid && (never || p.Attempts == 1) {
 		c.addFinding(p.locations.lookup("budget"), "contradiction", "a budget for repeats that are never made", "")
 	}
@@ -103,11 +108,14 @@
 	deadline := class.Deadline
 	where := fmt.Sprintf("for %s in route %s", name, r.Name)
 	if deadline > 0 && p.Timeout > deadline {
-		addFinding(p.locations.lookup("timeout"), "client-patience", fmt.Sprintf("a call may take %s, and a client waits %s %s", formatTime(p.Timeout), formatTime(deadline), where),
+		addFinding(p.locations.lookup("timeout"), "client-patience",
+			fmt.Sprintf("a call may take %s, and a client waits %s %s", formatTime(p.Timeout), formatTime(deadline), where),
 			"up to "+formatTime(deadline))
 	}
 	if aim := class.Aim; aim > 0 && p.QueueFor >= aim {
-		addFinding(p.locations.lookup("queue"), "queue-time", fmt.Sprintf("a request may wait %s in the queue, and an answer is due within %s %s", formatTime(p.QueueFor), formatTime(aim), where),
+		addFinding(p.locations.lookup("queue"), "queue-time",
+			fmt.Sprintf("a request may wait %s in the queue, and an answer is due within %s %s",
+				formatTime(p.QueueFor), formatTime(aim), where),
 			"less than "+formatTime(aim))
 	}
 	afterRun := p.Repeat &^ NeverRan // outcomes after which a call is retried although it may have run
@@ -118,27 +126,33 @@
 	switch class.Effect {
 	case hoptiller.AtMostOnce:
 		if afterRun != 0 {
-			addFinding(p.locations.lookup("repeat"), "run-once", fmt.Sprintf("%s must never run twice, and may have run after: %s (route %s)", name, outcomeList(afterRun), r.Name),
+			addFinding(p.locations.lookup("repeat"), "run-once",
+				fmt.Sprintf("%s must never run twice, and may have run after: %s (route %s)", name, outcomeList(afterRun), r.Name),
 				"repeat on "+outcomeList(NeverRan)+", or never")
 		}
 		if p.Copies > 1 {
-			addFinding(p.locations.lookup("copies"), "run-once", fmt.Sprintf("%s must never run twice (route %s)", name, r.Name), "copies 1")
+			addFinding(p.locations.lookup("copies"), "run-once",
+				fmt.Sprintf("%s must never run twice (route %s)", name, r.Name), "copies 1")
 		}
 	case hoptiller.Deduplicated:
 		last := time.Duration(attempts-1) * p.Timeout // latest start of the last attempt, after that of the first
 		if (afterRun != 0 || p.Copies > 1) && class.KeyTTL > 0 && last >= class.KeyTTL {
-			addFinding(p.locations.lookup("timeout"), "repeat-window", fmt.Sprintf("attempt %d may begin %s after the first, and repeats are dropped for %s only %s",
-				attempts, formatTime(last), formatTime(class.KeyTTL), where), fmt.Sprintf("less than %s for %d attempts", formatTime(class.KeyTTL/time.Duration(max(1, attempts-1))), attempts))
+			addFinding(p.locations.lookup("timeout"), "repeat-window",
+				fmt.Sprintf("attempt %d may begin %s after the first, and repeats are dropped for %s only %s",
+					attempts, formatTime(last), formatTime(class.KeyTTL), where),
+				fmt.Sprintf("less than %s for %d attempts", formatTime(class.KeyTTL/time.Duration(max(1, attempts-1))), attempts))
 		}
 		if (afterRun != 0 || p.Copies > 1) && r.Pool != nil && c.spansGroups(r.Pool, class.Group) {
-			addFinding(r.locations.lookup("pool"), "repeat-group", fmt.Sprintf("pool %s goes beyond the one %s within which repeats are dropped %s",
-				r.Pool.Name, map[hoptiller.Group]string{hoptiller.GroupZone: "zone", hoptiller.GroupCell: "cell"}[class.Group], where),
+			addFinding(r.locations.lookup("pool"), "repeat-group",
+				fmt.Sprintf("pool %s goes beyond the one %s within which repeats are dropped %s",
+					r.Pool.Name, map[hoptiller.Group]string{hoptiller.GroupZone: "zone", hoptiller.GroupCell: "cell"}[class.Group], where),
 				"a pool of one such group, or no repeat after a call that may have run")
 		}
 	}
 	if afterRun.Has(hoptiller.Timeout) && deadline > 0 && p.Attempts > 1 && time.Duration(p.Attempts)*p.Timeout > deadline {
-		addFinding(p.locations.lookup("timeout"), "total-time", fmt.Sprintf("%d attempts of %s are more than the %s that a client waits %s",
-			p.Attempts, formatTime(p.Timeout), formatTime(deadline), where), "up to "+formatTime(deadline/time.Duration(p.Attempts)))
+		addFinding(p.locations.lookup("timeout"), "total-time",
+			fmt.Sprintf("%d attempts of %s are more than the %s that a client waits %s",
+				p.Attempts, formatTime(p.Timeout), formatTime(deadline), where), "up to "+formatTime(deadline/time.Duration(p.Attempts)))
 	}
 }
 
@@ -164,7 +178,8 @@
 func (c *checker) checkRoutes() {
 	all := c.plan.matchers()
 	if len(all) > maxMatchers {
-		c.addFinding(c.routes[0].locations[""], "routes", fmt.Sprintf("the routes make %d combinations of key and client", len(all)), fmt.Sprintf("up to %d", maxMatchers))
+		c.addFinding(c.routes[0].locations[""], "routes",
+			fmt.Sprintf("the routes make %d combinations of key and client", len(all)), fmt.Sprintf("up to %d", maxMatchers))
 		return
 	}
 	reached, tied := map[*Route]bool{}, map[[2]*Route]bool{}
@@ -204,12 +219,15 @@
 		if other.locations[""].pos.Compare(later.locations[""].pos) > 0 {
 			later, other = other, later
 		}
-		c.addFinding(later.locations[""], "precedence", fmt.Sprintf("routes %s and %s fit the same requests, and neither takes precedence", other.Name, later.Name),
+		c.addFinding(later.locations[""], "precedence",
+			fmt.Sprintf("routes %s and %s fit the same requests, and neither takes precedence", other.Name, later.Name),
 			"a rank for one of them")
 	}
 	for _, r := range c.routes {
 		if blockedBy := blocker[r]; !reached[r] && blockedBy != nil {
-			c.addFinding(r.locations[""], "unreachable", fmt.Sprintf("no request reaches route %s: all that fit it go to route %s or others with precedence", r.Name, blockedBy.Name), "")
+			c.addFinding(r.locations[""], "unreachable",
+				fmt.Sprintf("no request reaches route %s: all that fit it go to route %s or others with precedence",
+					r.Name, blockedBy.Name), "")
 		}
 	}
 }
@@ -227,22 +245,26 @@
 				maximum, name = x.n, x.name
 			}
 		}
-		c.addFinding(l.locations.lookup(name), "descriptors", fmt.Sprintf("the connections are %d, and of %d descriptors 24 are for the program itself", total, p.Sockets),
+		c.addFinding(l.locations.lookup(name), "descriptors",
+			fmt.Sprintf("the connections are %d, and of %d descriptors 24 are for the program itself", total, p.Sockets),
 			fmt.Sprintf("up to %d in all", spare))
 	}
 	if maximum := 8 * int(p.MemoryMB); maximum > 0 && l.Clients > maximum {
-		c.addFinding(l.locations.lookup("clients"), "memory", fmt.Sprintf("%d client connections do not fit %d MB", l.Clients, p.MemoryMB), fmt.Sprintf("up to %d", maximum))
+		c.addFinding(l.locations.lookup("clients"), "memory",
+			fmt.Sprintf("%d client connections do not fit %d MB", l.Clients, p.MemoryMB), fmt.Sprintf("up to %d", maximum))
 	}
 	if maximum := 2 * int(p.MemoryMB); maximum > 0 && l.Open > maximum {
-		c.addFinding(l.locations.lookup("open"), "memory", fmt.Sprintf("%d open invocations do not fit %d MB", l.Open, p.MemoryMB), fmt.Sprintf("up to %d", maximum))
+		c.addFinding(l.locations.lookup("open"), "memory",
+			fmt.Sprintf("%d open invocations do not fit %d MB", l.Open, p.MemoryMB), fmt.Sprintf("up to %d", maximum))
 	}
 	if l.Queue > 0 && l.Concurrency.Most == 0 {
 		c.addFinding(l.locations.lookup("queue"), "queue", "a queue without a limit to wait for", "concurrency beside it")
 	}
 	for i := range p.Settings.Classes {
 		if aim := p.Settings.Classes[i].Aim; aim > 0 && l.QueueFor >= aim {
-			c.addFinding(l.locations.lookup("queue"), "queue-time", fmt.Sprintf("a request may wait %s in the queue, and an answer to %s is due within %s",
-				formatTime(l.QueueFor), p.Classes[i], formatTime(aim)), "less than "+formatTime(aim))
+			c.addFinding(l.locations.lookup("queue"), "queue-time",
+				fmt.Sprintf("a request may wait %s in the queue, and an answer to %s is due within %s",
+					formatTime(l.QueueFor), p.Classes[i], formatTime(aim)), "less than "+formatTime(aim))
 			break
 		}
 	}
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -153,12 +153,14 @@
 func (p *Plan) sections() map[string][]Field {
 	all := map[string][]Field{
 		"limits": {{"clients", countText(p.Limits.Clients)}, {"open", countText(p.Limits.Open)},
-			{"providers", countText(p.Limits.Providers)}, {"origin", countText(p.Limits.Origin)}, {"places", strconv.Itoa(cmp.Or(p.Limits.Places, 14))},
+			{"providers", countText(p.Limits.Providers)}, {"origin", countText(p.Limits.Origin)},
+			{"places", strconv.Itoa(cmp.Or(p.Limits.Places, 14))},
 			{"concurrency", concurrencyText(p.Limits.Concurrency)}, {"queue", queueText(p.Limits.Queue, p.Limits.QueueFor)}},
 		"log": {{"level", p.Log.Level}, {"format", p.Log.Format}, {"rate", unit.Format(p.Log.Rate, unit.Rate)}},
 	}
 	f := p.Fleet
-	all["fleet"] = []Field{{"view", cmp.Or(f.View, "as the settings have it")}, {"out", f.Out.text("1")}, {"out-zone", f.OutZone.text("any")},
+	all["fleet"] = []Field{{"view", cmp.Or(f.View, "as the settings have it")}, {"out", f.Out.text("1")},
+		{"out-zone", f.OutZone.text("any")},
 		{"caches", f.Caches.text("1")}, {"caches-zone", f.CachesZone.text("any")}}
 	for name, l := range p.Listeners {
 		all["listener "+name] = []Field{{"address", l.Addr}}
@@ -210,7 +212,8 @@
 func (p *Plan) matchFields(r *Route) []Field {
 	return []Field{
 		{"class", numberNames(r.Classes, p.platform.Classes)}, {"key", joinTexts(r.Keys, strconv.Quote)},
-		{"tenant", joinTexts(r.Tenants, strconv.Quote)}, {"client", joinTexts(r.Clients, netip.Prefix.String)}, {"rank", strconv.Itoa(r.Rank)},
+		{"tenant", joinTexts(r.Tenants, strconv.Quote)},
+		{"client", joinTexts(r.Clients, netip.Prefix.String)}, {"rank", strconv.Itoa(r.Rank)},
 	}
 }
 
@@ -218,7 +221,8 @@
 	// The fields cover the whole chain of fallbacks, since the fallback of an empty pool is part of its behaviour.
 	var zones, kinds, cells, addrs, least []string
 	for n := 0; pool != nil && n <= len(p.Pools); n++ {
-		zones, kinds = append(zones, numberNames(pool.Zones, p.platform.Zones)), append(kinds, numberNames(pool.Kinds, p.platform.Kinds))
+		zones, kinds = append(zones, numberNames(pool.Zones, p.platform.Zones)),
+			append(kinds, numberNames(pool.Kinds, p.platform.Kinds))
 		cells, addrs = append(cells, numberNames(pool.Cells, nil)), append(addrs, joinTexts(pool.Addrs, strings.Clone))
 		least = append(least, strconv.Itoa(pool.AtLeast))
 		pool = p.Pools[pool.Fallback]
@@ -227,7 +231,8 @@
 		return []Field{{"zone", "any"}, {"kind", "any"}, {"cell", "any"}, {"address", "any"}, {"at-least", "1"}}
 	}
 	join := func(s []string) string { return strings.Join(s, ", else ") }
-	return []Field{{"zone", join(zones)}, {"kind", join(kinds)}, {"cell", join(cells)}, {"address", join(addrs)}, {"at-least", join(least)}}
+	return []Field{{"zone", join(zones)}, {"kind", join(kinds)}, {"cell", join(cells)}, {"address", join(addrs)},
+		{"at-least", join(least)}}
 }
 
 // policyFields returns the fields of a policy. For a class of 0 or more they include what the settings fill in.
@@ -252,10 +257,12 @@
 		{"attempts", textOr(values.Attempts > 0, strconv.Itoa(values.Attempts), unstated)},
 		{"repeat", repeat},
 		{"copies", textOr(values.Copies > 0, strconv.Itoa(values.Copies), unstated)},
-		{"budget", textOr(values.BudgetSaid, unit.Format(values.Budget, unit.Fraction)+" least "+unit.Format(values.BudgetLeast, unit.Rate), unstated)},
+		{"budget", textOr(values.BudgetSaid,
+			unit.Format(values.Budget, unit.Fraction)+" least "+unit.Format(values.BudgetLeast, unit.Rate), unstated)},
 		{"concurrency", concurrencyText(values.Concurrency)},
 		{"queue", queueText(values.Queue, values.QueueFor)},
-		{"rate", textOr(values.Rate > 0, unit.Format(values.Rate, unit.Rate)+" burst "+strconv.FormatFloat(values.Burst, 'g', -1, 64), "no limit")},
+		{"rate", textOr(values.Rate > 0,
+			unit.Format(values.Rate, unit.Rate)+" burst "+strconv.FormatFloat(values.Burst, 'g', -1, 64), "no limit")},
 		{"priority", strconv.Itoa(values.Priority)},
 	}
 }
--- a/internal/plan/load.go
+++ b/internal/plan/load.go
@@ -111,7 +111,8 @@
 // Load reads a file with its includes and returns its plan. If there are findings, the plan is nil and the report
 // lists all of them, in the order of the text. Paths in an include are relative to the file with the include.
 func Load(name string, read func(name string) ([]byte, error), p *Platform) (*Plan, *Report) {
-	l := &loader{read: read, report: &Report{texts: map[string][]string{}}, loaded: map[string]bool{}, constants: map[string]*constant{}}
+	l := &loader{read: read, report: &Report{texts: map[string][]string{}}, loaded: map[string]bool{},
+		constants: map[string]*constant{}}
 	l.loadFile(filepath.Clean(name), location{opfile.Pos{File: name, Line: 1, Column: 1}, 0})
 	var statements []*statement
 	for _, s := range l.statements {
@@ -133,7 +134,8 @@
 
 func (l *loader) addFinding(loc location, rule, what, accept string) {
 	if len(l.report.Findings) < maxFindings {
-		l.report.Findings = append(l.report.Findings, &opfile.Finding{Pos: loc.pos, Width: loc.width, Rule: rule, Text: what, Accept: accept})
+		l.report.Findings = append(l.report.Findings,
+			&opfile.Finding{Pos: loc.pos, Width: loc.width, Rule: rule, Text: what, Accept: accept})
 	}
 }
 
@@ -144,14 +146,16 @@
 // loadFile loads the statements of a file. A file that is included more than once is loaded once.
 func (l *loader) loadFile(name string, loc location) {
 	if i := slices.Index(l.includeChain, name); i >= 0 {
-		l.addFinding(loc, "include-cycle", "these files include one another: "+strings.Join(append(slices.Clone(l.includeChain[i:]), name), " -> "), "")
+		l.addFinding(loc, "include-cycle",
+			"these files include one another: "+strings.Join(append(slices.Clone(l.includeChain[i:]), name), " -> "), "")
 		return
 	}
 	switch {
 	case l.loaded[name]:
 		return
 	case len(l.loaded) >= maxFiles || len(l.includeChain) >= maxIncludeDepth:
-		l.addFinding(loc, "includes", fmt.Sprintf("more than %d files, or more than %d that include one another", maxFiles, maxIncludeDepth), "")
+		l.addFinding(loc, "includes", fmt.Sprintf("more than %d files, or more than %d that include one another",
+			maxFiles, maxIncludeDepth), "")
 		return
 	}
 	l.loaded[name] = true
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -126,16 +126,19 @@
 		if e.Route == nil || e.Route.Name != c.want {
 			t.Errorf("%+v: %+v", c, e.Route)
 		}
-		if explained, fields, reasons := plan.Explain(c.class, c.key, c.tenant, netip.MustParseAddr(c.client)); explained != e || len(fields) == 0 || len(reasons) == 0 {
+		if explained, fields, reasons := plan.Explain(c.class, c.key, c.tenant, netip.MustParseAddr(c.client)); explained != e ||
+			len(fields) == 0 || len(reasons) == 0 {
 			t.Errorf("explained as %+v: %v", explained, reasons)
 		}
 	}
 	e := plan.Table().Lookup(0, []byte("urgent:"), nil, netip.Addr{})
-	if p := e.Policy; p.Timeout != 3500*time.Millisecond || p.Attempts != 2 || p.Repeat != NeverRan || p.Budget != 0.1 || p.BudgetLeast != 3 ||
+	if p := e.Policy; p.Timeout != 3500*time.Millisecond || p.Attempts != 2 || p.Repeat != NeverRan ||
+		p.Budget != 0.1 || p.BudgetLeast != 3 ||
 		e.Pool.Fallback != "near" || e.Pool.AtLeast != 2 {
 		t.Errorf("%+v", e)
 	}
-	if e := plan.Table().Lookup(1, nil, nil, netip.Addr{}); e.Policy.Timeout != 5*time.Second || e.Policy.Attempts != 5 || e.Policy.Priority != 9 ||
+	if e := plan.Table().Lookup(1, nil, nil, netip.Addr{}); e.Policy.Timeout != 5*time.Second ||
+		e.Policy.Attempts != 5 || e.Policy.Priority != 9 ||
 		!e.Policy.Concurrency.Adaptive || e.Policy.Queue != 20 || e.Policy.QueueFor != 50*time.Millisecond {
 		t.Errorf("%+v", e)
 	}
@@ -157,10 +160,13 @@
 	for _, c := range []struct{ files, want string }{
 		{base, ""},
 		{"include 1\nroute b { class $c } # x\nroute a {\n\tpool other\n\tpolicy w\n}\n|const c book\nconst t 1000ms\npolicy w {timeout $t}\npool other {zone regina}\npolicy unused {}\n", ""},
-		{strings.Replace(base, "1s", "$t", 1) + "const t 900ms\n", "~ policy p\n    timeout: 1s -> 900ms\n~ route a\n    timeout: 1s -> 900ms\n"},
+		{strings.Replace(base, "1s", "$t", 1) + "const t 900ms\n",
+			"~ policy p\n    timeout: 1s -> 900ms\n~ route a\n    timeout: 1s -> 900ms\n"},
 		{strings.Replace(base, "timeout 1s", "timeout 1s\n\tattempts 5", 1), ""},
-		{strings.Replace(base, "zone regina", "zone winnipeg", 1), "~ pool q\n    zone: regina -> winnipeg\n~ route a\n    zone: regina -> winnipeg\n"},
-		{strings.Replace(base, "class book", "class cancel", 1) + "limits {\n\tclients 9\n}\n", "~ limits\n    clients: as the platform says -> 9\n~ route b\n    class: book -> cancel\n"},
+		{strings.Replace(base, "zone regina", "zone winnipeg", 1),
+			"~ pool q\n    zone: regina -> winnipeg\n~ route a\n    zone: regina -> winnipeg\n"},
+		{strings.Replace(base, "class book", "class cancel", 1) + "limits {\n\tclients 9\n}\n",
+			"~ limits\n    clients: as the platform says -> 9\n~ route b\n    class: book -> cancel\n"},
 	} {
 		b, report := loadTexts(strings.Split(c.files, "|")...)
 		if b == nil {
@@ -175,7 +181,8 @@
 		}
 	}
 	b, _ := loadTexts("")
-	if d := Diff(a, b); len(d) != 2 || !strings.HasPrefix(d[0].String(), "- route a\n    class: any\n") || !strings.HasPrefix(Diff(b, a)[0].String(), "+ route a\n") {
+	if d := Diff(a, b); len(d) != 2 || !strings.HasPrefix(d[0].String(), "- route a\n    class: any\n") ||
+		!strings.HasPrefix(Diff(b, a)[0].String(), "+ route a\n") {
 		t.Errorf("%v", d)
 	}
 }
--- a/internal/plan/property_test.go
+++ b/internal/plan/property_test.go
@@ -16,15 +16,19 @@
 // alternatives have the same meaning, and few combinations are invalid.
 var statementChoices = [][]string{
 	{"", "log { level warn }"}, {"const quick 40ms", "const quick 0.04s", "const quick 900ms"},
-	{"pool a {"}, {"", "zone regina", "zone winnipeg", "zone saskatoon regina", "zone regina saskatoon"}, {"", "at-least 1", "at-least 2"}, {"", "fallback b"}, {"}"},
+	{"pool a {"}, {"", "zone regina", "zone winnipeg", "zone saskatoon regina", "zone regina saskatoon"},
+	{"", "at-least 1", "at-least 2"}, {"", "fallback b"}, {"}"},
 	{"pool b {"}, {"", "zone regina", "zone winnipeg"}, {"}"},
 	{"policy a {"}, {"", "timeout $quick", "timeout 40ms", "timeout 2s", "timeout 2000ms"}, {"", "attempts 2", "attempts 5"},
-	{"", "repeat on full", "repeat on unreachable full", "repeat on full unreachable"}, {"", "rate 1/s", "rate 60/m", "rate 5/s burst 1"},
+	{"", "repeat on full", "repeat on unreachable full", "repeat on full unreachable"},
+	{"", "rate 1/s", "rate 60/m", "rate 5/s burst 1"},
 	{"", "concurrency 4", "concurrency adaptive 4 4"}, {"", "budget 10%"}, {"}"},
 	{"policy b {"}, {"", "timeout $quick", "repeat never"}, {"", "priority 3"}, {"}"},
-	{"route x {"}, {"class book", "class slot-view", "class cancel slot-view", "class slot-view cancel"}, {"", "key k", "key \"k\"", "key kk l"},
+	{"route x {"}, {"class book", "class slot-view", "class cancel slot-view", "class slot-view cancel"},
+	{"", "key k", "key \"k\"", "key kk l"},
 	{"", "rank 0", "rank 1"}, {"", "pool a", "pool b"}, {"", "policy a", "policy b"}, {"}"},
-	{"route y {"}, {"", "key k"}, {"rank 2", "rank 3"}, {"", "client 10.0.0.0/8"}, {"tenant t", "tenant t u", "tenant u t"}, {"", "pool a", "pool b"}, {"", "policy a", "policy b"}, {"}"},
+	{"route y {"}, {"", "key k"}, {"rank 2", "rank 3"}, {"", "client 10.0.0.0/8"},
+	{"tenant t", "tenant t u", "tenant u t"}, {"", "pool a", "pool b"}, {"", "policy a", "policy b"}, {"}"},
 }
 
 // composeFile returns the file for some choices of alternatives.
--- a/internal/plan/release.go
+++ b/internal/plan/release.go
@@ -17,7 +17,7 @@
 type Release struct {
 	Name            string
 	Program         string         // digest of the program that updated routers show in the view
-	Settings        string         // digest of the settings that updated routers show; exactly one of Program and Settings is stated
+	Settings        string         // digest of the settings that they show; either Program or Settings is stated
 	Replace         []string       // command that replaces a router, with {number} and {address} as placeholders
 	Back            []string       // command that restores the previous version of a router
 	State           string         // folder for the state that the driver must keep
@@ -49,7 +49,8 @@
 // LoadRelease reads a release plan in the way in which Load reads an operator's file. A relative path of the state
 // folder is relative to the plan's folder.
 func LoadRelease(name string, read func(name string) ([]byte, error)) (*Release, *Report) {
-	l := &loader{read: read, report: &Report{texts: map[string][]string{}}, loaded: map[string]bool{}, constants: map[string]*constant{}}
+	l := &loader{read: read, report: &Report{texts: map[string][]string{}}, loaded: map[string]bool{},
+		constants: map[string]*constant{}}
 	l.loadFile(filepath.Clean(name), location{opfile.Pos{File: name, Line: 1, Column: 1}, 0})
 	c := &checker{loader: l, definitions: map[string]location{}}
 	r := &Release{Canary: 1, First: 2, Grow: 2, Soak: 30 * time.Second, Settle: time.Minute, Permit: 2 * time.Minute, Requests: 500,
@@ -67,10 +68,12 @@
 		}
 	}
 	if len(releases) != 1 {
-		c.addFinding(location{opfile.Pos{File: name, Line: 1, Column: 1}, 0}, "release", fmt.Sprintf("%d releases", len(releases)), "one release NAME { ... }")
+		c.addFinding(location{opfile.Pos{File: name, Line: 1, Column: 1}, 0}, "release",
+			fmt.Sprintf("%d releases", len(releases)), "one release NAME { ... }")
 	}
 	if len(r.Routers) < 2 {
-		c.addFinding(location{opfile.Pos{File: name, Line: 1, Column: 1}, 0}, "routers", "fewer than two routers", `router 0 "127.0.0.1:9190"`)
+		c.addFinding(location{opfile.Pos{File: name, Line: 1, Column: 1}, 0}, "routers", "fewer than two routers",
+			`router 0 "127.0.0.1:9190"`)
 	}
 	if !filepath.IsAbs(r.State) {
 		r.State = filepath.Join(filepath.Dir(name), r.State)
@@ -85,7 +88,8 @@
 func (c *checker) parseRelease(s *statement, r *Release) {
 	name, ok := c.parseHeader(s, true)
 	if r.Name = name; len(name) > MaxReleaseName {
-		c.addFinding(s.loc, "values", fmt.Sprintf("the name has %d characters", len(name)), fmt.Sprintf("%d at the most", MaxReleaseName))
+		c.addFinding(s.loc, "values", fmt.Sprintf("the name has %d characters", len(name)),
+			fmt.Sprintf("%d at the most", MaxReleaseName))
 	}
 	parseCommand := func(target *[]string) func(*statement) {
 		return func(s *statement) {
@@ -102,7 +106,8 @@
 		return func(s *statement) {
 			if v, ok := c.singleValue(s); ok {
 				if _, err := strconv.ParseUint(v.text, 16, 32); err != nil || len(v.text) != 8 {
-					c.addFinding(v.loc, "figure", fmt.Sprintf("%q is not what a router shows", v.text), "eight digits, as bin/hoptiller fleet shows them: d1041006")
+					c.addFinding(v.loc, "figure", fmt.Sprintf("%q is not what a router shows", v.text),
+						"eight digits, as bin/hoptiller fleet shows them: d1041006")
 				}
 				*target = v.text
 			}
@@ -144,7 +149,8 @@
 		}
 	}
 	if r.Most > 0 && r.Most < max(r.First, r.Canary) {
-		c.addFinding(r.locations.lookup("most"), "bounds", fmt.Sprintf("a wave has at most %d routers, but the first ones have %d and %d", r.Most, r.Canary, r.First), "")
+		c.addFinding(r.locations.lookup("most"), "bounds",
+			fmt.Sprintf("a wave has at most %d routers, but the first ones have %d and %d", r.Most, r.Canary, r.First), "")
 	}
 }
 
@@ -156,7 +162,8 @@
 	}
 	n, err := strconv.Atoi(s.values[0].text)
 	if err != nil || n < 0 || n > maxRouterNumber {
-		c.addFinding(s.values[0].loc, "range", fmt.Sprintf("%q is not a router number", s.values[0].text), fmt.Sprintf("0 to %d", maxRouterNumber))
+		c.addFinding(s.values[0].loc, "range", fmt.Sprintf("%q is not a router number", s.values[0].text),
+			fmt.Sprintf("0 to %d", maxRouterNumber))
 		return
 	}
 	if before, defined := r.routerLocations[n]; defined {
--- a/internal/plan/table.go
+++ b/internal/plan/table.go
@@ -70,13 +70,13 @@
 
 // compare returns a positive number if a takes precedence over b, a negative one if b does, and 0 if neither does.
 func (a *matcher) compare(b *matcher) int {
-	isRestricted := func(r *matcher, count int) int { return min(1, count) }
+	presence := func(r *matcher, count int) int { return min(1, count) }
 	return cmp.Or(
 		cmp.Compare(a.route.Rank, b.route.Rank),
 		cmp.Compare(len(a.key), len(b.key)),
 		cmp.Compare(a.client.Bits(), b.client.Bits()), // -1 without a client prefix
-		cmp.Compare(isRestricted(a, len(a.route.Tenants)), isRestricted(b, len(b.route.Tenants))),
-		cmp.Compare(isRestricted(a, len(a.route.Classes)), isRestricted(b, len(b.route.Classes))),
+		cmp.Compare(presence(a, len(a.route.Tenants)), presence(b, len(b.route.Tenants))),
+		cmp.Compare(presence(a, len(a.route.Classes)), presence(b, len(b.route.Classes))),
 	)
 }
 
--- a/internal/plan/values.go
+++ b/internal/plan/values.go
@@ -33,7 +33,8 @@
 			parts = append(parts, v.text)
 		}
 		all := strings.Join(parts, " ")
-		c.addFinding(s.values[1].loc, "unit", fmt.Sprintf("%q could mean more than one time: each part but one lacks a unit, or they are to be added", all),
+		c.addFinding(s.values[1].loc, "unit",
+			fmt.Sprintf("%q could mean more than one time: each part but one lacks a unit, or they are to be added", all),
 			"one number with one unit, such as 1500ms or 1.5s")
 		return minimum
 	}
@@ -55,7 +56,8 @@
 		return minimum
 	}
 	if x < minimum || x > maximum {
-		c.addFinding(v.loc, "range", fmt.Sprintf("%s is %s", name, v.text), fmt.Sprintf("%s to %s", unit.Format(minimum, kind), unit.Format(maximum, kind)))
+		c.addFinding(v.loc, "range", fmt.Sprintf("%s is %s", name, v.text),
+			fmt.Sprintf("%s to %s", unit.Format(minimum, kind), unit.Format(maximum, kind)))
 		return minimum
 	}
 	return x
--- a/internal/unit/unit.go
+++ b/internal/unit/unit.go
@@ -58,7 +58,7 @@
 	if d < 0 {
 		sign = "-"
 	}
-	abs := func(x int64) int64 { return max(x, -x) } // applied to the quotient and the remainder, which do not overflow when they are negated
+	abs := func(x int64) int64 { return max(x, -x) } // for the quotient and the remainder, whose negation does not overflow
 	text := fmt.Sprintf("%s%d.%03d", sign, abs(int64(d)/chosen.numerator), abs(int64(d)%chosen.numerator/(chosen.numerator/1000)))
 	return strings.TrimSuffix(strings.TrimRight(text, "0"), ".") + " " + chosen.name
 }
@@ -66,7 +66,9 @@
 // splitUnit splits a quantity into its number and its unit.
 func splitUnit(text string) (number, unit string) {
 	text = strings.TrimSpace(text)
-	end := strings.IndexFunc(text, func(r rune) bool { return (r < '0' || r > '9') && r != '.' && r != '-' && r != '+' })
+	end := strings.IndexFunc(text, func(r rune) bool {
+		return (r < '0' || r > '9') && r != '.' && r != '-' && r != '+'
+	})
 	if end < 0 {
 		return text, ""
 	}
--- a/internal/unit/unit_test.go
+++ b/internal/unit/unit_test.go
@@ -12,7 +12,8 @@
 
 func TestDuration(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"250 ms": 250 * time.Millisecond, "1.5s": 1500 * time.Millisecond, "2 m": 2 * time.Minute, "0": 0, "0 s": 0, "40us": 40 * time.Microsecond,
+		"250 ms": 250 * time.Millisecond, "1.5s": 1500 * time.Millisecond, "2 m": 2 * time.Minute,
+		"0": 0, "0 s": 0, "40us": 40 * time.Microsecond,
 		"4273562.866 s": 4273562866 * time.Millisecond, // parsed as a floating-point number the result would be 1 ns more
 		"0.001 us":      1, "10000 h": 10000 * time.Hour, "9999.999999999 h": 10000*time.Hour - 3600, "+1 s": time.Second,
 	} {
@@ -21,7 +22,8 @@
 		}
 	}
 	for _, text := range []string{"", "5", "1s 500", "5 MB", "-1 s", "1e9 h", "ms", "1 fortnight", "NaN s", "99999 h",
-		"1.5 ns", "0.0001 us", "1.0000000001 s", ".5 s", "5. s", "1.2.3 s", "--1 s", "+-1 s", "1/2 s", "0x10 s", "1_000 s", "10000.0000001 h"} {
+		"1.5 ns", "0.0001 us", "1.0000000001 s", ".5 s", "5. s", "1.2.3 s",
+		"--1 s", "+-1 s", "1/2 s", "0x10 s", "1_000 s", "10000.0000001 h"} {
 		if d, err := ParseDuration(text); err == nil {
 			t.Errorf("%q is accepted as %v", text, d)
 		}
@@ -41,7 +43,8 @@
 // Parsing a formatted quantity of any kind returns the same quantity, and a text with too many digits is refused.
 func TestQuantityRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for kind, x := range map[Kind]float64{Fraction: rapid.Float64Range(0, 1).Draw(t, "part"), Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"),
+		for kind, x := range map[Kind]float64{Fraction: rapid.Float64Range(0, 1).Draw(t, "part"),
+			Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"),
 			Size: float64(rapid.Int64Range(0, 1<<50).Draw(t, "size")), Count: float64(rapid.Int64Range(0, 1<<50).Draw(t, "count"))} {
 			roundDigits := func(x float64) float64 {
 				x, _ = strconv.ParseFloat(strconv.FormatFloat(x, 'g', maxDigits, 64), 64)
@@ -55,7 +58,8 @@
 			}
 		}
 	})
-	for text, kind := range map[string]Kind{"1.5 B": Size, "0.5": Count, "33.3333333333333333%": Fraction, "0.1234567890123456/s": Rate} {
+	for text, kind := range map[string]Kind{"1.5 B": Size, "0.5": Count, "33.3333333333333333%": Fraction,
+		"0.1234567890123456/s": Rate} {
 		if x, err := Parse(text, kind); err == nil {
 			t.Errorf("%q is accepted as %v", text, x)
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -52,7 +52,8 @@
 }
 
 func TestDocumentedBatch(t *testing.T) {
-	events, err := decode(frame(7, instanceRecord, listRecord, endpointsRecord, requestRecord, timerRecord, outcomeRecord, disconnectRecord))
+	events, err := decode(frame(7, instanceRecord, listRecord, endpointsRecord, requestRecord, timerRecord,
+		outcomeRecord, disconnectRecord))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +165,8 @@
 
 // The flag that marks a retry by the client is decoded.
 func TestRetryFlag(t *testing.T) {
-	if events, err := decode(frame(2, instanceRecord, strings.Replace(requestRecord, "00 0100 0000", "00 0200 0000", 1))); err != nil ||
+	if events, err := decode(frame(2, instanceRecord,
+		strings.Replace(requestRecord, "00 0100 0000", "00 0200 0000", 1))); err != nil ||
 		!events[1].Request.Retry {
 		t.Errorf("a marked retry: %+v, error %v", events, err)
 	}
