--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,7 +34,7 @@
 	Peers       []string // one address for each router of the tier, including its own; none: not stated
 	PeerListen  string   // address for datagrams of other routers; empty: none
 	MayTell     bool     // routers may send each other datagrams
-	PeerFee     float64  // price of these datagrams; datagrams with a price must pay off
+	PeerFee     float64  // price of these datagrams; a datagram with a price must be worth it
 	ConnFees    bool     // connections or handshakes have a price
 	Digest      uint32   // digest of the settings without the parts that differ between routers
 	Doubts      string   // invalid parts of the text, each replaced by a safe value; empty: none
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -47,12 +47,12 @@
 		s.Tenants = append(s.Tenants, hoptiller.Tenant{Allowance: account.float("allowancePerS")})
 	}
 	for _, class := range r.list("classes") {
-		s.Classes = append(s.Classes, class.class())
+		s.Classes = append(s.Classes, class.parseClass())
 	}
 	return s, r.warnings, nil
 }
 
-// Larger values are capped to these, so that sums of a few values do not overflow.
+// Limits on the values in the settings. Larger values are capped, so that sums of a few values do not overflow.
 const (
 	maxTime   = 366 * 24 * time.Hour
 	maxNumber = 1e12
@@ -143,7 +143,7 @@
 	return objects
 }
 
-func (r *reader) class() hoptiller.Class {
+func (r *reader) parseClass() hoptiller.Class {
 	c := hoptiller.Class{
 		Aim: r.time("onTime"), Deadline: r.time("deadline"), Worth: r.float("worth"),
 		LateValue: r.float("lateValue"), KeyTTL: r.time("keyTtl"), Stream: r.bool("stream"),
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -304,9 +304,9 @@
 )
 
 // applyUpdate passes an update from a watch or a list call to the listener, unless a newer one has been passed on
-// since that call began. The version alone cannot tell: a service that has restarted may count from a lower version
-// than the known one. The first update of a watch cancels all older watches, which continued until then so that no
-// change in between was missed. Later updates from a cancelled watch are rejected.
+// since that call began. Comparing versions is not enough, since a service that has restarted may count from a lower
+// version than the known one. The first update of a watch cancels all older watches, which continued until then so
+// that no change in between was missed. Later updates from a cancelled watch are rejected.
 func (c *Client) applyUpdate(kind hoptiller.ListKind, u Update, w *watch) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -15,13 +15,13 @@
 // Registry is a client of the platform's discovery service. It implements Source.
 type Registry struct {
 	Addr  string
-	Times Times
+	Times Timeouts
 }
 
-// Times bounds the durations of calls to a discovery service. The router must know a change within 6 s after the
-// service has it and can be reached. So the longest call that fails and the longest wait before the next call must
+// Timeouts bounds the durations of calls to a discovery service. The router must know a change within 6 s after the
+// service has it and can be reached. So the longest failing call and the longest wait before the next call must
 // together stay below 6 s.
-type Times struct {
+type Timeouts struct {
 	Connect time.Duration // until the connection is established; a lost first packet is sent again after 1 s
 	Head    time.Duration // from the start of the call to the head of the answer; a loaded service answers late
 	First   time.Duration // from the start of the call to the first message or empty line
@@ -29,11 +29,11 @@
 }
 
 // PlatformTimes holds the limits for the platform's service, which itself gives up a call after 3 s.
-var PlatformTimes = Times{Connect: 1200 * time.Millisecond, Head: 3200 * time.Millisecond, First: 4200 * time.Millisecond,
+var PlatformTimes = Timeouts{Connect: 1200 * time.Millisecond, Head: 3200 * time.Millisecond, First: 4200 * time.Millisecond,
 	Silence: 3 * time.Second}
 
-// Longest returns how long a call or watch that has failed can remain undetected.
-func (t Times) Longest() time.Duration { return max(t.Head, t.First, t.Silence) }
+// Longest returns the longest time until the failure of a call or watch is detected.
+func (t Timeouts) Longest() time.Duration { return max(t.Head, t.First, t.Silence) }
 
 // maxMessage is the maximum length of a message, in bytes. A server takes about 130 bytes of a list, or twice that if
 // the list is indented, so more than 10,000 servers fit.
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -33,7 +33,7 @@
 func TestWatchThatFallsSilentLate(t *testing.T) {
 	t.Parallel()
 	const endless = 1 << 20
-	limits := Times{Connect: testprog.Patience, Head: time.Second, First: time.Second, Silence: time.Second}
+	limits := Timeouts{Connect: testprog.Patience, Head: time.Second, First: time.Second, Silence: time.Second}
 	for name, c := range map[string]struct {
 		line  string
 		times int
--- a/internal/opfile/format.go
+++ b/internal/opfile/format.go
@@ -53,9 +53,9 @@
 		}
 		b.WriteByte('}')
 	}
-	if s.Note != "" {
+	if s.TrailingComment != "" {
 		b.WriteByte(' ')
-		b.WriteString(trimComment(s.Note))
+		b.WriteString(trimComment(s.TrailingComment))
 	}
 	b.WriteByte('\n')
 }
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -45,7 +45,7 @@
 // Finding describes one fault in a file.
 type Finding struct {
 	Pos    Pos
-	Width  int    // number of characters that it concerns; 0 if it has no place in the text
+	Width  int    // number of characters that it concerns; 0 if the fault has no place in the text
 	Rule   string // name of the violated rule, stable across versions of the program
 	Text   string // description of the fault
 	Accept string // what is accepted instead
@@ -75,11 +75,11 @@
 
 // Statement is a name with its values, and possibly a block.
 type Statement struct {
-	Pos    lexer.Position
-	Name   string   `parser:"@Word"`
-	Values []*Value `parser:"@@*"`
-	Block  *Block   `parser:"@@?"`
-	Note   string   `parser:"@Comment?"` // the comment after it on the same line
+	Pos             lexer.Position
+	Name            string   `parser:"@Word"`
+	Values          []*Value `parser:"@@*"`
+	Block           *Block   `parser:"@@?"`
+	TrailingComment string   `parser:"@Comment?"` // the comment after it on the same line
 }
 
 // Value is one value in its source form. Exactly one of Word, Text and Const is set.
--- a/internal/opfile/opfile_test.go
+++ b/internal/opfile/opfile_test.go
@@ -34,7 +34,7 @@
 			if s.Block != nil {
 				list = append(contentWords(append(list, "{"), s.Block.Lines), "}")
 			}
-			list = append(list, trimComment(s.Note))
+			list = append(list, trimComment(s.TrailingComment))
 		}
 	}
 	return list
--- a/internal/plan/check.go
+++ b/internal/plan/check.go
@@ -265,7 +265,7 @@
 
 func (c *checker) parseRepeat(s *statement, p *Policy) {
 	c.rejectBlock(s)
-	p.RepeatStated = true
+	p.RetryStated = true
 	if len(s.values) == 1 && s.values[0].text == "never" {
 		return
 	}
@@ -277,7 +277,7 @@
 		known := false
 		for _, o := range outcomeNames {
 			if o.name == v.text {
-				p.Repeat |= Of(o.status)
+				p.Repeat |= OutcomeSet(o.status)
 				known = true
 			}
 		}
--- a/internal/plan/check_platform.go
+++ b/internal/plan/check_platform.go
@@ -87,7 +87,7 @@
 	if p.Copies > 1 && !set.SecondCopies {
 		c.addFinding(p.locations.lookup("copies"), "second-copies", "the settings allow no second copies", "copies 1")
 	}
-	if never := p.RepeatStated && p.Repeat == 0; p.Attempts > 1 && never {
+	if never := p.RetryStated && p.Repeat == 0; p.Attempts > 1 && never {
 		c.addFinding(p.locations.lookup("attempts"), "contradiction",
 			fmt.Sprintf("%d attempts, but a call is never repeated", p.Attempts), "attempts 1")
 	} else if p.BudgetSaid && (never || p.Attempts == 1) {
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -251,7 +251,7 @@
 		return otherwise
 	}
 	const unstated = "as the module decides"
-	repeat := textOr(values.RepeatStated, textOr(values.Repeat == 0, "never", "on "+outcomeList(values.Repeat)), unstated)
+	repeat := textOr(values.RetryStated, textOr(values.Repeat == 0, "never", "on "+outcomeList(values.Repeat)), unstated)
 	return []Field{
 		{"timeout", textOr(values.Timeout > 0, formatTime(values.Timeout), unstated)},
 		{"attempts", textOr(values.Attempts > 0, strconv.Itoa(values.Attempts), unstated)},
--- a/internal/plan/load.go
+++ b/internal/plan/load.go
@@ -26,7 +26,7 @@
 	maxMatchers = 2048
 )
 
-// Report lists the findings of Load.
+// Report lists the findings about a plan.
 type Report struct {
 	Findings []*opfile.Finding
 	texts    map[string][]string // lines of each file, for display
@@ -77,12 +77,13 @@
 type loader struct {
 	read         func(name string) ([]byte, error)
 	report       *Report
-	loaded       map[string]bool
-	includeChain []string // files that are being loaded; each includes the next one
+	loaded       map[string]bool // names of the files that have been loaded
+	includeChain []string        // files that are being loaded; each includes the next one
 	statements   []*opfile.Statement
 	constants    map[string]*constant
 }
 
+// constant is a constant with its unresolved and its resolved values.
 type constant struct {
 	loc       location
 	raw       []*opfile.Value
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -28,11 +28,11 @@
 // Outcomes is a set of outcomes of a call.
 type Outcomes uint16
 
-// Of returns the set of one outcome.
-func Of(s hoptiller.Status) Outcomes { return 1 << s }
+// OutcomeSet returns the set of one outcome.
+func OutcomeSet(s hoptiller.Status) Outcomes { return 1 << s }
 
 // Has reports whether an outcome is in the set.
-func (o Outcomes) Has(s hoptiller.Status) bool { return o&Of(s) != 0 }
+func (o Outcomes) Has(s hoptiller.Status) bool { return o&OutcomeSet(s) != 0 }
 
 // outcomeNames maps the outcomes after which a call may be retried to their names. The fetch that follows a miss is
 // not a retry, and the decision module handles attempts that the router itself has cancelled.
@@ -72,22 +72,22 @@
 
 // Policy restricts what the decision module may do for a request. Zero values restrict nothing.
 type Policy struct {
-	Name         string
-	Timeout      time.Duration // timeout of one call
-	Attempts     int           // number of calls, including the first, without fetches after a miss
-	Repeat       Outcomes      // outcomes after which a retry is allowed
-	RepeatStated bool          // the file states Repeat
-	Copies       int           // number of calls in flight at once
-	Budget       float64       // retries for each request, as a fraction
-	BudgetLeast  float64       // retries per second that are always allowed
-	BudgetSaid   bool          // the file states a budget
-	Concurrency  Concurrency
-	Queue        int           // number of requests that may wait for another one to end
-	QueueFor     time.Duration // longest wait in the queue
-	Rate         float64       // requests per second; 0: no limit
-	Burst        float64       // number of requests that may exceed the rate at once
-	Priority     int           // 0 to 9; the lowest priority is shed first
-	locations    locationMap
+	Name        string
+	Timeout     time.Duration // timeout of one call
+	Attempts    int           // number of calls, including the first, without fetches after a miss
+	Repeat      Outcomes      // outcomes after which a retry is allowed
+	RetryStated bool          // the file states Repeat, even if it is empty
+	Copies      int           // number of calls in flight at once
+	Budget      float64       // retries for each request, as a fraction
+	BudgetLeast float64       // retries per second that are always allowed
+	BudgetSaid  bool          // the file states a budget
+	Concurrency Concurrency
+	Queue       int           // number of requests that may wait for another one to end
+	QueueFor    time.Duration // longest wait in the queue
+	Rate        float64       // requests per second; 0: no limit
+	Burst       float64       // number of requests that may exceed the rate at once
+	Priority    int           // 0 to 9; the lowest priority is shed first
+	locations   locationMap
 }
 
 // Route assigns a pool and a policy to the requests that it matches. If several routes match, the order of precedence
--- a/internal/plan/release.go
+++ b/internal/plan/release.go
@@ -13,7 +13,7 @@
 	"hoptiller/internal/unit"
 )
 
-// Release is a parsed release plan. Its file is in the language of operators' files, with other statements.
+// Release is a parsed release plan. Its file uses the language of operators' files with other statements.
 type Release struct {
 	Name            string
 	Program         string         // digest of the program that updated routers show in the view
--- a/internal/plan/table.go
+++ b/internal/plan/table.go
@@ -139,7 +139,7 @@
 	if e.Attempts == 0 {
 		e.Attempts = set.MaxAttempts
 	}
-	if !e.RepeatStated {
+	if !e.RetryStated {
 		e.Repeat = AllOutcomes // the decision module still decides which of them it retries
 	}
 	if e.Copies == 0 {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -177,13 +177,13 @@
 
 func (r *Reader) readRequest(q *hoptiller.Request) {
 	q.ID = r.u32()
-	r.u32() // size
+	r.u32() // size, ignored
 	q.Remaining = r.time()
 	q.Class = int(r.u8())
 	flags := r.u16()
 	q.Write, q.Retry = flags&4 != 0, flags&2 != 0
 	q.Tenant = int(r.u16())
-	r.u32() // hint
+	r.u32() // hint, ignored
 	q.Key = r.u64()
 }
 
@@ -198,7 +198,7 @@
 	o.Request = r.u32()
 	code := r.u16()
 	o.Server = r.u32()
-	r.u32() // note
+	r.u32() // note, ignored
 	o.Latency = r.time()
 	o.Attempt = int(r.u16())
 	o.Closed = r.u8() != 0
