--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -11,14 +11,14 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Estimate is a mean and the half-width of its 95% confidence interval, by
-// Student's t. With one value nothing is known of the width: it is infinite.
+// Estimate is a mean with the half-width of its 95% confidence interval by Student's t-distribution. The half-width is
+// infinite for a single value.
 type Estimate struct {
 	Mean, Half float64
-	N          int
+	N          int // number of values
 }
 
-// NewEstimate estimates the mean of what values are drawn from.
+// NewEstimate estimates the mean of the distribution from which the values are drawn.
 func NewEstimate(values []float64) Estimate {
 	n := len(values)
 	if n == 0 {
@@ -33,8 +33,8 @@
 	return e
 }
 
-// Sure tells that the mean is not 0.
-func (e Estimate) Sure() bool { return math.Abs(e.Mean) > e.Half }
+// Significant reports whether the confidence interval excludes 0.
+func (e Estimate) Significant() bool { return math.Abs(e.Mean) > e.Half }
 
 func (e Estimate) String() string {
 	if math.IsInf(e.Half, 1) {
@@ -43,66 +43,67 @@
 	return fmt.Sprintf("%.4f ± %.4f", e.Mean, e.Half)
 }
 
-// Row is how one policy differs at one point.
+// Row holds how one policy differs between two results in one figure at one point of the sweep.
 type Row struct {
 	Policy, Point, Figure string
-	A, B                  Estimate
-	Difference            Estimate // B less A, of runs from the same seed
+	A, B                  Estimate // of the first and the second result
+	Difference            Estimate // B minus A, paired by seed
 }
 
-// Compare sets two results against each other, run by run of the same policy, point and seed.
-// What only one of them has is counted in missing.
+// Compare compares two results by pairs of runs with the same policy, point and seed. It returns a row for each policy,
+// point and figure, and the number of runs that only one of the results has.
 func Compare(a, b []*Record, figures []string) (rows []Row, missing int) {
 	type key struct {
 		policy, point string
 		seed          uint64
 	}
-	before := map[key]*Record{}
+	recordsOfA := map[key]*Record{}
 	for _, r := range a {
-		before[key{r.Policy, r.Point(), r.Seed}] = r
+		recordsOfA[key{r.Policy, r.Point(), r.Seed}] = r
 	}
 	type group struct{ policy, point string }
 	var order []group
 	pairs := map[group][][2]*Record{}
 	for _, r := range b {
 		k := key{r.Policy, r.Point(), r.Seed}
-		was := before[k]
-		if was == nil {
+		recordOfA := recordsOfA[k]
+		if recordOfA == nil {
 			missing++
 			continue
 		}
-		delete(before, k)
+		delete(recordsOfA, k)
 		g := group{r.Policy, r.Point()}
 		if !slices.Contains(order, g) {
 			order = append(order, g)
 		}
-		pairs[g] = append(pairs[g], [2]*Record{was, r})
+		pairs[g] = append(pairs[g], [2]*Record{recordOfA, r})
 	}
 	for _, g := range order {
 		for _, figure := range figures {
-			var x, y, d []float64
+			var valuesA, valuesB, differences []float64
 			for _, p := range pairs[g] {
-				was, ok := p[0].Value(figure)
-				is, ok2 := p[1].Value(figure)
+				a, ok := p[0].Value(figure)
+				b, ok2 := p[1].Value(figure)
 				if ok && ok2 {
-					x, y, d = append(x, was), append(y, is), append(d, is-was)
+					valuesA, valuesB, differences = append(valuesA, a), append(valuesB, b), append(differences, b-a)
 				}
 			}
-			if len(d) > 0 {
-				rows = append(rows, Row{g.policy, g.point, figure, NewEstimate(x), NewEstimate(y), NewEstimate(d)})
+			if len(differences) > 0 {
+				rows = append(rows, Row{g.policy, g.point, figure,
+					NewEstimate(valuesA), NewEstimate(valuesB), NewEstimate(differences)})
 			}
 		}
 	}
-	return rows, missing + len(before)
+	return rows, missing + len(recordsOfA)
 }
 
-// WriteComparison writes rows as a table. What is sure to differ is marked.
+// WriteComparison writes rows as a table. A * marks a significant difference.
 func WriteComparison(out io.Writer, rows []Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "policy\tpoint\tfigure\tbefore\tafter\tdifference\t")
 	for _, r := range rows {
 		mark := ""
-		if r.Difference.Sure() {
+		if r.Difference.Significant() {
 			mark = "*"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.4f\t%.4f\t%v\t%s\n", r.Policy, r.Point, r.Figure, r.A.Mean, r.B.Mean, r.Difference, mark)
@@ -110,8 +111,8 @@
 	return w.Flush()
 }
 
-// WriteSummary writes a table of the means by policy and point. Points are named by the figure x, or if
-// that is empty by all that was swept.
+// WriteSummary writes a table of the means by policy and point. A point is named by its value of the figure x, or by
+// the values of all swept figures if x is not one of them.
 func WriteSummary(out io.Writer, records []*Record, x string) error {
 	name := func(r *Record) string {
 		if v, ok := r.At[x]; ok {
@@ -146,19 +147,19 @@
 			return sum / float64(len(runs[g]))
 		}
 		var scores []float64
-		broken := map[string]int{}
+		violations := map[string]int{}
 		for _, r := range runs[g] {
 			scores = append(scores, r.Score)
 			for _, v := range r.Violations {
-				broken[v.Rule]++
+				violations[v.Rule]++
 			}
 		}
-		text := ""
-		for _, rule := range sortedKeys(broken) {
-			text += fmt.Sprintf("%s ", rule)
+		brokenRules := ""
+		for _, rule := range sortedKeys(violations) {
+			brokenRules += fmt.Sprintf("%s ", rule)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%v\t%.4f\t%.4f\t%.1f\t%.2f\t%.3f\t%.3f\t%.3f\t%s\t\n", g.point, g.policy, NewEstimate(scores),
-			mean("service"), mean("worst"), mean("fetches"), mean("fetch_peak"), mean("calls"), mean("tries"), mean("waste"), text)
+			mean("service"), mean("worst"), mean("fetches"), mean("fetch_peak"), mean("calls"), mean("tries"), mean("waste"), brokenRules)
 	}
 	return w.Flush()
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 	"hoptiller/internal/unit"
 )
 
-const small = `title = "small"
+const smallExperiment = `title = "small"
 policies = ["hoptiller", "ring"]
 seeds = 2
 [day]
@@ -30,7 +30,7 @@
 "fault.1.kind,fault.1.size" = [["crash", 0], ["errors", 0.5]]
 `
 
-// Each bad file is told in one line: where, what, and what is meant.
+// The error for each bad file is one line that names the position, the fault and the values that are allowed.
 func TestBadFiles(t *testing.T) {
 	for text, want := range map[string]string{
 		"titel = \"x\"":                               `x.toml:1:1: there is no "titel"`,
@@ -59,9 +59,9 @@
 	}
 }
 
-// The same experiment gives the same bytes on one core and on four, and its results are read as they were written.
-func TestRun(t *testing.T) {
-	f, err := Parse("small.toml", []byte(small))
+// The same experiment gives the same bytes on one core and on four, and reading the results back gives equal records.
+func TestRunOnCores(t *testing.T) {
+	f, err := Parse("small.toml", []byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,29 +77,30 @@
 	if err := os.WriteFile(path, one.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	read, whole, err := ReadRecords(path)
-	if err != nil || !whole || len(read) != len(records) {
-		t.Fatalf("%d read, whole %v, %v", len(read), whole, err)
+	read, complete, err := ReadRecords(path)
+	if err != nil || !complete || len(read) != len(records) {
+		t.Fatalf("%d read, complete %v, %v", len(read), complete, err)
 	}
 	for i := range read {
 		if read[i].Score != records[i].Score || read[i].Point() != records[i].Point() {
-			t.Errorf("record %d is read as another", i)
+			t.Errorf("record %d differs after it was read back", i)
 		}
 	}
 	var table bytes.Buffer
-	if err := WriteTable(&table, records, "fault.1.kind", "service"); err != nil || !strings.HasPrefix(table.String(), "| fault.1.kind | hoptiller | ring |\n") ||
+	if err := WriteTable(&table, records, "fault.1.kind", "service"); err != nil ||
+		!strings.HasPrefix(table.String(), "| fault.1.kind | hoptiller | ring |\n") ||
 		strings.Count(table.String(), "**") != 4 {
 		t.Errorf("%v\n%s", err, &table)
 	}
 	rows, missing := Compare(records, read, []string{"score", "book.service"})
-	if len(rows) != 16 || missing != 0 || rows[0].Difference.Mean != 0 || rows[0].Difference.Sure() {
+	if len(rows) != 16 || missing != 0 || rows[0].Difference.Mean != 0 || rows[0].Difference.Significant() {
 		t.Errorf("%d rows, %d missing, %+v", len(rows), missing, rows[0])
 	}
 }
 
-// An interrupted run keeps what it has and says so.
+// An interrupted experiment keeps its finished runs and marks the results as incomplete.
 func TestInterrupted(t *testing.T) {
-	f, err := Parse("small.toml", []byte(small))
+	f, err := Parse("small.toml", []byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,8 +119,8 @@
 	if err := os.WriteFile(path, out.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if read, whole, err := ReadRecords(path); len(read) != 3 || whole || err != nil {
-		t.Errorf("%d read, whole %v, %v", len(read), whole, err)
+	if read, complete, err := ReadRecords(path); len(read) != 3 || complete || err != nil {
+		t.Errorf("%d read, complete %v, %v", len(read), complete, err)
 	}
 	if _, _, err := ReadRecords(os.DevNull); err != nil {
 		t.Error(err)
@@ -127,11 +128,11 @@
 	os.WriteFile(path, []byte("{\"policy\":\"x\"}\nnonsense\n"), 0o600)
 	var e *Error
 	if _, _, err := ReadRecords(path); !errors.As(err, &e) || e.Line != 2 {
-		t.Errorf("nonsense: %v", err)
+		t.Errorf("a line that is no JSON: %v", err)
 	}
 }
 
-// What is written of a day is read as the same day.
+// A day that is written as an experiment file and parsed again is the same day.
 func TestWrite(t *testing.T) {
 	for n := range 20 {
 		day := Draw(3, n)
@@ -146,22 +147,22 @@
 		a, _ := tree(&day)
 		b, _ := tree(&f.Day)
 		if len(differing(a, b)) > 0 || len(text) > 1500 {
-			t.Errorf("day %d is read as another: %v\n%s", n, differing(a, b), text)
+			t.Errorf("day %d differs after it was read back: %v\n%s", n, differing(a, b), text)
 		}
 	}
 }
 
 func TestEstimate(t *testing.T) {
-	e := NewEstimate([]float64{1, 2, 3, 4, 5}) // by a table of Student's t: 3 ± 2.776 * 1.5811 / sqrt(5)
-	if math.Abs(e.Mean-3) > 1e-9 || math.Abs(e.Half-1.963) > 0.001 || !e.Sure() {
+	e := NewEstimate([]float64{1, 2, 3, 4, 5}) // from a table of Student's t: 3 ± 2.776 * 1.5811 / sqrt(5)
+	if math.Abs(e.Mean-3) > 1e-9 || math.Abs(e.Half-1.963) > 0.001 || !e.Significant() {
 		t.Errorf("got %v", e)
 	}
-	if NewEstimate([]float64{4}).Sure() {
-		t.Error("one value is taken as sure")
+	if NewEstimate([]float64{4}).Significant() {
+		t.Error("a single value is taken as significant")
 	}
 }
 
-// A hunt against a policy with a known weakness finds it, and makes the day small.
+// A hunt against a policy with a known weakness finds it and simplifies the day.
 func TestHunt(t *testing.T) {
 	h := &Hunt{Policy: "random", Rivals: []string{"ring"}, Margin: 0.1, Seed: 5, Cores: 2, Shrink: 6}
 	var found []*Finding
@@ -170,14 +171,14 @@
 		t.Fatalf("%d played, %d found, %v", played, len(found), err)
 	}
 	for _, f := range found {
-		was := Draw(5, f.Number)
-		if len(f.Day.Faults) > len(was.Faults) || f.Day.Length > was.Length || f.What == "" {
+		drawn := Draw(5, f.Number)
+		if len(f.Day.Faults) > len(drawn.Faults) || f.Day.Length > drawn.Length || f.What == "" {
 			t.Errorf("day %d: %s, %+v", f.Number, f.What, f.Day)
 		}
 	}
 }
 
-// Times in a file are read in any unit.
+// Durations in a file may have any unit.
 func TestUnits(t *testing.T) {
 	f, err := Parse("x.toml", []byte("[day]\nlength = \"2 m\"\nnet.cross = \"1500us\"\ndirectory.notice = [\"1 s\", \"2 s\"]"))
 	if err != nil || f.Day.Length != unit.Duration(2*time.Minute) || f.Day.Net.Cross != unit.Duration(1500*time.Microsecond) {
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -1,8 +1,8 @@
-// Package experiment reads experiment files, plays what they ask for on all
-// cores, keeps the results as JSON lines, and compares and plots them.
+// Package experiment reads experiment files, plays their runs on all cores, writes the results as JSON lines, and
+// compares and tabulates them.
 //
-// It decides nothing of a day: the worlds are package model's, played by package
-// sim. Results hang on the file alone, not on the machine or the number of cores.
+// Package model defines the days and package sim plays them. Results depend on the file alone, not on the machine or the
+// number of cores.
 package experiment
 
 import (
@@ -23,51 +23,52 @@
 	"hoptiller/internal/plan"
 )
 
-// File is an experiment: days, each played by some policies from some seeds.
+// File is an experiment: the days that it describes are each played with several policies and seeds.
 type File struct {
 	Title    string         `toml:"title"`
-	Policies []string       `toml:"policies"` // hoptiller, or one of package rival, or either with "+" and a name of Operator
-	Seeds    int            `toml:"seeds"`    // played from day.seed on; 1 if not stated
-	Series   bool           `toml:"series"`   // keep what happens second by second
-	Day      model.Day      `toml:"day"`      // what differs from model.Prairie
-	Sweep    map[string]any `toml:"sweep"`    // figures of the day, or several with commas between, and their values
+	Policies []string       `toml:"policies"` // "hoptiller" or a name of package rival; see also Operator
+	Seeds    int            `toml:"seeds"`    // number of seeds, from day.seed on; 1 if not stated
+	Series   bool           `toml:"series"`   // record time series with one value a second
+	Day      model.Day      `toml:"day"`      // model.Prairie with the changes of the file
+	Sweep    map[string]any `toml:"sweep"`    // lists of values by a figure of the day, or by several figures separated by commas
 	Plot     Plot           `toml:"plot"`
 
-	// Operator names operator's files, by their paths beside this one, to be put round a policy.
+	// Operator holds the paths of operator's files, relative to this file, by name. A policy with "+" and such a name after
+	// it applies the limits of that file.
 	Operator map[string]string `toml:"operator"`
 
-	Engine Engine `toml:"-"` // that plays the days; virtual time if nil
+	Engine Engine `toml:"-"` // plays the days; in virtual time if nil
 
-	Name string `toml:"-"` // of the file, without its ending
+	Name string `toml:"-"` // of the file, without its extension
 	path string
 	text []byte
 }
 
-// Plot says what is drawn of the results.
+// Plot selects what is plotted of the results.
 type Plot struct {
-	X string   `toml:"x"` // a figure of the sweep; "time" for the course of the first run
-	Y []string `toml:"y"` // figures of the results, a plot each
+	X string   `toml:"x"` // a figure of the sweep, or "time" for the time series of the first run
+	Y []string `toml:"y"` // figures of the results; each gets a plot of its own
 }
 
-// Error is a fault of an experiment file.
+// Error is an error in an experiment file, with its position.
 type Error struct {
 	Path      string
-	Line, Col int // from 1; 0: not known
+	Line, Col int // from 1; 0 if unknown
 	Text      string
 }
 
 func (e *Error) Error() string {
-	where := e.Path
+	position := e.Path
 	if e.Line > 0 {
-		where += ":" + strconv.Itoa(e.Line)
+		position += ":" + strconv.Itoa(e.Line)
 	}
 	if e.Col > 0 {
-		where += ":" + strconv.Itoa(e.Col)
+		position += ":" + strconv.Itoa(e.Col)
 	}
-	return where + ": " + e.Text
+	return position + ": " + e.Text
 }
 
-// Load reads a file.
+// Load reads and parses an experiment file.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -76,7 +77,8 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of a file; path is for its messages.
+// Parse parses the text of an experiment file. The path appears in error messages, and paths in the file are relative
+// to its folder.
 func Parse(path string, text []byte) (*File, error) {
 	f, err := decode(text)
 	if err != nil {
@@ -105,11 +107,11 @@
 	if f.Plot.X == "time" && !f.Series {
 		return nil, f.fault("plot.x", "plot over \"time\": series = true is needed for that")
 	}
-	_, err = f.Points() // what a sweep asks for is checked before anything is played
+	_, err = f.Points() // checks all days of the sweep before any is played
 	return f, err
 }
 
-// Policy finds a policy by its name; nil if there is none.
+// Policy returns the policy of a name, or nil if there is none.
 func Policy(name string) sim.Policy {
 	if name == "hoptiller" {
 		return sim.Hoptiller
@@ -120,14 +122,15 @@
 	return nil
 }
 
-// policy finds a policy by its name, with the operator's file that may be named with it.
+// policy returns the policy of a name. If the name has a "+" and the name of an operator's file, the policy applies the
+// limits of that file.
 func (f *File) policy(name string, day *model.Day) (sim.Policy, error) {
-	base, operator, limited := strings.Cut(name, "+")
+	base, operator, hasOperator := strings.Cut(name, "+")
 	p := Policy(base)
 	if p == nil {
 		return nil, fmt.Errorf("policy %q is not known: hoptiller, %s are meant", base, strings.Join(rival.Names(), ", "))
 	}
-	if !limited {
+	if !hasOperator {
 		return p, nil
 	}
 	path := f.Operator[operator]
@@ -148,66 +151,70 @@
 	return sim.WithLimits(p, limits), nil
 }
 
+// decode decodes an experiment file over the defaults.
 func decode(text []byte) (*File, error) {
 	f := &File{Day: model.Prairie()}
-	if err := strict(text, f); err != nil {
+	if err := decodeStrict(text, f); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-func strict(text []byte, into any) error {
+// decodeStrict decodes TOML and returns an error for keys that the value has no field for.
+func decodeStrict(text []byte, into any) error {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	return d.Decode(into)
 }
 
-// Strict reads the text of a file in the lab's form into a value; what that has no place for is an *Error.
+// Strict decodes a TOML file of the lab into a value. Errors, among them keys that the value has no field for, are of
+// type *Error.
 func Strict(path string, text []byte, into any) error {
-	if err := strict(text, into); err != nil {
+	if err := decodeStrict(text, into); err != nil {
 		return locate(path, err)
 	}
 	return nil
 }
 
-// Fault is an *Error about a figure of a file, at the line that sets it: "day.fleet.caches", "step 2: at".
+// Fault returns an *Error about a figure of a file, such as "day.fleet.caches" or "step 2: at", at the line that sets it.
 func Fault(path string, text []byte, figure, what string) error {
 	return &Error{Path: path, Line: lineOf(text, figure), Text: what}
 }
 
-// FaultOf is that for an error of model.Day.Check.
+// FaultOf returns an *Error for an error of model.Day.Check, at the line that sets the figure.
 func FaultOf(path string, text []byte, err error) error {
-	return Fault(path, text, "day."+figure(err), err.Error())
+	return Fault(path, text, "day."+figureOf(err), err.Error())
 }
 
-// locate gives a decoder's error its place in the file.
+// locate converts an error of the decoder to an *Error with its position in the file.
 func locate(path string, err error) error {
-	var unknown *toml.StrictMissingError
-	if errors.As(err, &unknown) {
-		first := unknown.Errors[0]
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) {
+		first := unknownKeys.Errors[0]
 		line, col := first.Position()
 		return &Error{path, line, col, fmt.Sprintf("there is no %q", strings.Join(first.Key(), "."))}
 	}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		line, col := wrong.Position()
-		return &Error{path, line, col, strings.TrimPrefix(wrong.Error(), "toml: ")}
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		line, col := decodeError.Position()
+		return &Error{path, line, col, strings.TrimPrefix(decodeError.Error(), "toml: ")}
 	}
 	return &Error{Path: path, Text: strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
-// figure is the name with which an error of model.Day begins.
-func figure(err error) string {
+// figureOf returns the name of the figure with which an error of model.Day.Check begins.
+func figureOf(err error) string {
 	name, _, _ := strings.Cut(err.Error(), " is ")
 	return name
 }
 
-// fault says what is wrong with a figure, and where the file has it.
+// fault returns an *Error about a figure of this file, at the line that sets it.
 func (f *File) fault(name, text string) error {
 	return Fault(f.path, f.text, name, text)
 }
 
-// lineOf finds the line on which a figure is set, such as "day.fleet.caches" or "day.fault 2: zone"; 0 if none is.
+// lineOf returns the number of the line that sets a figure such as "day.fleet.caches" or "day.fault 2: zone", or 0 if no
+// line does.
 func lineOf(text []byte, name string) int {
 	section, counts := "", map[string]int{}
 	for i, line := range strings.Split(string(text), "\n") {
@@ -230,7 +237,7 @@
 	return 0
 }
 
-// sweeps tells whether a figure is swept.
+// sweeps reports whether a figure is part of the sweep.
 func (f *File) sweeps(figure string) bool {
 	for names := range f.Sweep {
 		for _, name := range strings.Split(names, ",") {
@@ -244,11 +251,12 @@
 
 // Point is one day of a sweep.
 type Point struct {
-	At  map[string]any // figures that were set
+	At  map[string]any // values of the swept figures
 	Day model.Day
 }
 
-// Points lists the days of the sweep, all values of all figures crossed; one day without a sweep.
+// Points returns the days of the sweep: each combination of the values of its entries. Without a sweep it returns the
+// day of the file.
 func (f *File) Points() ([]Point, error) {
 	var names []string
 	for name := range f.Sweep {
@@ -289,7 +297,7 @@
 	}
 	list := make([]Point, 0, len(points))
 	for _, at := range points {
-		day, err := f.with(at)
+		day, err := f.dayAt(at)
 		if err != nil {
 			return nil, err
 		}
@@ -298,8 +306,8 @@
 	return list, nil
 }
 
-// with is the file's day with some figures set anew, as if they stood in the file.
-func (f *File) with(at map[string]any) (model.Day, error) {
+// dayAt returns the day of the file with some figures changed, as if the file had these values.
+func (f *File) dayAt(at map[string]any) (model.Day, error) {
 	if len(at) == 0 {
 		return f.Day, nil
 	}
@@ -317,7 +325,7 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if !set(day, strings.Split(name, "."), at[name]) {
+		if !setPath(day, strings.Split(name, "."), at[name]) {
 			return model.Day{}, f.fault("sweep."+name, fmt.Sprintf("sweep of %q: the day has no such figure", name))
 		}
 	}
@@ -338,8 +346,9 @@
 	return g.Day, nil
 }
 
-// set puts a value at a path of tables and, by number from 1, arrays of tables.
-func set(into map[string]any, path []string, value any) bool {
+// setPath sets the value at a path of keys. In an array of tables the key is the number of the table, from 1. It reports
+// whether the path exists.
+func setPath(into map[string]any, path []string, value any) bool {
 	if len(path) == 1 {
 		into[path[0]] = value
 		return true
@@ -348,40 +357,42 @@
 	case nil:
 		table := map[string]any{}
 		into[path[0]] = table
-		return set(table, path[1:], value)
+		return setPath(table, path[1:], value)
 	case map[string]any:
-		return set(next, path[1:], value)
+		return setPath(next, path[1:], value)
 	case []any:
 		n, err := strconv.Atoi(path[1])
 		if err != nil || n < 1 || n > len(next) || len(path) < 3 {
 			return false
 		}
 		table, ok := next[n-1].(map[string]any)
-		return ok && set(table, path[2:], value)
+		return ok && setPath(table, path[2:], value)
 	}
 	return false
 }
 
-// Write gives the text of a file whose day differs from model.Prairie as day does.
+// Write returns the text of an experiment file with this day. The text has only the figures that differ from
+// model.Prairie.
 func Write(title string, policies []string, day *model.Day) ([]byte, error) {
-	differs, err := Differing(day)
+	changed, err := Differing(day)
 	if err != nil {
 		return nil, err
 	}
-	return toml.Marshal(map[string]any{"title": title, "policies": policies, "day": differs})
+	return toml.Marshal(map[string]any{"title": title, "policies": policies, "day": changed})
 }
 
-// Differing is how a day differs from model.Prairie, in the form of a file.
+// Differing returns the figures of a day that differ from model.Prairie, as tables of an experiment file.
 func Differing(day *model.Day) (map[string]any, error) {
 	base := model.Prairie()
-	was, err := tree(&base)
+	baseTables, err := tree(&base)
 	if err != nil {
 		return nil, err
 	}
-	is, err := tree(day)
-	return differing(is, was), err
+	tables, err := tree(day)
+	return differing(tables, baseTables), err
 }
 
+// tree converts a day to the tables of an experiment file.
 func tree(day *model.Day) (m map[string]any, err error) {
 	text, err := toml.Marshal(day)
 	if err == nil {
@@ -390,15 +401,16 @@
 	return m, err
 }
 
-func differing(is, was map[string]any) map[string]any {
+// differing returns the values of one tree that another one lacks or has with other values.
+func differing(tables, baseTables map[string]any) map[string]any {
 	out := map[string]any{}
-	for k, v := range is {
+	for k, v := range tables {
 		if table, ok := v.(map[string]any); ok {
-			before, _ := was[k].(map[string]any)
+			before, _ := baseTables[k].(map[string]any)
 			if d := differing(table, before); len(d) > 0 {
 				out[k] = d
 			}
-		} else if fmt.Sprint(v) != fmt.Sprint(was[k]) {
+		} else if fmt.Sprint(v) != fmt.Sprint(baseTables[k]) {
 			out[k] = v
 		}
 	}
--- a/internal/lab/experiment/hunt.go
+++ b/internal/lab/experiment/hunt.go
@@ -15,38 +15,38 @@
 	"hoptiller/internal/unit"
 )
 
-// Hunt looks for days on which a policy breaks a rule or serves less than a rival.
+// Hunt searches random days for some on which a policy violates an invariant or scores lower than a rival.
 type Hunt struct {
 	Policy string
-	Rivals []string // that it is held against; one that breaks a rule on a day does not count there
-	Margin float64  // by which a rival must be better
-	Seed   uint64   // the n-th day is the same for the same seed
-	Cores  int
-	Shrink int // steps that are tried to make a finding smaller
+	Rivals []string // policies to compare with; one that violates an invariant on a day is ignored for that day
+	Margin float64  // by which the score of a rival must be higher
+	Seed   uint64   // the same seed gives the same n-th day
+	Cores  int      // number of days played at once
+	Shrink int      // maximum number of simplifications of a finding
 }
 
-// Finding is one such day.
+// Finding is a day on which the policy violates an invariant or scores lower than a rival.
 type Finding struct {
 	Day    model.Day
-	Number int // of the day
-	What   string
+	Number int    // of the day, as given to Draw
+	What   string // the invariant or the rival
 	Ours   *tally.Result
 	Rival  string
-	Theirs float64 // score
+	Theirs float64 // score of the rival
 }
 
-// Run draws and plays days until ctx ends or most were played, and hands over each finding, made as small as
-// it gets. It tells how many days were played.
-func (h *Hunt) Run(ctx context.Context, most int, found func(*Finding)) (played int, err error) {
+// Run draws and plays days until ctx ends or the maximum number is reached. It simplifies each finding as far as Shrink
+// allows and passes it to found. It returns the number of days played.
+func (h *Hunt) Run(ctx context.Context, maxDays int, found func(*Finding)) (played int, err error) {
 	var mu sync.Mutex
 	g, gctx := errgroup.WithContext(ctx)
 	g.SetLimit(max(1, h.Cores))
-	for n := 0; n < most && ctx.Err() == nil; n++ {
+	for n := 0; n < maxDays && ctx.Err() == nil; n++ {
 		g.Go(func() error {
 			day := Draw(h.Seed, n)
 			f, err := h.try(gctx, day)
 			if err != nil {
-				return nil // time is up
+				return nil // ctx has ended
 			}
 			if f != nil {
 				f = h.shrink(gctx, f)
@@ -64,7 +64,7 @@
 	return played, g.Wait()
 }
 
-// try plays a day; nil if nothing is to be found there.
+// try plays a day and returns a finding, or nil if there is none.
 func (h *Hunt) try(ctx context.Context, day model.Day) (*Finding, error) {
 	if err := day.Check(); err != nil {
 		return nil, fmt.Errorf("a drawn day is impossible: %w", err)
@@ -92,11 +92,11 @@
 	return f, nil
 }
 
-// shrink makes a finding's day smaller as long as it still shows the same.
+// shrink simplifies the day of a finding step by step as long as the policy still fails in the same way.
 func (h *Hunt) shrink(ctx context.Context, f *Finding) *Finding {
-	again := *h
+	sameRival := *h
 	if f.Rival != "" {
-		again.Rivals = []string{f.Rival}
+		sameRival.Rivals = []string{f.Rival}
 	}
 	for range h.Shrink {
 		smaller := false
@@ -104,7 +104,7 @@
 			if day.Check() != nil {
 				continue
 			}
-			g, err := again.try(ctx, day)
+			g, err := sameRival.try(ctx, day)
 			if err != nil {
 				return f
 			}
@@ -120,7 +120,7 @@
 	return f
 }
 
-// smallerDays lists days that are simpler than one by one thing, the simplest first.
+// smallerDays returns simpler versions of a day. Each differs from the day in one respect.
 func smallerDays(day model.Day) (list []model.Day) {
 	add := func(change func(*model.Day)) {
 		d := day
@@ -177,7 +177,9 @@
 	return day
 }
 
-func drawFault(r *rand.Rand, day *model.Day, span func(a, b float64) unit.Duration, between func(a, b float64) float64) model.Fault {
+// drawFault draws a random fault. Some kinds take other sizes than the common range of 0.1 to 0.6.
+func drawFault(r *rand.Rand, day *model.Day, span func(a, b float64) unit.Duration,
+	between func(a, b float64) float64) model.Fault {
 	kinds := model.FaultKinds()
 	f := model.Fault{Kind: kinds[r.IntN(len(kinds))][0], At: span(2, 15), For: span(3, 15),
 		Part: float64(int(between(5, 30))) / 100, Size: float64(int(between(10, 60))) / 100, Count: 1 + r.IntN(3), Gap: span(0.5, 4),
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -26,11 +26,11 @@
 	Experiment string         `json:"experiment"`
 	Policy     string         `json:"policy"`
 	Seed       uint64         `json:"seed"`
-	At         map[string]any `json:"at,omitempty"` // the point of the sweep
+	At         map[string]any `json:"at,omitempty"` // values of the swept figures
 	*tally.Result
 }
 
-// Point names the point of a sweep, the same for equal ones.
+// Point returns the name of the record's point of the sweep. Equal points have equal names.
 func (r *Record) Point() string {
 	var parts []string
 	for _, k := range slices.Sorted(maps.Keys(r.At)) {
@@ -39,10 +39,11 @@
 	return strings.Join(parts, " ")
 }
 
-// Value is a figure of the result by the name it has in JSON; for a class "book.service" and the like.
+// Value returns a figure of the result by its JSON name. A figure of a class has the name of the class before it, such
+// as "book.service". It reports whether there is such a figure.
 func (r *Record) Value(name string) (float64, bool) {
 	class, figure, ofClass := strings.Cut(name, ".")
-	figures := *r.Result // without what is long and has no figure
+	figures := *r.Result // without the long lists, which hold no figures
 	figures.Series, figures.Violations = nil, nil
 	text, err := json.Marshal(figures)
 	if err != nil {
@@ -67,20 +68,21 @@
 	return x, ok
 }
 
-// interruption is the last line of results that are not all.
+// interruption is the last line of the results of an interrupted run.
 type interruption struct {
 	Interrupted bool `json:"interrupted"`
-	Done        int  `json:"done"`
-	Of          int  `json:"of"`
+	Done        int  `json:"done"` // number of runs that were finished
+	Of          int  `json:"of"`   // number of all runs
 }
 
-// job is one run that is to be done.
+// job is one run of the experiment.
 type job struct {
 	policy string
 	seed   uint64
 	point  Point
 }
 
+// jobs returns all runs of the experiment in the order of the results.
 func (f *File) jobs() ([]job, error) {
 	points, err := f.Points()
 	if err != nil {
@@ -97,27 +99,27 @@
 	return jobs, nil
 }
 
-// Run plays the experiment on so many cores (0: all) and writes a line for each run, in the same order
-// however many there are. done is called after each. When ctx ends, the runs that are over are kept, and
-// a last line says that others are missing.
-func (f *File) Run(ctx context.Context, cores int, out io.Writer, done func(n, of int, r *Record)) ([]*Record, error) {
+// Run plays the experiment on a number of cores (0: all) and writes a line for each run. The order of the lines doesn't
+// depend on the number of cores. done, if not nil, is called after each run with the number of finished runs and of all
+// runs. When ctx ends, Run keeps the finished runs and writes a last line that says that others are missing.
+func (f *File) Run(ctx context.Context, cores int, out io.Writer, done func(finished, total int, r *Record)) ([]*Record, error) {
 	jobs, err := f.jobs()
 	if err != nil {
 		return nil, err
 	}
 	engine := f.Engine
 	if engine == nil {
-		engine = f.virtual
+		engine = f.playVirtual
 	}
 	if cores <= 0 {
 		cores = runtime.GOMAXPROCS(0)
 	}
 	var (
-		mu      sync.Mutex
-		records = make([]*Record, len(jobs))
-		written int
-		count   int
-		g       errgroup.Group
+		mu       sync.Mutex
+		records  = make([]*Record, len(jobs))
+		written  int
+		finished int
+		g        errgroup.Group
 	)
 	g.SetLimit(cores)
 	for i, j := range jobs {
@@ -138,9 +140,9 @@
 			mu.Lock()
 			defer mu.Unlock()
 			records[i] = r
-			count++
+			finished++
 			if done != nil {
-				done(count, len(jobs), r)
+				done(finished, len(jobs), r)
 			}
 			for ; written < len(jobs) && records[written] != nil; written++ {
 				if err := writeLine(out, records[written]); err != nil {
@@ -182,19 +184,19 @@
 	return err
 }
 
-// ReadRecords reads the results of a run. whole tells whether all are there.
-func ReadRecords(path string) (records []*Record, whole bool, err error) {
+// ReadRecords reads the results of an experiment and reports whether they are complete.
+func ReadRecords(path string) (records []*Record, complete bool, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, false, err
 	}
-	whole = true
+	complete = true
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, 64<<20)
 	for n := 1; lines.Scan(); n++ {
 		var end interruption
 		if json.Unmarshal(lines.Bytes(), &end) == nil && end.Interrupted {
-			whole = false
+			complete = false
 			continue
 		}
 		r := &Record{Result: &tally.Result{}}
@@ -203,14 +205,14 @@
 		}
 		records = append(records, r)
 	}
-	return records, whole, lines.Err()
+	return records, complete, lines.Err()
 }
 
-// Engine plays one day with one policy.
+// Engine plays one day with the policy of a name. If series is set it records time series.
 type Engine func(ctx context.Context, day *model.Day, policy string, series bool) (*tally.Result, error)
 
-// virtual plays in virtual time.
-func (f *File) virtual(ctx context.Context, day *model.Day, policy string, series bool) (*tally.Result, error) {
+// playVirtual is an Engine that plays a day in virtual time.
+func (f *File) playVirtual(ctx context.Context, day *model.Day, policy string, series bool) (*tally.Result, error) {
 	p, err := f.policy(policy, day)
 	if err != nil {
 		return nil, err
@@ -218,9 +220,9 @@
 	return sim.Run(ctx, day, p, sim.Options{Series: series})
 }
 
-// Story plays one run again and tells the course of one request.
+// Story replays one run and records a trace of one request.
 func (f *File) Story(ctx context.Context, policy string, seed uint64, at map[string]any, s sim.Subject) (*tally.Result, error) {
-	day, err := f.with(at)
+	day, err := f.dayAt(at)
 	if err != nil {
 		return nil, err
 	}
@@ -232,7 +234,7 @@
 	return sim.Run(ctx, &day, p, sim.Options{Story: &s})
 }
 
-// play is a run without a file.
+// play plays a day without an experiment file.
 func play(ctx context.Context, day model.Day, policy string) (*tally.Result, error) {
 	return sim.Run(ctx, &day, Policy(policy), sim.Options{})
 }
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// WriteTable writes a figure's means as a Markdown table, a row for each value of the swept figure x and a
-// column for each policy. The best of a row is in bold; a + tells that some run broke a rule.
+// WriteTable writes the means of the figure y as a Markdown table, with a row for each value of the swept figure x and
+// a column for each policy. The highest mean of a row is in bold. A + marks a cell with a run that violated an invariant.
 func WriteTable(out io.Writer, records []*Record, x, y string) error {
 	type cell struct{ row, policy string }
 	var rows, policies []string
-	values, broken := map[cell][]float64{}, map[cell]bool{}
+	values, violated := map[cell][]float64{}, map[cell]bool{}
 	for _, r := range records {
 		v, ok := r.Value(y)
 		if !ok {
 			return fmt.Errorf("the results have no number %q", y)
 		}
 		name := r.Point()
-		if at, ok := r.At[x]; ok {
-			name = fmt.Sprint(at)
+		if value, ok := r.At[x]; ok {
+			name = fmt.Sprint(value)
 		}
 		if !slices.Contains(rows, name) {
 			rows = append(rows, name)
@@ -30,7 +30,7 @@
 		}
 		c := cell{name, r.Policy}
 		values[c] = append(values[c], v)
-		broken[c] = broken[c] || r.Broken > 0
+		violated[c] = violated[c] || r.Broken > 0
 	}
 	fmt.Fprintf(out, "| %s | %s |\n|%s\n", x, strings.Join(policies, " | "), strings.Repeat(" --- |", len(policies)+1))
 	for _, row := range rows {
@@ -48,7 +48,7 @@
 					text = "**" + text + "**"
 				}
 			}
-			if broken[c] {
+			if violated[c] {
 				text += " +"
 			}
 			line += " | " + text
