--- a/internal/lab/leasesearch/search.go
+++ b/internal/lab/leasesearch/search.go
@@ -1,6 +1,6 @@
-// Package leasesearch looks for a course of events in which two holders have a lease on the same
-// slot at once. It runs the code of package permit with messages that arrive, are lost, duplicated
-// or delayed, clocks that drift apart, seekers that pause and electors that restart.
+// Package leasesearch searches for a sequence of events after which two acquirers hold a permit for the same slot at
+// once. It runs the code of package permit with messages that arrive, are lost, duplicated or delayed, clocks that drift
+// apart, acquirers that pause and voters that restart.
 package leasesearch
 
 import (
@@ -19,51 +19,51 @@
 
 const (
 	defaultMaxInFlight = 6
-	maxElectorDrift    = Tick // an elector's clock may be ahead by this
-	maxSeekerDrift     = Tick // a seeker's clock may be behind by this
+	maxVoterDrift      = Tick // a voter's clock may be ahead by this
+	maxAcquirerDrift   = Tick // an acquirer's clock may be behind by this
 )
 
 // Search explores all orders of events up to a depth (Run), or a random sample of them (RandomWalks).
 type Search struct {
-	Electors, Seekers int
-	Slots             int // each may have one holder at a time
+	Voters, Acquirers int
+	Slots             int // number of slots; each may have one holder at a time
 	Depth             int // number of steps
-	MaxInFlight       int // messages at once; the oldest of more are lost
-	MaxRestarts       int // of electors, on each path
-	MaxDuplicates     int // of messages, on each path
+	MaxInFlight       int // maximum number of messages in flight; beyond it the oldest are lost
+	MaxRestarts       int // maximum number of restarts of voters on each path
+	MaxDuplicates     int // maximum number of duplicated messages on each path
 
-	// StartDelay is the time for which a restarted elector grants nothing, and DriftMargin what a
-	// holder subtracts from its lease for the drift of clocks. A seeker's clock and an elector's may
-	// drift apart by two ticks in a lease. Searches that must find a violation shorten these.
+	// StartDelay is the time for which a restarted voter grants nothing. DriftMargin is the time that a holder subtracts
+	// from its lease for the drift of clocks: the clocks of an acquirer and of a voter may drift apart by two ticks in a
+	// lease. Searches that must find a violation shorten these.
 	StartDelay  time.Duration
 	DriftMargin time.Duration
 
-	States int // states visited
+	States int // number of visited states
 	Took   time.Duration
 }
 
-// New returns a search of the protocol with the delays and margins that make it safe.
-func New(electors, seekers, slots, depth int) *Search {
+// New returns a search of the protocol with a start delay and a drift margin that make it safe.
+func New(voters, acquirers, slots, depth int) *Search {
 	return &Search{
-		Electors:      electors,
-		Seekers:       seekers,
+		Voters:        voters,
+		Acquirers:     acquirers,
 		Slots:         slots,
 		Depth:         depth,
 		MaxInFlight:   defaultMaxInFlight,
 		MaxRestarts:   1,
 		MaxDuplicates: 1,
-		StartDelay:    Lease + maxElectorDrift, // the elector's clock may be ahead when it counts this
-		DriftMargin:   maxElectorDrift + maxSeekerDrift,
+		StartDelay:    Lease + maxVoterDrift, // measured by the voter's clock, which may be ahead
+		DriftMargin:   maxVoterDrift + maxAcquirerDrift,
 	}
 }
 
-// Run explores all orders of events breadth-first. It returns an error that names the first path to
-// a state in which a slot has two holders.
+// Run explores all orders of events breadth-first. It returns an error that names the path to the first state in which a
+// slot has two holders.
 func (s *Search) Run() error {
 	start := time.Now()
 	defer func() { s.Took = time.Since(start) }()
 	root := s.root()
-	seen := map[uint64]bool{root.key(): true}
+	visited := map[uint64]bool{root.key(): true}
 	level := []*state{root}
 	for range s.Depth {
 		var next []*state
@@ -71,10 +71,10 @@
 			for _, step := range s.steps(n) {
 				after := step()
 				key := after.key()
-				if seen[key] {
+				if visited[key] {
 					continue
 				}
-				seen[key] = true
+				visited[key] = true
 				s.States++
 				if err := after.checkHolders(); err != nil {
 					return err
@@ -87,9 +87,8 @@
 	return nil
 }
 
-// RandomWalks takes random steps from the beginning, so many times. It returns the number of seekers
-// that held a permit, summed over all states, and an error that names the first path to a state in
-// which a slot has two holders.
+// RandomWalks takes a number of random walks of Depth steps from the root. It returns the number of acquirers that held a
+// permit, summed over all states, and an error that names the path to the first state in which a slot has two holders.
 func (s *Search) RandomWalks(walks int, seed uint64) (holders int, err error) {
 	start := time.Now()
 	defer func() { s.Took = time.Since(start) }()
@@ -109,25 +108,25 @@
 	return holders, nil
 }
 
-// root returns the state in which all electors and seekers have just started.
+// root returns the state in which all voters and acquirers have just started.
 func (s *Search) root() *state {
-	n := &state{ahead: make([]time.Duration, s.Electors), behind: make([]time.Duration, s.Seekers)}
-	for range s.Electors {
-		n.electors = append(n.electors, permit.NewElectorOf(0, Lease, 0))
+	n := &state{ahead: make([]time.Duration, s.Voters), behind: make([]time.Duration, s.Acquirers)}
+	for range s.Voters {
+		n.voters = append(n.voters, permit.NewElectorOf(0, Lease, 0))
 	}
-	for i := range s.Seekers {
-		n.seekers = append(n.seekers, s.newSeeker(uint64(i+1)))
+	for i := range s.Acquirers {
+		n.acquirers = append(n.acquirers, s.newAcquirer(uint64(i+1)))
 		s.collect(n, i)
 	}
 	return n
 }
 
-// newSeeker returns a seeker that wants the first free slot, without randomness.
-func (s *Search) newSeeker(id uint64) *permit.Seeker {
-	seeker := permit.NewSeeker(id, s.Electors, Lease)
-	seeker.Drift = float64(s.DriftMargin) / float64(Lease)
-	seeker.Chance = func() float64 { return 0 }
-	seeker.Choose = func(held map[permit.Slot]uint64) []permit.Slot {
+// newAcquirer returns an acquirer that requests the first free slot. Its random source always returns 0.
+func (s *Search) newAcquirer(id uint64) *permit.Seeker {
+	acquirer := permit.NewSeeker(id, s.Voters, Lease)
+	acquirer.Drift = float64(s.DriftMargin) / float64(Lease)
+	acquirer.Chance = func() float64 { return 0 }
+	acquirer.Choose = func(held map[permit.Slot]uint64) []permit.Slot {
 		for number := range s.Slots {
 			if slot := (permit.Slot{Number: uint16(number)}); held[slot] == 0 {
 				return []permit.Slot{slot}
@@ -135,6 +134,6 @@
 		}
 		return nil
 	}
-	seeker.Want(0)
-	return seeker
+	acquirer.Want(0)
+	return acquirer
 }
--- a/internal/lab/leasesearch/steps.go
+++ b/internal/lab/leasesearch/steps.go
@@ -7,35 +7,35 @@
 	"hoptiller/internal/fleet/permit"
 )
 
-// step makes the state that one event leads to.
+// step returns the state after one event.
 type step func() *state
 
-// steps returns all events that can happen next.
+// steps returns the steps for all events that can happen next.
 func (s *Search) steps(n *state) []step {
 	var all []step
 	for k := range n.inFlight {
 		all = append(all, s.messageSteps(n, k)...)
 	}
 	all = append(all, func() *state {
-		later := n.clone("a second")
+		later := n.clone("one tick")
 		later.now += Tick
 		return later
 	})
-	for i := range n.seekers {
-		all = append(all, s.seekerSteps(n, i)...)
+	for i := range n.acquirers {
+		all = append(all, s.acquirerSteps(n, i)...)
 	}
-	for i := range n.electors {
-		all = append(all, s.electorSteps(n, i)...)
+	for i := range n.voters {
+		all = append(all, s.voterSteps(n, i)...)
 	}
 	return all
 }
 
-// messageSteps returns what can happen to the k-th message in flight.
+// messageSteps returns the steps for the k-th message in flight: it arrives, is lost, or arrives and is duplicated.
 func (s *Search) messageSteps(n *state, k int) []step {
 	m := n.inFlight[k]
 	all := []step{
 		func() *state {
-			arrived := n.clone("%v comes", m)
+			arrived := n.clone("%v arrives", m)
 			arrived.inFlight = slices.Delete(arrived.inFlight, k, k+1)
 			s.deliver(arrived, m)
 			return arrived
@@ -48,7 +48,7 @@
 	}
 	if n.duplicates < s.MaxDuplicates {
 		all = append(all, func() *state {
-			duplicated := n.clone("%v comes, and will again", m)
+			duplicated := n.clone("%v arrives and is duplicated", m)
 			duplicated.duplicates++
 			s.deliver(duplicated, m)
 			return duplicated
@@ -57,90 +57,90 @@
 	return all
 }
 
-// seekerSteps returns what can happen to a seeker.
-func (s *Search) seekerSteps(n *state, i int) []step {
+// acquirerSteps returns the steps for an acquirer: it ticks, releases its permit, or its clock falls behind.
+func (s *Search) acquirerSteps(n *state, i int) []step {
 	all := []step{func() *state {
-		ticked := n.clone("seeker %d goes on", i)
-		ticked.seeker(i).Tick(ticked.seekerNow(i))
+		ticked := n.clone("acquirer %d ticks", i)
+		ticked.acquirer(i).Tick(ticked.acquirerNow(i))
 		s.collect(ticked, i)
 		return ticked
 	}}
 	if n.holds(i) {
 		all = append(all, func() *state {
-			returned := n.clone("seeker %d gives it back", i)
-			returned.seeker(i).Return(returned.seekerNow(i))
+			returned := n.clone("acquirer %d releases its permit", i)
+			returned.acquirer(i).Return(returned.acquirerNow(i))
 			s.collect(returned, i)
 			return returned
 		})
 	}
 	if n.behind[i] == 0 {
 		all = append(all, func() *state {
-			drifted := n.clone("seeker %d's clock falls behind", i)
-			drifted.behind[i] = maxSeekerDrift
+			drifted := n.clone("acquirer %d's clock falls behind", i)
+			drifted.behind[i] = maxAcquirerDrift
 			return drifted
 		})
 	}
 	return all
 }
 
-// electorSteps returns what can happen to an elector.
-func (s *Search) electorSteps(n *state, i int) (all []step) {
+// voterSteps returns the steps for a voter: its clock gets ahead, or it restarts.
+func (s *Search) voterSteps(n *state, i int) (all []step) {
 	if n.ahead[i] == 0 {
 		all = append(all, func() *state {
-			drifted := n.clone("elector %d's clock gets ahead", i)
-			drifted.ahead[i] = maxElectorDrift
+			drifted := n.clone("voter %d's clock gets ahead", i)
+			drifted.ahead[i] = maxVoterDrift
 			return drifted
 		})
 	}
 	if n.restarts < s.MaxRestarts {
 		all = append(all, func() *state {
-			restarted := n.clone("elector %d restarts", i)
+			restarted := n.clone("voter %d restarts", i)
 			restarted.restarts++
-			restarted.electors[i] = permit.NewElectorOf(restarted.electorNow(i), Lease, s.StartDelay)
+			restarted.voters[i] = permit.NewElectorOf(restarted.voterNow(i), Lease, s.StartDelay)
 			return restarted
 		})
 	}
 	return all
 }
 
-// deliver hands a message to its receiver and puts what that sends in flight.
+// deliver passes a message to its receiver and adds the messages that the receiver sends to those in flight.
 func (s *Search) deliver(n *state, m message) {
-	if m.ask == nil {
-		n.seeker(m.seeker).Take(n.seekerNow(m.seeker), m.elector, m.reply)
-		s.collect(n, m.seeker)
+	if m.request == nil {
+		n.acquirer(m.acquirer).Take(n.acquirerNow(m.acquirer), m.voter, m.reply)
+		s.collect(n, m.acquirer)
 		return
 	}
-	reply := n.elector(m.elector).Take(n.electorNow(m.elector), m.ask)
-	n.inFlight = append(n.inFlight, message{elector: m.elector, seeker: m.seeker, reply: &reply})
+	reply := n.voter(m.voter).Take(n.voterNow(m.voter), m.request)
+	n.inFlight = append(n.inFlight, message{voter: m.voter, acquirer: m.acquirer, reply: &reply})
 	s.dropExcess(n)
 }
 
-// collect puts the messages that a seeker has queued in flight.
+// collect adds the messages that an acquirer has queued to those in flight.
 func (s *Search) collect(n *state, i int) {
-	for _, out := range n.seekers[i].Out() {
-		n.inFlight = append(n.inFlight, message{elector: out.To, seeker: i, ask: &out.Ask})
+	for _, out := range n.acquirers[i].Out() {
+		n.inFlight = append(n.inFlight, message{voter: out.To, acquirer: i, request: &out.Ask})
 	}
 	s.dropExcess(n)
 }
 
-// dropExcess loses the oldest messages of more than MaxInFlight.
+// dropExcess drops the oldest messages in flight beyond MaxInFlight.
 func (s *Search) dropExcess(n *state) {
 	if excess := len(n.inFlight) - s.MaxInFlight; excess > 0 {
 		n.inFlight = slices.Delete(n.inFlight, 0, excess)
 	}
 }
 
-// message is one message in flight: an ask to the elector, or a reply to the seeker.
+// message is one message in flight: a request to the voter, or a reply to the acquirer.
 type message struct {
-	elector, seeker int
-	ask             *permit.Ask
+	voter, acquirer int
+	request         *permit.Ask
 	reply           *permit.Reply
 }
 
-// String names the message in a path.
+// String returns the text for the message in a path.
 func (m message) String() string {
 	if m.reply != nil {
-		return fmt.Sprintf("elector %d to seeker %d: %v", m.elector, m.seeker, m.reply.Why)
+		return fmt.Sprintf("voter %d to acquirer %d: %v", m.voter, m.acquirer, m.reply.Why)
 	}
-	return fmt.Sprintf("seeker %d to elector %d", m.seeker, m.elector)
+	return fmt.Sprintf("acquirer %d to voter %d", m.acquirer, m.voter)
 }
--- a/internal/lab/membership/measure.go
+++ b/internal/lab/membership/measure.go
@@ -8,39 +8,39 @@
 	"hoptiller/internal/fleet/view"
 )
 
-// Measurements are what Measure measures of one fleet. Times are in seconds, bytes and datagrams
-// are those that a router sends in a second.
+// Measurements holds the results of Measure for one fleet. Times are in seconds. Bytes and datagrams are the numbers that
+// a router sends in a second.
 type Measurements struct {
 	Routers, Seed int
 
 	StartAll float64   // from the start of all routers until convergence
-	Joins    []float64 // for each join of one router: until all others know
-	Crashes  []float64 // for each crash of one router, at 10% loss: until all others know
+	Joins    []float64 // for each join of one router: until it is in all views
+	Crashes  []float64 // for each crash of one router, at 10% loss: until it is dead in all views
 
-	FalsePositives int // views in which a living router was dead, in ten minutes with 10% loss and pauses of 1 s
-	Pauses         int // in these ten minutes
+	FalsePositives int // events that declared a running router dead in a view, in ten minutes with 10% loss and pauses of 1 s
+	Pauses         int // number of pauses in these ten minutes
 
 	HealHalves, HealThirds float64 // from the end of a partition of 60 s until convergence
-	JoinThird              float64 // a third of the fleet joins at once, until convergence
+	JoinThird              float64 // from a third of the fleet joining at once until convergence
 
-	LossyBytes, LossyDatagrams       float64 // at 10% loss, no router pausing
+	LossyBytes, LossyDatagrams       float64 // at 10% loss, without pauses
 	LosslessBytes, LosslessDatagrams float64
-	RepairBytes                      float64 // in the worst second after a partition, as a mean over all routers
+	RepairBytes                      float64 // in the worst second after a partition, averaged over all routers
 
-	Failures []string // what did not converge in time
+	Failures []string // names of the waits that exceeded settleTimeout
 }
 
 const (
 	lossRate       = 0.1
 	settleTimeout  = 60 * time.Second
-	trials         = 20 // joins and crashes that are measured
-	joinStride     = 7  // the routers that join and crash are spread over the numbers by these
-	crashStride    = 11
+	trials         = 20 // number of joins, and of crashes, that are measured
+	joinStride     = 7  // distance between the numbers of the routers that join one after the other
+	crashStride    = 11 // distance between the numbers of the routers that crash one after the other
 	partitionTime  = 60 * time.Second
-	pauseRounds    = 60 // of pauseRound each
+	pauseRounds    = 60
 	pauseRound     = 10 * time.Second
 	pauseTime      = time.Second
-	pausingDivisor = 20 // one router in so many pauses in each round
+	pausingDivisor = 20 // one in 20 routers pauses in each round
 )
 
 // measurement is one run of Measure.
@@ -49,8 +49,8 @@
 	result *Measurements
 }
 
-// Measure simulates one fleet of n routers and measures how fast it converges and what it sends. If
-// short is set the ten minutes of pauses are left out.
+// Measure simulates a fleet of n routers and measures how fast it converges and how much it sends. If short is set, it
+// leaves out the ten minutes of pauses.
 func Measure(n int, network Network, seed uint64, short bool) *Measurements {
 	m := &measurement{Simulation: New(n, network, seed), result: &Measurements{Routers: n, Seed: int(seed)}}
 	m.start()
@@ -67,37 +67,40 @@
 	return m.result
 }
 
-// until runs until a condition holds and returns the seconds that took. If it doesn't hold in time
-// that is recorded as a failure.
-func (m *measurement) until(what string, condition func() bool) float64 {
-	took, ok := m.RunUntil(settleTimeout, condition)
+// await runs the simulation until a condition holds and returns how many seconds that took. If the condition doesn't hold
+// within settleTimeout, await records a failure with the name of the condition.
+func (m *measurement) await(condition string, holds func() bool) float64 {
+	took, ok := m.RunUntil(settleTimeout, holds)
 	if !ok {
-		m.result.Failures = append(m.result.Failures, fmt.Sprintf("%s not within %v", what, settleTimeout))
+		m.result.Failures = append(m.result.Failures, fmt.Sprintf("%s not within %v", condition, settleTimeout))
 	}
 	return took.Seconds()
 }
 
+// start starts all routers and measures the time until convergence and the send rates after it.
 func (m *measurement) start() {
 	for i := range m.Size() {
 		m.Start(i)
 	}
-	m.result.StartAll = m.until("all start", m.Converged)
+	m.result.StartAll = m.await("all start", m.Converged)
 	m.Run(m.now + 20*time.Second)
 	m.result.LosslessBytes, m.result.LosslessDatagrams = m.sendRate(20 * time.Second)
 }
 
+// joins measures joins of single routers: a router leaves, and starts again 10 s later.
 func (m *measurement) joins() {
 	for trial := range trials {
 		router := trial * joinStride % m.Size()
 		m.Leave(router)
 		m.Run(m.now + 10*time.Second)
 		m.Start(router)
-		took := m.until("join", func() bool { return m.All(router, (*view.Member).Here) })
+		took := m.await("join", func() bool { return m.HoldsInAllViews(router, (*view.Member).Here) })
 		m.result.Joins = append(m.result.Joins, took)
 		m.Run(m.now + 5*time.Second)
 	}
 }
 
+// crashes measures the send rates, and then crashes of single routers.
 func (m *measurement) crashes() {
 	m.Run(m.now + 20*time.Second)
 	m.result.LossyBytes, m.result.LossyDatagrams = m.sendRate(30 * time.Second)
@@ -105,15 +108,15 @@
 	for trial := range trials {
 		router := trial * crashStride % m.Size()
 		m.Crash(router)
-		took := m.until("crash", func() bool { return m.All(router, isDead) })
+		took := m.await("crash", func() bool { return m.HoldsInAllViews(router, isDead) })
 		m.result.Crashes = append(m.result.Crashes, took)
 		m.Start(router)
 		m.Run(m.now + 10*time.Second)
 	}
 }
 
-// pauses has 5% of the routers pause for a second in each round, and counts the views in which one
-// of them is dead.
+// pauses has 5% of the routers pause for a second in each round, and counts how often a view declares a running router
+// dead.
 func (m *measurement) pauses() {
 	m.OnChange = func(_ time.Duration, _ int, e view.Event) {
 		if e.After.State == view.Dead && m.routers[e.Who].running {
@@ -137,14 +140,14 @@
 	m.OnChange = nil
 }
 
-// pauseStep is the beginning or the end of one router's pause.
+// pauseStep is the beginning or the end of a pause of one router.
 type pauseStep struct {
 	at     time.Duration
 	router int
-	pause  bool
+	pause  bool // the beginning
 }
 
-// drawPauses draws who pauses in the round that begins now, and when.
+// drawPauses draws the pauses of the round that begins now: which routers pause, and when.
 func (m *measurement) drawPauses() []pauseStep {
 	routers := m.rng.Perm(m.Size())[:max(1, m.Size()/pausingDivisor)]
 	var starts []time.Duration
@@ -168,7 +171,7 @@
 	m.Partition(1)
 	start := m.now
 	sentBefore, since := m.sentBytes(), m.now
-	took := m.until(fmt.Sprintf("%d parts meet again", groups), func() bool {
+	took := m.await(fmt.Sprintf("%d parts meet again", groups), func() bool {
 		if m.now-since >= time.Second {
 			sent := m.sentBytes()
 			rate := float64(sent-sentBefore) / (m.now - since).Seconds() / float64(m.Size())
@@ -181,19 +184,20 @@
 	return took
 }
 
+// joinThird measures how a third of the fleet joins at once, after its crash.
 func (m *measurement) joinThird() {
 	third := m.Size() / 3
 	for router := range third {
 		m.Crash(router)
 	}
-	m.until("a third is dead", m.Converged)
+	m.await("a third is dead", m.Converged)
 	for router := range third {
 		m.Start(router)
 	}
-	m.result.JoinThird = m.until("a third joins", m.Converged)
+	m.result.JoinThird = m.await("a third joins", m.Converged)
 }
 
-// sentBytes returns the bytes that all running routers have sent since they started.
+// sentBytes returns the number of bytes that all running routers have sent since they started.
 func (s *Simulation) sentBytes() (bytes uint64) {
 	for i := range s.routers {
 		if v := s.View(i); v != nil {
@@ -203,7 +207,7 @@
 	return bytes
 }
 
-// sentDatagrams returns the datagrams that all running routers have sent since they started.
+// sentDatagrams returns the number of datagrams that all running routers have sent since they started.
 func (s *Simulation) sentDatagrams() (datagrams uint64) {
 	for i := range s.routers {
 		if v := s.View(i); v != nil {
@@ -213,11 +217,11 @@
 	return datagrams
 }
 
-// sendRate runs the simulation for a time and returns the bytes and datagrams that a router sends in
-// a second of it, as a mean over all routers.
-func (s *Simulation) sendRate(over time.Duration) (bytes, datagrams float64) {
+// sendRate runs the simulation for a duration. It returns the number of bytes and of datagrams that a router sends in a
+// second, averaged over all routers.
+func (s *Simulation) sendRate(duration time.Duration) (bytes, datagrams float64) {
 	bytesBefore, datagramsBefore := s.sentBytes(), s.sentDatagrams()
-	s.Run(s.now + over)
-	routerSeconds := over.Seconds() * float64(s.Size())
+	s.Run(s.now + duration)
+	routerSeconds := duration.Seconds() * float64(s.Size())
 	return float64(s.sentBytes()-bytesBefore) / routerSeconds, float64(s.sentDatagrams()-datagramsBefore) / routerSeconds
 }
--- a/internal/lab/membership/search.go
+++ b/internal/lab/membership/search.go
@@ -11,34 +11,34 @@
 	"hoptiller/internal/fleet/view"
 )
 
-// Search explores all that can happen to a small fleet up to a depth: each datagram in flight may
-// arrive, be lost or wait; each router's clock may advance by a period, independently of the others;
-// and each router may crash and start again.
+// Search explores all sequences of events in a small fleet up to a depth. Each datagram in flight may arrive, be lost or
+// wait. Each router's clock may advance to its view's next tick, independently of the others. Each router may crash and
+// start again.
 //
-// In every state, no view may have gone back to an older incarnation of any router. From every
-// state, once datagrams arrive and clocks advance together, all views must converge within
-// convergenceTimeout.
+// No step may take a view back to an older incarnation of any router. From every state, all views must converge within
+// convergenceTimeout once all datagrams arrive and all clocks advance together.
 type Search struct {
 	Routers, Depth int
-	MaxCrashes     int            // on each path
-	MaxInFlight    int            // datagrams at once; the oldest of more are lost
-	ClockSetBack   bool           // the clock of each new incarnation is behind that of the one before
-	Corrupt        func(n *State) // for tests: corrupts a state before it is checked
+	MaxCrashes     int            // maximum number of crashes on each path
+	MaxInFlight    int            // maximum number of datagrams in flight; beyond it the oldest are lost
+	ClockSetBack   bool           // each new incarnation of a router starts with a clock that is behind the previous one's
+	Corrupt        func(n *State) // corrupts a state before it is checked; for tests
 
-	States, Converged int // states visited, and those of them from which all views converged
+	States, Converged int // number of visited states; number of those from which all views converged
 	Took              time.Duration
 }
 
-// State is one state of a search.
+// State is one state of the fleet in a search.
 type State struct {
 	Views        []*view.View // nil for a router that doesn't run
 	now          []time.Duration
 	incarnations []int
 	inFlight     []message
-	path         []string // the steps that lead here
+	path         []string // the steps from the root to this state
 	crashes      int
 }
 
+// message is one datagram in flight.
 type message struct {
 	from, to int
 	body     []byte
@@ -46,18 +46,17 @@
 
 const (
 	convergenceTimeout = 20 * time.Second
-	clockStep          = 10 * time.Millisecond // of all clocks while a state converges
-	minAdvance         = time.Millisecond      // of one router's clock in a step of the search
-	restartTime        = time.Second           // between two incarnations of a router
+	clockStep          = 10 * time.Millisecond // step of all clocks in converge
+	minAdvance         = time.Millisecond      // minimum advance of a router's clock in a step of the search
+	restartTime        = time.Second           // time between the starts of two incarnations of a router
 )
 
-// Run searches breadth-first and returns an error that names the first path to a state that violates
-// a condition.
+// Run searches breadth-first. It returns an error that names the path to the first state that violates an invariant.
 func (s *Search) Run() error {
 	start := time.Now()
 	defer func() { s.Took = time.Since(start) }()
 	root := s.root()
-	seen := map[uint64]bool{root.key(): true}
+	visited := map[uint64]bool{root.key(): true}
 	level := []*State{root}
 	for depth := 0; ; depth++ {
 		for _, state := range level {
@@ -69,7 +68,7 @@
 		if depth == s.Depth {
 			return nil
 		}
-		next, err := s.nextLevel(level, seen)
+		next, err := s.nextLevel(level, visited)
 		if err != nil {
 			return err
 		}
@@ -77,7 +76,7 @@
 	}
 }
 
-// root returns the state in which all routers run and know each other.
+// root returns the state in which all routers run and all views have converged.
 func (s *Search) root() *State {
 	root := &State{
 		Views:        make([]*view.View, s.Routers),
@@ -91,8 +90,8 @@
 	return root
 }
 
-// nextLevel returns the states one step after those of a level that have not been seen yet.
-func (s *Search) nextLevel(level []*State, seen map[uint64]bool) ([]*State, error) {
+// nextLevel returns the states that are one step from those of a level and have not been visited yet.
+func (s *Search) nextLevel(level []*State, visited map[uint64]bool) ([]*State, error) {
 	var next []*State
 	for _, state := range level {
 		for _, after := range s.successors(state) {
@@ -102,8 +101,8 @@
 			if err := checkIncarnations(state, after); err != nil {
 				return nil, err
 			}
-			if key := after.key(); !seen[key] {
-				seen[key] = true
+			if key := after.key(); !visited[key] {
+				visited[key] = true
 				next = append(next, after)
 			}
 		}
@@ -111,6 +110,7 @@
 	return next, nil
 }
 
+// start starts a new incarnation of a router.
 func (s *Search) start(n *State, i int) {
 	n.incarnations[i]++
 	startTime := time.Duration(n.incarnations[i]) * restartTime
@@ -128,7 +128,7 @@
 	n.Views[i].SetPhase(view.Serving)
 }
 
-// clone returns a deep copy whose path has one more step.
+// clone returns a deep copy with one more step on its path.
 func (n *State) clone(step string, args ...any) *State {
 	c := &State{
 		Views:        make([]*view.View, len(n.Views)),
@@ -154,14 +154,14 @@
 			b = append(v.AppendState(b), 1)
 		}
 	}
-	sum := xxhash.Sum64(b)
+	checksum := xxhash.Sum64(b)
 	for _, m := range n.inFlight {
-		sum += xxhash.Sum64(append([]byte{byte(m.from), byte(m.to)}, m.body...))
+		checksum += xxhash.Sum64(append([]byte{byte(m.from), byte(m.to)}, m.body...))
 	}
-	return sum
+	return checksum
 }
 
-// successors returns all states that one step leads to.
+// successors returns all states that are one step away.
 func (s *Search) successors(n *State) (all []*State) {
 	for k, m := range n.inFlight {
 		all = append(all, s.deliveries(n, k, m)...)
@@ -173,7 +173,7 @@
 			all = append(all, restarted)
 			continue
 		}
-		ticked := n.clone("%d goes on", i)
+		ticked := n.clone("%d ticks", i)
 		ticked.tick(i)
 		s.collect(ticked, i)
 		all = append(all, ticked)
@@ -187,27 +187,28 @@
 	return all
 }
 
-// deliveries returns the states in which the k-th datagram in flight is lost and has arrived.
+// deliveries returns a state in which the k-th datagram in flight is lost and, if its receiver runs, one in which it has
+// arrived.
 func (s *Search) deliveries(n *State, k int, m message) []*State {
 	lost := n.clone("from %d to %d lost", m.from, m.to)
 	lost.inFlight = slices.Delete(lost.inFlight, k, k+1)
 	if n.Views[m.to] == nil {
 		return []*State{lost}
 	}
-	arrived := n.clone("from %d to %d comes", m.from, m.to)
+	arrived := n.clone("from %d to %d arrives", m.from, m.to)
 	arrived.inFlight = slices.Delete(arrived.inFlight, k, k+1)
 	arrived.Views[m.to].Receive(arrived.now[m.to], m.from, m.body)
 	s.collect(arrived, m.to)
 	return []*State{lost, arrived}
 }
 
-// tick advances one router's clock to the next time at which its view is due.
+// tick advances one router's clock to the next tick of its view, and ticks it.
 func (n *State) tick(i int) {
 	n.now[i] = max(n.now[i]+minAdvance, n.Views[i].Next())
 	n.Views[i].Tick(n.now[i])
 }
 
-// collect puts the datagrams that a view has queued in flight.
+// collect moves the datagrams that a view has queued into the network.
 func (s *Search) collect(n *State, i int) {
 	n.Views[i].Events()
 	n.send(i)
@@ -216,14 +217,15 @@
 	}
 }
 
+// send adds the datagrams that a view has queued to those in flight.
 func (n *State) send(i int) {
 	for _, datagram := range n.Views[i].Out() {
 		n.inFlight = append(n.inFlight, message{i, datagram.To, datagram.Body})
 	}
 }
 
-// converge delivers all datagrams and advances all clocks together, and reports whether all views
-// converge within convergenceTimeout.
+// converge delivers all datagrams and advances all clocks together. It reports whether all views converge within
+// convergenceTimeout.
 func converge(n *State) bool {
 	for elapsed := time.Duration(0); elapsed < convergenceTimeout; elapsed += clockStep {
 		arriving := n.inFlight
@@ -250,18 +252,18 @@
 	return false
 }
 
-// converged reports whether all views are the same, and exactly the running routers are alive in
-// them and none is suspected.
+// converged reports whether all views are the same, exactly the running routers are alive in them, and no router is
+// suspected.
 func (n *State) converged() bool {
-	sum, first := uint32(0), true
+	checksum, first := uint32(0), true
 	for _, v := range n.Views {
 		if v == nil {
 			continue
 		}
 		if first {
-			sum, first = v.Sum(), false
+			checksum, first = v.Sum(), false
 		}
-		if v.Sum() != sum {
+		if v.Sum() != checksum {
 			return false
 		}
 		for j := range v.Members() {
@@ -274,6 +276,7 @@
 	return true
 }
 
+// checkConvergence returns an error if the views of a state don't converge.
 func (s *Search) checkConvergence(n *State) error {
 	if !converge(n.clone("settles")) {
 		return fmt.Errorf("the views don't agree within %v after: %v", convergenceTimeout, n.path)
@@ -284,7 +287,7 @@
 
 var errOlderIncarnation = errors.New("an older incarnation has replaced a newer one")
 
-// checkIncarnations returns an error if a step has taken a view back to an older incarnation.
+// checkIncarnations returns an error if a step took a view back to an older incarnation of a router.
 func checkIncarnations(before, after *State) error {
 	for i, v := range after.Views {
 		if v == nil || before.Views[i] == nil || before.incarnations[i] != after.incarnations[i] {
--- a/internal/lab/membership/search_test.go
+++ b/internal/lab/membership/search_test.go
@@ -8,22 +8,22 @@
 	"hoptiller/internal/fleet/view"
 )
 
-// Whatever comes, is lost, waits, crashes and starts anew, in whatever order: no view goes back to an older incarnation, and
-// all agree once datagrams come. A clock that was set back changes nothing of that.
+// In every order of arrivals, losses, crashes and restarts, no view goes back to an older incarnation, and all views agree
+// once datagrams arrive. This also holds if clocks are set back.
 func TestSearch(t *testing.T) {
-	for _, rewind := range []bool{false, true} {
-		s := &Search{Routers: 3, Depth: 4, MaxCrashes: 2, MaxInFlight: 4, ClockSetBack: rewind}
+	for _, clockSetBack := range []bool{false, true} {
+		s := &Search{Routers: 3, Depth: 4, MaxCrashes: 2, MaxInFlight: 4, ClockSetBack: clockSetBack}
 		if err := s.Run(); err != nil {
-			t.Errorf("clock set back %v: %v", rewind, err)
+			t.Errorf("clock set back %v: %v", clockSetBack, err)
 		}
 		if s.States < 1000 || s.Converged != s.States {
-			t.Errorf("%d states, %d settled", s.States, s.Converged)
+			t.Errorf("%d states, %d converged", s.States, s.Converged)
 		}
 	}
 }
 
-// The search finds a view that forgets, and one that says nothing more.
-func TestSearchFinds(t *testing.T) {
+// The search finds a view that forgets the other routers, and a running router whose view has left the fleet.
+func TestSearchFindsViolations(t *testing.T) {
 	s := &Search{Routers: 3, Depth: 3, MaxInFlight: 4}
 	s.Corrupt = func(n *State) {
 		if len(n.path) == 2 {
@@ -31,7 +31,7 @@
 		}
 	}
 	if err := s.Run(); !errors.Is(err, errOlderIncarnation) {
-		t.Errorf("a view that forgets: %v", err)
+		t.Errorf("a view that forgets the other routers: %v", err)
 	}
 	s.Corrupt = func(n *State) {
 		if len(n.path) == 2 {
@@ -39,6 +39,6 @@
 		}
 	}
 	if err := s.Run(); err == nil || !strings.Contains(err.Error(), "don't agree") {
-		t.Errorf("a router that runs and says that it has left: %v", err)
+		t.Errorf("a running router that has announced that it leaves: %v", err)
 	}
 }
--- a/internal/lab/membership/simulation.go
+++ b/internal/lab/membership/simulation.go
@@ -1,9 +1,9 @@
 // Package membership simulates the membership protocol of a fleet in virtual time. It runs the code
 // of package view that routers run, over a network that loses and delays datagrams, with routers
 // that join, crash, pause and are partitioned. It uses no sockets, clocks or goroutines; the same
-// seed gives the same course of events.
+// seed gives the same sequence of events.
 //
-// Search, beside the simulation, explores all orders of events in a small fleet.
+// In addition to the simulation, Search explores all orders of events in a small fleet.
 package membership
 
 import (
@@ -14,24 +14,24 @@
 	"hoptiller/internal/fleet/view"
 )
 
-// Network is what the network does to datagrams.
+// Network describes how the network delays and loses datagrams.
 type Network struct {
-	MinDelay, MaxDelay time.Duration // each datagram is delayed by a random time between these
+	MinDelay, MaxDelay time.Duration // bounds of the random delay of each datagram
 	Loss               float64       // probability that a datagram is lost
 }
 
-// Epoch is what the wall clocks show when a simulation begins.
+// Epoch is the time on the wall clocks when a simulation begins.
 var Epoch = time.UnixMilli(1_800_000_000_000)
 
 const (
-	socketBuffer = 300                   // datagrams that a paused router's socket holds
-	pollInterval = 50 * time.Millisecond // resolution of RunUntil
+	socketBuffer = 300                   // number of datagrams that the socket of a paused router holds
+	pollInterval = 50 * time.Millisecond // interval at which RunUntil checks its condition
 )
 
-// Simulation is a fleet of routers with a view each. Time passes only in Run and RunUntil.
+// Simulation is a fleet of routers that have a view each. Time passes only in Run and RunUntil.
 type Simulation struct {
 	Network
-	// OnChange, if set, is called with each change of a member's state in a router's view.
+	// OnChange, if not nil, is called for each change of a member's state in a router's view.
 	OnChange func(at time.Duration, viewer int, e view.Event)
 
 	now         time.Duration
@@ -44,9 +44,10 @@
 	clockOffset []time.Duration // of each router's wall clock
 }
 
-// link is one direction between two routers.
+// link is the network path from one router to another.
 type link struct{ from, to int }
 
+// router is one router of the fleet, running or not.
 type router struct {
 	view        *view.View
 	incarnation int
@@ -55,12 +56,13 @@
 	received    []event // datagrams that arrived during a pause
 }
 
-// noSender marks an event as a tick of its receiver; other events are datagrams.
+// noSender is the sender of an event that is a tick of its receiver. All other events are datagrams.
 const noSender = -1
 
+// event is the arrival of a datagram or a tick of a router.
 type event struct {
 	at          time.Duration
-	order       uint64 // breaks ties
+	sequence    uint64 // number of the event; orders events of the same time
 	to          int
 	from        int
 	incarnation int // of the receiver, for ticks
@@ -72,7 +74,7 @@
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -108,7 +110,7 @@
 	return s.routers[i].view
 }
 
-// Start starts a router as a new incarnation in the phase Serving.
+// Start starts a new incarnation of a router, in the phase Serving.
 func (s *Simulation) Start(i int) {
 	r := &s.routers[i]
 	*r = router{incarnation: r.incarnation + 1, running: true}
@@ -121,27 +123,27 @@
 	})
 	r.view.SetPhase(view.Serving)
 	s.flush(i)
-	firstTick := s.now + time.Duration(s.rng.Int64N(int64(view.Period))) // routers don't tick in step
+	firstTick := s.now + time.Duration(s.rng.Int64N(int64(view.Period))) // random, so that routers don't tick at the same time
 	s.push(event{at: firstTick, to: i, from: noSender, incarnation: r.incarnation})
 }
 
-// SetClockOffset sets how far a router's wall clock is off, from its next start on.
+// SetClockOffset sets the offset of a router's wall clock. It takes effect at the next start of the router.
 func (s *Simulation) SetClockOffset(i int, offset time.Duration) { s.clockOffset[i] = offset }
 
-// Crash ends a router without notice.
+// Crash stops a router without an announcement.
 func (s *Simulation) Crash(i int) { s.routers[i].running = false }
 
-// Leave has a router announce that it leaves, and ends it.
+// Leave has a router announce that it leaves, and stops it.
 func (s *Simulation) Leave(i int) {
 	s.routers[i].view.Leave(s.now)
 	s.flush(i)
 	s.Crash(i)
 }
 
-// Pause stops a router's processing; datagrams wait in its socket's buffer.
+// Pause pauses a router. Datagrams wait in the buffer of its socket.
 func (s *Simulation) Pause(i int) { s.routers[i].paused = true }
 
-// Resume ends a pause.
+// Resume ends the pause of a router. The router handles the datagrams in the buffer of its socket.
 func (s *Simulation) Resume(i int) {
 	r := &s.routers[i]
 	if !r.running || !r.paused {
@@ -159,18 +161,18 @@
 	s.push(event{at: r.view.Next(), to: i, from: noSender, incarnation: r.incarnation})
 }
 
-// Partition divides the routers into groups that can't reach each other, by their number modulo the
-// number of groups. One group heals the network.
+// Partition divides the routers into groups that can't reach each other. The group of a router is its number modulo the
+// number of groups. A single group ends the partition.
 func (s *Simulation) Partition(groups int) {
 	for i := range s.groups {
 		s.groups[i] = i % groups
 	}
 }
 
-// Cut sets whether datagrams from one router to another are lost, in this direction alone.
+// Cut sets whether datagrams from one router to another are lost. The opposite direction is not affected.
 func (s *Simulation) Cut(from, to int, cut bool) { s.cut[link{from, to}] = cut }
 
-// Run runs the simulation up to a time.
+// Run runs the simulation up to a time, counted from its beginning.
 func (s *Simulation) Run(until time.Duration) {
 	for len(s.pending) > 0 && s.pending[0].at <= until {
 		e := heap.Pop(&s.pending).(event)
@@ -180,6 +182,7 @@
 	s.now = until
 }
 
+// process handles one event: a tick, or a datagram that arrives.
 func (s *Simulation) process(e event) {
 	r := &s.routers[e.to]
 	isTick := e.from == noSender
@@ -203,7 +206,7 @@
 	s.flush(e.to)
 }
 
-// flush sends the datagrams that a router's view has queued and reports its changes.
+// flush sends the datagrams that a router's view has queued, and reports the changes in the view to OnChange.
 func (s *Simulation) flush(i int) {
 	v := s.routers[i].view
 	for _, datagram := range v.Out() {
@@ -220,26 +223,26 @@
 	}
 }
 
+// push schedules an event.
 func (s *Simulation) push(e event) {
 	s.eventCount++
-	e.order = s.eventCount
+	e.sequence = s.eventCount
 	heap.Push(&s.pending, e)
 }
 
-// Converged reports whether all running routers have the same view, in which exactly the running
-// routers are alive.
+// Converged reports whether all running routers have the same view and exactly the running routers are alive in it.
 func (s *Simulation) Converged() bool {
 	var first *view.View
-	var sum uint32
+	var checksum uint32
 	for i := range s.routers {
 		v := s.View(i)
 		if v == nil {
 			continue
 		}
 		if first == nil {
-			first, sum = v, v.Sum()
+			first, checksum = v, v.Sum()
 		}
-		if v.Sum() != sum {
+		if v.Sum() != checksum {
 			return false
 		}
 	}
@@ -254,8 +257,8 @@
 	return true
 }
 
-// RunUntil runs the simulation until a condition holds and returns the time that took. It gives up
-// and returns false after timeout.
+// RunUntil runs the simulation until a condition holds and returns how long that took. It returns false if the condition
+// doesn't hold within timeout.
 func (s *Simulation) RunUntil(timeout time.Duration, condition func() bool) (time.Duration, bool) {
 	start := s.now
 	for !condition() {
@@ -267,10 +270,10 @@
 	return s.now - start, true
 }
 
-// All reports whether a condition holds for what each other running router knows of a router.
-func (s *Simulation) All(of int, condition func(m *view.Member) bool) bool {
+// HoldsInAllViews reports whether a condition holds for a router in the views of all other running routers.
+func (s *Simulation) HoldsInAllViews(subject int, condition func(m *view.Member) bool) bool {
 	for i := range s.routers {
-		if v := s.View(i); v != nil && i != of && !condition(&v.Members()[of]) {
+		if v := s.View(i); v != nil && i != subject && !condition(&v.Members()[subject]) {
 			return false
 		}
 	}
--- a/internal/lab/rival/choose.go
+++ b/internal/lab/rival/choose.go
@@ -9,6 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// hash returns a 64-bit hash of two numbers.
 func hash(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:], a)
@@ -16,7 +17,7 @@
 	return xxhash.Sum64(buf[:])
 }
 
-// random chooses by weight alone.
+// random picks a server at random, with a probability in proportion to its weight.
 type random struct {
 	servers []*server
 	weight  float64
@@ -44,90 +45,90 @@
 	return nil
 }
 
-// ring is consistent hashing: Karger, Lehman, Leighton, Panigrahy, Levine and
-// Lewin, "Consistent Hashing and Random Trees" (STOC 1997), with points by weight, about as
-// many for a slot cache as the ketama library has for a server.
+// ring implements consistent hashing: Karger, Lehman, Leighton, Panigrahy, Levine and Lewin, "Consistent Hashing and
+// Random Trees" (STOC 1997). The number of points of a server is in proportion to its weight; a slot cache has about as
+// many as a server has in the ketama library.
 type ring struct {
 	points  []point
 	servers int
 }
 
 type point struct {
-	at uint64
-	s  *server
+	hash   uint64 // position on the ring
+	server *server
 }
 
-// ringPoints are those of a unit of weight. They must not hang on the others' weights, or a server that comes
-// or goes moves points of all.
-const ringPoints = 40
+// pointsPerWeight is the number of points for each unit of weight. The points of a server must not depend on the weights of
+// the others, or a server that is added or removed would move the points of all.
+const pointsPerWeight = 40
 
 func (c *ring) rebuild(servers []*server) {
 	c.points, c.servers = c.points[:0], len(servers)
 	for _, s := range servers {
-		for i := range max(1, int(ringPoints*s.Weight+0.5)) {
+		for i := range max(1, int(pointsPerWeight*s.Weight+0.5)) {
 			c.points = append(c.points, point{hash(uint64(s.ID), uint64(i)), s})
 		}
 	}
 	slices.SortFunc(c.points, func(a, b point) int {
-		if a.at != b.at {
-			if a.at < b.at {
+		if a.hash != b.hash {
+			if a.hash < b.hash {
 				return -1
 			}
 			return 1
 		}
-		return int(a.s.ID) - int(b.s.ID)
+		return int(a.server.ID) - int(b.server.ID)
 	})
 }
 
 func (c *ring) pick(_ *rand.Rand, key uint64, ok func(*server) bool) *server {
 	at, _ := slices.BinarySearchFunc(c.points, hash(key, 0), func(p point, x uint64) int {
 		switch {
-		case p.at < x:
+		case p.hash < x:
 			return -1
-		case p.at > x:
+		case p.hash > x:
 			return 1
 		}
 		return 0
 	})
 	for i := range c.points {
-		if s := c.points[(at+i)%len(c.points)].s; ok(s) {
+		if s := c.points[(at+i)%len(c.points)].server; ok(s) {
 			return s
 		}
 	}
 	return nil
 }
 
-// bounded is consistent hashing with bounded loads: Mirrokni, Thorup and
-// Zadimoghaddam (SODA 2018). No server gets more than boundedBy times the mean
-// load, by its weight; the key goes on along the ring.
+// bounded implements consistent hashing with bounded loads: Mirrokni, Thorup and Zadimoghaddam (SODA 2018). No server
+// gets more than maxLoadFactor times its share of the load by weight. A key whose server is full goes to the next server
+// on the ring.
 type bounded struct{ ring }
 
-const boundedBy = 1.25
+const maxLoadFactor = 1.25
 
 func (c *bounded) pick(r *rand.Rand, key uint64, ok func(*server) bool) *server {
-	out, weight := 1, 0.0
+	inFlight, weight := 1, 0.0
 	seen := map[*server]bool{}
 	for _, p := range c.points {
-		if !seen[p.s] {
-			seen[p.s] = true
-			out += p.s.out
-			weight += p.s.Weight
+		if !seen[p.server] {
+			seen[p.server] = true
+			inFlight += p.server.inFlight
+			weight += p.server.Weight
 		}
 		if len(seen) == c.servers {
 			break
 		}
 	}
-	room := func(s *server) bool {
-		return ok(s) && float64(s.out+1) <= math.Ceil(boundedBy*float64(out)*s.Weight/weight)
+	hasCapacity := func(s *server) bool {
+		return ok(s) && float64(s.inFlight+1) <= math.Ceil(maxLoadFactor*float64(inFlight)*s.Weight/weight)
 	}
-	if s := c.ring.pick(r, key, room); s != nil {
+	if s := c.ring.pick(r, key, hasCapacity); s != nil {
 		return s
 	}
 	return c.ring.pick(r, key, ok)
 }
 
-// maglev is the table of Eisenbud et al., "Maglev: A Fast and Reliable Software
-// Network Load Balancer" (NSDI 2016), where servers take turns by weight.
+// maglev implements the lookup table of Eisenbud et al., "Maglev: A Fast and Reliable Software Network Load Balancer"
+// (NSDI 2016). Servers take turns in filling the table, as often as their weights say.
 type maglev struct {
 	table   []int32
 	servers []*server
@@ -135,7 +136,7 @@
 
 func (c *maglev) rebuild(servers []*server) {
 	c.servers = servers
-	size := 65537 // a prime, a hundred times the servers or more as the paper advises
+	size := 65537 // a prime, at least a hundred times the number of servers, as the paper advises
 	if len(servers) > 600 {
 		size = 655373
 	}
@@ -146,17 +147,17 @@
 	if len(servers) == 0 {
 		return
 	}
-	most := 0.0
+	maxWeight := 0.0
 	offset, skip, next, turns := make([]uint64, len(servers)), make([]uint64, len(servers)), make([]uint64, len(servers)),
 		make([]float64, len(servers))
 	for i, s := range servers {
 		offset[i] = hash(uint64(s.ID), 1) % uint64(size)
 		skip[i] = hash(uint64(s.ID), 2)%uint64(size-1) + 1
-		most = max(most, s.Weight)
+		maxWeight = max(maxWeight, s.Weight)
 	}
 	for filled := 0; ; {
 		for i, s := range servers {
-			if turns[i] += s.Weight / most; turns[i] < 1 {
+			if turns[i] += s.Weight / maxWeight; turns[i] < 1 {
 				continue
 			}
 			turns[i]--
@@ -178,7 +179,7 @@
 	if len(c.servers) == 0 {
 		return nil
 	}
-	for i := range uint64(50) { // a server that may not be chosen: the key is hashed again
+	for i := range uint64(50) { // hash the key again while the server may not be chosen
 		if s := c.servers[c.table[hash(key, i)%uint64(len(c.table))]]; ok(s) {
 			return s
 		}
@@ -186,33 +187,31 @@
 	return nil
 }
 
-// rendezvous is highest random weight: Thaler and Ravishankar, "Using
-// Name-Based Mappings to Increase Hit Rates" (IEEE/ACM Transactions on
-// Networking 6, 1998), weighted by the logarithmic method of Schindelhauer and
-// Schomaker, "Weighted Distributed Hash Tables" (SPAA 2005).
+// rendezvous implements highest random weight hashing: Thaler and Ravishankar, "Using Name-Based Mappings to Increase
+// Hit Rates" (IEEE/ACM Transactions on Networking 6, 1998). Weights are applied by the logarithmic method of
+// Schindelhauer and Schomaker, "Weighted Distributed Hash Tables" (SPAA 2005).
 type rendezvous struct{ servers []*server }
 
 func (c *rendezvous) rebuild(servers []*server) { c.servers = servers }
 
 func (c *rendezvous) pick(_ *rand.Rand, key uint64, ok func(*server) bool) (best *server) {
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, s := range c.servers {
 		u := (float64(hash(key, uint64(s.ID))>>11) + 0.5) / (1 << 53)
-		if x := -math.Log(u) / s.Weight; x < least && ok(s) {
-			best, least = s, x
+		if x := -math.Log(u) / s.Weight; x < lowest && ok(s) {
+			best, lowest = s, x
 		}
 	}
 	return best
 }
 
-// p2c is the power of two choices: Mitzenmacher, "The Power of Two Choices in
-// Randomized Load Balancing" (IEEE Transactions on Parallel and Distributed
-// Systems 12, 2001): the less busy of two servers taken by chance.
+// p2c implements the power of two choices: Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing" (IEEE
+// Transactions on Parallel and Distributed Systems 12, 2001). It picks the less loaded of two random servers.
 type p2c struct{ random }
 
 func (c *p2c) pick(r *rand.Rand, key uint64, ok func(*server) bool) *server {
 	a, b := c.random.pick(r, key, ok), c.random.pick(r, key, ok)
-	if a == nil || b != nil && float64(b.out)/b.Weight < float64(a.out)/a.Weight {
+	if a == nil || b != nil && float64(b.inFlight)/b.Weight < float64(a.inFlight)/a.Weight {
 		return b
 	}
 	return a
--- a/internal/lab/rival/rival.go
+++ b/internal/lab/rival/rival.go
@@ -1,8 +1,7 @@
-// Package rival has the policies that a user would pick instead of hoptiller,
-// behind the interface of the decision module, so that all can be measured on the
-// same days. Each is a published way to choose a server, with retries, call
-// time-outs and outlier ejection as they are commonly set. It does no I/O, and
-// nothing that serves traffic may import it.
+// Package rival implements the policies that a user could choose instead of hoptiller. They have the interface of the
+// decision module, so that all can be measured on the same days. Each policy is a published method of choosing a server,
+// with retries, call timeouts and outlier ejection in common settings. The package does no I/O. Code that serves traffic
+// must not import it.
 package rival
 
 import (
@@ -14,101 +13,101 @@
 	"hoptiller"
 )
 
-// chooser is one way to choose a server.
+// chooser is one method of choosing a server.
 type chooser interface {
-	// rebuild takes the servers that are ready, by id.
+	// rebuild sets the servers that are ready, sorted by ID.
 	rebuild(servers []*server)
-	// pick chooses one that ok permits, or none.
+	// pick returns a server for which ok returns true, or nil. Some methods give up after a number of tries.
 	pick(r *rand.Rand, key uint64, ok func(*server) bool) *server
 }
 
-// Names lists the policies.
+// Names returns the names of the policies.
 func Names() []string { return []string{"random", "ring", "maglev", "bounded", "rendezvous", "p2c"} }
 
-// New returns how to make a router that decides by the named policy, or nil.
+// New returns a function that creates a router with the named policy, or nil if there is no such policy.
 func New(name string) func(time.Duration, hoptiller.Settings, uint64, hoptiller.Actions) hoptiller.Events {
-	var make func() chooser
+	var newChooser func() chooser
 	switch name {
 	case "random":
-		make = func() chooser { return &random{} }
+		newChooser = func() chooser { return &random{} }
 	case "ring":
-		make = func() chooser { return &ring{} }
+		newChooser = func() chooser { return &ring{} }
 	case "maglev":
-		make = func() chooser { return &maglev{} }
+		newChooser = func() chooser { return &maglev{} }
 	case "bounded":
-		make = func() chooser { return &bounded{} }
+		newChooser = func() chooser { return &bounded{} }
 	case "rendezvous":
-		make = func() chooser { return &rendezvous{} }
+		newChooser = func() chooser { return &rendezvous{} }
 	case "p2c":
-		make = func() chooser { return &p2c{} }
+		newChooser = func() chooser { return &p2c{} }
 	default:
 		return nil
 	}
 	return func(now time.Duration, set hoptiller.Settings, seed uint64, act hoptiller.Actions) hoptiller.Events {
-		r := &Router{set: set, act: act, chooser: make(), known: map[uint32]*server{}, open: map[uint32]*request{},
+		r := &Router{set: set, act: act, chooser: newChooser(), known: map[uint32]*server{}, requests: map[uint32]*request{},
 			rand: rand.New(rand.NewPCG(seed, 0))}
 		if set.ListOnRequest {
-			act.SetTimer(tokWatch, time.Duration(r.rand.Float64()*float64(set.AskWithin)/20))
+			act.SetTimer(watchToken, time.Duration(r.rand.Float64()*float64(set.AskWithin)/20))
 		}
 		return r
 	}
 }
 
-// What a user sets: as Envoy's outlier detection and retry policy have it by
-// default, but for the retries, which are taken up to the settings' attempts.
+// These are the settings that a user would make: the defaults of Envoy's outlier detection and retry policy. Only the
+// number of retries differs: MaxAttempts of hoptiller.Settings limits it.
 const (
-	ejectAfter = 5                // errors in a row that eject a server
-	ejectFor   = 30 * time.Second // times the ejections so far
-	ejectMost  = 0.5              // of the servers; beyond that none is passed over
-	callPart   = 0.5              // of the aim that one call of a read gets before it is tried elsewhere
+	ejectAfter       = 5                // number of consecutive errors that eject a server
+	ejectFor         = 30 * time.Second // multiplied by the number of the server's ejections so far
+	maxEjected       = 0.5              // fraction of the servers; if more are ejected, ejections are ignored
+	callTimeoutShare = 0.5              // fraction of the aim for which a call of a read may take
 
-	tokWatch = 1
+	watchToken = 1
 )
 
 type server struct {
 	hoptiller.Server
-	errors, ejections int
-	until             time.Duration // ejected until
-	out               int
+	errors, ejections int           // consecutive errors; ejections so far
+	ejectedUntil      time.Duration // end of the latest ejection
+	inFlight          int           // calls in flight
 }
 
 type call struct {
-	to        *server
-	open, ran bool
-	at        time.Duration
+	server              *server
+	pending, mayHaveRun bool          // in flight; may have taken effect
+	sentAt              time.Duration // when it was sent
 }
 
 type request struct {
 	hoptiller.Request
-	class   *hoptiller.Class
-	end     time.Duration
-	missed  bool
-	repeats int // calls that ended, misses not counted
-	closed  bool
-	calls   []call
+	class      *hoptiller.Class
+	deadline   time.Duration
+	missed     bool // a call was a miss
+	endedCalls int  // calls that ended, except misses
+	closed     bool // it has a final answer, or its client has disconnected
+	calls      []call
 }
 
-// Router is one router with a rival's policy. It is hoptiller.Events.
+// Router is a router with one of the policies. It implements hoptiller.Events.
 type Router struct {
-	set     hoptiller.Settings
-	act     hoptiller.Actions
-	chooser chooser
-	rand    *rand.Rand
-	known   map[uint32]*server
-	ready   []*server
-	origins []*server
-	open    map[uint32]*request
-	fails   int
+	set          hoptiller.Settings
+	act          hoptiller.Actions
+	chooser      chooser
+	rand         *rand.Rand
+	known        map[uint32]*server
+	ready        []*server
+	origins      []*server
+	requests     map[uint32]*request
+	listFailures int // consecutive server lists that could not be fetched
 }
 
 // List implements hoptiller.Events.
 func (r *Router) List(now time.Duration, kind hoptiller.ListKind, entries []hoptiller.Server) {
 	if kind == hoptiller.ListFailed {
-		r.fails++
-		r.act.SetTimer(tokWatch, time.Second<<min(r.fails, 3)/2+time.Duration(r.rand.Float64()*float64(time.Second)))
+		r.listFailures++
+		r.act.SetTimer(watchToken, time.Second<<min(r.listFailures, 3)/2+time.Duration(r.rand.Float64()*float64(time.Second)))
 		return
 	}
-	r.fails = 0
+	r.listFailures = 0
 	listed := map[uint32]bool{}
 	for _, e := range entries {
 		listed[e.ID] = true
@@ -142,78 +141,82 @@
 
 // Timer implements hoptiller.Events.
 func (r *Router) Timer(_ time.Duration, token uint64) {
-	if token == tokWatch {
+	if token == watchToken {
 		r.act.Watch(true)
 	}
 }
 
 // Request implements hoptiller.Events.
 func (r *Router) Request(now time.Duration, in hoptiller.Request) {
-	q := &request{Request: in, class: &r.set.Classes[in.Class], end: now + in.Remaining}
-	r.open[in.ID] = q
+	q := &request{Request: in, class: &r.set.Classes[in.Class], deadline: now + in.Remaining}
+	r.requests[in.ID] = q
 	r.next(now, q)
 }
 
-// next sends a request on, or ends it.
+// next sends the next call of a request, or ends the request if no further call is possible.
 func (r *Router) next(now time.Duration, q *request) {
-	if len(q.calls) >= r.set.MaxAttempts || now >= q.end {
+	if len(q.calls) >= r.set.MaxAttempts || now >= q.deadline {
 		r.finish(q)
 		return
 	}
 	var to *server
 	if q.Write || q.missed || len(r.ready) == 0 {
 		for _, o := range r.origins {
-			if to == nil || o.out < to.out {
+			if to == nil || o.inFlight < to.inFlight {
 				to = o
 			}
 		}
 	} else {
 		to = r.choose(now, q)
 	}
-	if to == nil || !r.mayCall(now, q) {
+	if to == nil || !r.callIsSafe(now, q) {
 		r.finish(q)
 		return
 	}
-	wait := q.end - now
+	timeout := q.deadline - now
 	if q.class.Effect == hoptiller.Idempotent && !q.missed {
-		wait = min(wait, time.Duration(callPart*float64(q.class.Aim)))
+		timeout = min(timeout, time.Duration(callTimeoutShare*float64(q.class.Aim)))
 	}
-	q.calls = append(q.calls, call{to: to, open: true, ran: true, at: now})
-	to.out++
-	r.act.Send(q.ID, to.ID, wait)
+	q.calls = append(q.calls, call{server: to, pending: true, mayHaveRun: true, sentAt: now})
+	to.inFlight++
+	r.act.Send(q.ID, to.ID, timeout)
 }
 
-// mayCall keeps the rules: every user must.
-func (r *Router) mayCall(now time.Duration, q *request) bool {
+// callIsSafe reports whether a further call is safe: a call that may have taken effect must not be repeated if the class
+// allows one execution only, or if its key for deduplication has expired.
+func (r *Router) callIsSafe(now time.Duration, q *request) bool {
 	for _, c := range q.calls {
-		if c.ran && (q.class.Effect == hoptiller.AtMostOnce ||
-			q.class.Effect == hoptiller.Deduplicated && now-c.at >= q.class.KeyTTL-10*time.Millisecond) {
+		if c.mayHaveRun && (q.class.Effect == hoptiller.AtMostOnce ||
+			q.class.Effect == hoptiller.Deduplicated && now-c.sentAt >= q.class.KeyTTL-10*time.Millisecond) {
 			return false
 		}
 	}
 	return true
 }
 
+// choose picks a server that is not ejected and was not tried yet, or any server if there is none.
 func (r *Router) choose(now time.Duration, q *request) *server {
 	ejected := 0
 	for _, s := range r.ready {
-		if s.until > now {
+		if s.ejectedUntil > now {
 			ejected++
 		}
 	}
-	panic := float64(ejected) > ejectMost*float64(len(r.ready))
-	tried := func(s *server) bool { return slices.ContainsFunc(q.calls, func(c call) bool { return c.to == s }) }
-	s := r.chooser.pick(r.rand, q.Key, func(s *server) bool { return (panic || s.until <= now) && !tried(s) })
+	ignoreEjections := float64(ejected) > maxEjected*float64(len(r.ready))
+	tried := func(s *server) bool { return slices.ContainsFunc(q.calls, func(c call) bool { return c.server == s }) }
+	s := r.chooser.pick(r.rand, q.Key, func(s *server) bool { return (ignoreEjections || s.ejectedUntil <= now) && !tried(s) })
 	if s == nil {
 		s = r.chooser.pick(r.rand, q.Key, func(*server) bool { return true })
 	}
 	return s
 }
 
+// finish gives the final answer of a request that was not served: it is refused if no call can have taken effect or
+// effects do no harm, and fails otherwise.
 func (r *Router) finish(q *request) {
-	harmless := q.class.Effect == hoptiller.Idempotent ||
-		!slices.ContainsFunc(q.calls, func(c call) bool { return c.ran })
-	if harmless {
+	canRefuse := q.class.Effect == hoptiller.Idempotent ||
+		!slices.ContainsFunc(q.calls, func(c call) bool { return c.mayHaveRun })
+	if canRefuse {
 		r.act.Refuse(q.ID, 0)
 	} else {
 		r.act.Fail(q.ID)
@@ -221,35 +224,36 @@
 	r.close(q)
 }
 
+// close marks a request as finished, and removes it once it has no calls in flight.
 func (r *Router) close(q *request) {
 	q.closed = true
-	if !slices.ContainsFunc(q.calls, func(c call) bool { return c.open }) {
-		delete(r.open, q.ID)
+	if !slices.ContainsFunc(q.calls, func(c call) bool { return c.pending }) {
+		delete(r.requests, q.ID)
 	}
 }
 
 // Outcome implements hoptiller.Events.
 func (r *Router) Outcome(now time.Duration, o hoptiller.Outcome) {
-	q := r.open[o.Request]
-	if q == nil || o.Attempt >= len(q.calls) || !q.calls[o.Attempt].open {
+	q := r.requests[o.Request]
+	if q == nil || o.Attempt >= len(q.calls) || !q.calls[o.Attempt].pending {
 		return
 	}
 	c := &q.calls[o.Attempt]
-	c.open = false
-	c.to.out--
+	c.pending = false
+	c.server.inFlight--
 	switch o.Status {
 	case hoptiller.Full, hoptiller.ConnectFailed, hoptiller.Moot, hoptiller.Miss:
-		c.ran = false
+		c.mayHaveRun = false
 	}
 	switch o.Status {
 	case hoptiller.OK, hoptiller.Miss:
-		c.to.errors = 0
+		c.server.errors = 0
 	case hoptiller.Cancelled, hoptiller.Moot:
 	default:
-		if c.to.errors++; c.to.errors >= ejectAfter {
-			c.to.errors = 0
-			c.to.ejections++
-			c.to.until = now + time.Duration(c.to.ejections)*ejectFor
+		if c.server.errors++; c.server.errors >= ejectAfter {
+			c.server.errors = 0
+			c.server.ejections++
+			c.server.ejectedUntil = now + time.Duration(c.server.ejections)*ejectFor
 		}
 	}
 	if o.Closed || q.closed {
@@ -257,9 +261,9 @@
 		return
 	}
 	q.missed = q.missed || o.Status == hoptiller.Miss
-	if n := q.Narrow; n != nil && o.Status != hoptiller.Miss { // an operator limits repeats of these as well
-		q.repeats++
-		if !n.Repeats(q.repeats, o.Status) || !n.Spend(now) {
+	if n := q.Narrow; n != nil && o.Status != hoptiller.Miss { // an operator's limits on retries apply to these policies as well
+		q.endedCalls++
+		if !n.Repeats(q.endedCalls, o.Status) || !n.Spend(now) {
 			r.finish(q)
 			return
 		}
@@ -269,16 +273,16 @@
 
 // Streaming implements hoptiller.Events.
 func (r *Router) Streaming(_ time.Duration, id uint32, _ int) {
-	if q := r.open[id]; q != nil {
+	if q := r.requests[id]; q != nil {
 		r.close(q)
 	}
 }
 
 // ClientGone implements hoptiller.Events.
 func (r *Router) ClientGone(_ time.Duration, id uint32) {
-	if q := r.open[id]; q != nil {
+	if q := r.requests[id]; q != nil {
 		for i := range q.calls {
-			if q.calls[i].open {
+			if q.calls[i].pending {
 				r.act.Cancel(id, i)
 			}
 		}
