--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -46,55 +46,55 @@
 // Row holds how one policy differs between two results in one figure at one point of the sweep.
 type Row struct {
 	Policy, Point, Figure string
-	A, B                  Estimate // of the first and the second result
-	Difference            Estimate // B minus A, paired by seed
+	Before, After                  Estimate // of the first and of the second result
+	Difference            Estimate // After minus Before, over pairs of runs with the same seed
 }
 
 // Compare compares two results by pairs of runs with the same policy, point and seed. It returns a row for each policy,
 // point and figure, and the number of runs that only one of the results has.
-func Compare(a, b []*Record, figures []string) (rows []Row, missing int) {
+func Compare(before, after []*Record, figures []string) (rows []Row, missing int) {
 	type key struct {
 		policy, point string
 		seed          uint64
 	}
-	recordsOfA := map[key]*Record{}
-	for _, r := range a {
-		recordsOfA[key{r.Policy, r.Point(), r.Seed}] = r
+	unmatched := map[key]*Record{}
+	for _, r := range before {
+		unmatched[key{r.Policy, r.Point(), r.Seed}] = r
 	}
 	type group struct{ policy, point string }
 	var order []group
 	pairs := map[group][][2]*Record{}
-	for _, r := range b {
+	for _, r := range after {
 		k := key{r.Policy, r.Point(), r.Seed}
-		recordOfA := recordsOfA[k]
-		if recordOfA == nil {
+		earlier := unmatched[k]
+		if earlier == nil {
 			missing++
 			continue
 		}
-		delete(recordsOfA, k)
+		delete(unmatched, k)
 		g := group{r.Policy, r.Point()}
 		if !slices.Contains(order, g) {
 			order = append(order, g)
 		}
-		pairs[g] = append(pairs[g], [2]*Record{recordOfA, r})
+		pairs[g] = append(pairs[g], [2]*Record{earlier, r})
 	}
 	for _, g := range order {
 		for _, figure := range figures {
-			var valuesA, valuesB, differences []float64
+			var beforeValues, afterValues, differences []float64
 			for _, p := range pairs[g] {
 				a, ok := p[0].Value(figure)
 				b, ok2 := p[1].Value(figure)
 				if ok && ok2 {
-					valuesA, valuesB, differences = append(valuesA, a), append(valuesB, b), append(differences, b-a)
+					beforeValues, afterValues, differences = append(beforeValues, a), append(afterValues, b), append(differences, b-a)
 				}
 			}
 			if len(differences) > 0 {
 				rows = append(rows, Row{g.policy, g.point, figure,
-					NewEstimate(valuesA), NewEstimate(valuesB), NewEstimate(differences)})
+					NewEstimate(beforeValues), NewEstimate(afterValues), NewEstimate(differences)})
 			}
 		}
 	}
-	return rows, missing + len(recordsOfA)
+	return rows, missing + len(unmatched)
 }
 
 // WriteComparison writes rows as a table. A * marks a significant difference.
@@ -106,7 +106,7 @@
 		if r.Difference.Significant() {
 			mark = "*"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.4f\t%.4f\t%v\t%s\n", r.Policy, r.Point, r.Figure, r.A.Mean, r.B.Mean, r.Difference, mark)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.4f\t%.4f\t%v\t%s\n", r.Policy, r.Point, r.Figure, r.Before.Mean, r.After.Mean, r.Difference, mark)
 	}
 	return w.Flush()
 }
--- a/internal/lab/experiment/hunt.go
+++ b/internal/lab/experiment/hunt.go
@@ -69,7 +69,7 @@
 	if err := day.Check(); err != nil {
 		return nil, fmt.Errorf("a drawn day is impossible: %w", err)
 	}
-	ours, err := play(ctx, day, h.Policy)
+	ours, err := playDay(ctx, day, h.Policy)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 	}
 	f := &Finding{Day: day, Ours: ours}
 	for _, name := range h.Rivals {
-		r, err := play(ctx, day, name)
+		r, err := playDay(ctx, day, name)
 		if err != nil {
 			return nil, err
 		}
@@ -158,31 +158,31 @@
 // Draw draws the n-th random day of a seed.
 func Draw(seed uint64, n int) model.Day {
 	r := model.Stream(seed, "hunt", n)
-	between := func(a, b float64) float64 { return a + (b-a)*r.Float64() }
-	span := func(a, b float64) unit.Duration {
-		return unit.Duration(time.Duration(between(a, b)*1000) * time.Millisecond)
+	uniform := func(a, b float64) float64 { return a + (b-a)*r.Float64() }
+	randomDuration := func(a, b float64) unit.Duration {
+		return unit.Duration(time.Duration(uniform(a, b)*1000) * time.Millisecond)
 	}
 	day := model.Prairie()
 	day.Seed = r.Uint64() >> 32
-	day.Warm, day.Length = span(12, 12), unit.Duration(30*time.Second)
+	day.Warm, day.Length = randomDuration(12, 12), unit.Duration(30*time.Second)
 	day.Fleet.Caches, day.Routers = 4+r.IntN(11), 1+r.IntN(5)
-	day.Load.Level = float64(int(between(20, 90))) / 100
+	day.Load.Level = float64(int(uniform(20, 90))) / 100
 	day.Load.Shape = []string{"steady", "wave", "bursty"}[r.IntN(3)]
-	day.Origin.Headroom = float64(int(between(20, 31))) / 10
+	day.Origin.Headroom = float64(int(uniform(20, 31))) / 10
 	day.Origin.Drops = r.IntN(2) == 0
 	day.Net.Loss = []float64{0, 0, 0.001, 0.01}[r.IntN(4)]
 	for range 1 + r.IntN(3) {
-		day.Faults = append(day.Faults, drawFault(r, &day, span, between))
+		day.Faults = append(day.Faults, drawFault(r, &day, randomDuration, uniform))
 	}
 	return day
 }
 
 // drawFault draws a random fault. Some kinds take other sizes than the common range of 0.1 to 0.6.
-func drawFault(r *rand.Rand, day *model.Day, span func(a, b float64) unit.Duration,
-	between func(a, b float64) float64) model.Fault {
+func drawFault(r *rand.Rand, day *model.Day, randomDuration func(a, b float64) unit.Duration,
+	uniform func(a, b float64) float64) model.Fault {
 	kinds := model.FaultKinds()
-	f := model.Fault{Kind: kinds[r.IntN(len(kinds))][0], At: span(2, 15), For: span(3, 15),
-		Part: float64(int(between(5, 30))) / 100, Size: float64(int(between(10, 60))) / 100, Count: 1 + r.IntN(3), Gap: span(0.5, 4),
+	f := model.Fault{Kind: kinds[r.IntN(len(kinds))][0], At: randomDuration(2, 15), For: randomDuration(3, 15),
+		Part: float64(int(uniform(5, 30))) / 100, Size: float64(int(uniform(10, 60))) / 100, Count: 1 + r.IntN(3), Gap: randomDuration(0.5, 4),
 		Zone: r.IntN(day.Zones)}
 	switch f.Kind {
 	case "hot_key":
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -234,7 +234,7 @@
 	return sim.Run(ctx, &day, p, sim.Options{Story: &s})
 }
 
-// play plays a day without an experiment file.
-func play(ctx context.Context, day model.Day, policy string) (*tally.Result, error) {
+// playDay plays a day without an experiment file.
+func playDay(ctx context.Context, day model.Day, policy string) (*tally.Result, error) {
 	return sim.Run(ctx, &day, Policy(policy), sim.Options{})
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -22,34 +22,34 @@
 	"hoptiller/internal/lab/model"
 )
 
-// Class is one class of request.
+// Class is one class of request. Its aim and deadline count from the time at which a request is due.
 type Class struct {
 	Name     string
-	Share    float64 // of all requests, relative to the other classes' shares
+	Share    float64 // share of the requests, relative to the shares of the other classes
 	Aim      time.Duration
 	Deadline time.Duration
 	Worth    float64
 	Write    bool
 }
 
-// Plan says what is sent.
+// Plan describes the requests of a run.
 type Plan struct {
-	Addrs   []string // of the routers, used in turn
-	Rate    float64  // requests a second; 0: each connection sends one after the other (a closed loop)
+	Addrs   []string // of the routers; new connections use them in turn
+	Rate    float64  // requests a second; 0: a closed loop, in which each connection sends one request after the other
 	For     time.Duration
-	Conns   int // at most
-	Keys    int
-	Zipf    float64 // exponent of the keys' popularity
-	Offset  float64 // of the popularity's rank
+	Conns   int     // maximum number of connections
+	Keys    int     // number of keys
+	Zipf    float64 // exponent of the Zipf distribution of the keys' popularity
+	Offset  float64 // added to the rank of a key in that distribution
 	Seed    uint64
 	Classes []Class
-	Retries int // of a request that is rejected, each after the time that the router asks for
-	Value   int // bytes of a write's value
+	Retries int // maximum number of retries of a refused request, each after the time that the router requests
+	Value   int // size of the value of a write, in bytes
 
-	Progress func(*Report) // called once a second
+	Progress func(*Report) // called once a second; may be nil
 }
 
-// Bounds of a Plan.
+// These are the bounds of a Plan.
 const (
 	maxRate  = 1e6
 	maxTime  = time.Hour
@@ -57,14 +57,14 @@
 	maxKeys  = 1e7
 )
 
-// Range of the latency histograms, in microseconds, and their precision.
+// These are the range of the latency histograms, in microseconds, and their precision.
 const (
 	minLatency        = 1
 	maxLatency        = 600e6
 	significantDigits = 3
 )
 
-// Check returns an error that names the first setting of a plan that is out of bounds.
+// Check returns an error for the first setting of a plan that is out of bounds, or nil.
 func (p *Plan) Check() error {
 	switch {
 	case len(p.Addrs) == 0:
@@ -106,7 +106,7 @@
 	lastID uint64
 }
 
-// Run sends what the plan says until its time is over or ctx ends, and waits for the responses.
+// Run sends the requests of a plan until its time is over or ctx ends, and waits for their responses.
 func Run(ctx context.Context, plan Plan) (*Report, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -129,6 +129,7 @@
 	return r.report(), nil
 }
 
+// newRun draws the keys of a run and prepares its connections and counters.
 func newRun(plan Plan) *run {
 	r := &run{
 		plan:  plan,
@@ -162,8 +163,8 @@
 	}
 }
 
-// openLoop sends each request when it is due, with exponential times between them. It returns when
-// ctx has ended and all requests are finished.
+// openLoop sends each request when it is due. The times between requests are exponentially distributed. openLoop returns
+// when ctx has ended and all requests are finished.
 func (r *run) openLoop(ctx context.Context) {
 	rng := model.Stream(r.plan.Seed, "open", 0)
 	timer := time.NewTimer(0)
@@ -188,7 +189,7 @@
 	}
 }
 
-// closedLoop sends on each connection one request after the other until ctx ends.
+// closedLoop sends one request after the other on each connection until ctx ends.
 func (r *run) closedLoop(ctx context.Context) {
 	var senders sync.WaitGroup
 	for i := range r.plan.Conns {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -14,8 +14,9 @@
 	"time"
 )
 
-// answers serves meta requests on a loopback port; answer tells what to say to the n-th.
-func answers(t *testing.T, answer func(n int, id string) string) string {
+// serveAnswers serves meta requests on a loopback port until the test ends. answer returns the response to the n-th read,
+// or "" to close the connection.
+func serveAnswers(t *testing.T, answer func(n int, id string) string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -32,13 +33,13 @@
 				defer c.Close()
 				lines := bufio.NewScanner(c)
 				for lines.Scan() {
-					word := strings.Fields(lines.Text())
-					if word[0] == "ms" {
+					words := strings.Fields(lines.Text())
+					if words[0] == "ms" {
 						lines.Scan()
-						fmt.Fprintf(c, "HD %s cr1\r\n", word[3])
+						fmt.Fprintf(c, "HD %s cr1\r\n", words[3])
 						continue
 					}
-					text := answer(int(n.Add(1)), word[3])
+					text := answer(int(n.Add(1)), words[3])
 					if text == "" {
 						return
 					}
@@ -50,24 +51,24 @@
 	return l.Addr().String()
 }
 
-func plan(addr string) Plan {
+func testPlan(addr string) Plan {
 	return Plan{Addrs: []string{addr}, Rate: 200, For: time.Second, Conns: 50, Keys: 10, Zipf: 1, Retries: 2, Value: 2,
 		Classes: []Class{{Name: "read", Share: 1, Aim: 100 * time.Millisecond, Deadline: time.Second, Worth: 1}}}
 }
 
-// A server that stalls once is charged for all who would have asked meanwhile, also where the connections are all in use.
+// A server that stalls once is charged for all requests that were due during the stall, even if all connections are in use.
 func TestStallIsNotOmitted(t *testing.T) {
 	var stall sync.Once
-	var held sync.RWMutex
-	addr := answers(t, func(n int, id string) string {
+	var stallLock sync.RWMutex
+	addr := serveAnswers(t, func(n int, id string) string {
 		if n == 60 {
-			stall.Do(func() { held.Lock(); time.Sleep(300 * time.Millisecond); held.Unlock() })
+			stall.Do(func() { stallLock.Lock(); time.Sleep(300 * time.Millisecond); stallLock.Unlock() })
 		}
-		held.RLock()
-		defer held.RUnlock()
+		stallLock.RLock()
+		defer stallLock.RUnlock()
 		return "VA 2 " + id + "\r\nhi\r\n"
 	})
-	p := plan(addr)
+	p := testPlan(addr)
 	p.Conns = 2
 	r, err := Run(context.Background(), p)
 	if err != nil {
@@ -79,28 +80,29 @@
 	}
 }
 
-// Refused requests come again when they were told to, others not; what fails and what is lost is told apart. What a
-// request meets hangs on its own number, not on the order of arrival, which differs from one machine to the next.
+// Refused requests are retried after the time in the response; others are not retried. Failed and lost requests are
+// counted separately. The response to a request depends on its ID, not on the order of arrival, which differs between
+// machines.
 func TestOutcomes(t *testing.T) {
-	addr := answers(t, func(_ int, id string) string {
-		word, err := strconv.ParseUint(strings.TrimPrefix(id, "O"), 16, 64)
+	addr := serveAnswers(t, func(_ int, id string) string {
+		wireID, err := strconv.ParseUint(strings.TrimPrefix(id, "O"), 16, 64)
 		if err != nil {
-			t.Errorf("%q is no number of a request: %v", id, err)
+			t.Errorf("%q is no request ID: %v", id, err)
 		}
-		first := word&15 == 0
-		switch number := word >> 4; {
-		case number%5 == 0 && first:
+		isFirstAttempt := wireID&15 == 0
+		switch requestID := wireID >> 4; {
+		case requestID%5 == 0 && isFirstAttempt:
 			return "SERVER_ERROR busy 5\r\n"
-		case number%5 == 1:
+		case requestID%5 == 1:
 			return "SERVER_ERROR failed\r\n"
-		case number%5 == 2:
+		case requestID%5 == 2:
 			return ""
-		case number%5 == 3:
+		case requestID%5 == 3:
 			return "SERVER_ERROR busy 5\r\n"
 		}
 		return "VA 2 " + id + "\r\nhi\r\n"
 	})
-	p := plan(addr)
+	p := testPlan(addr)
 	p.Classes = append(p.Classes, Class{Name: "write", Share: 0.5, Aim: time.Second, Deadline: time.Second, Worth: 1, Write: true})
 	r, err := Run(context.Background(), p)
 	if err != nil {
@@ -115,14 +117,15 @@
 		t.Errorf("%+v", w)
 	}
 	var text, line bytes.Buffer
-	if r.WriteText(&text) != nil || r.WriteJSON(&line) != nil || !strings.Contains(text.String(), "write") || !strings.Contains(line.String(), `"p99"`) {
+	if r.WriteText(&text) != nil || r.WriteJSON(&line) != nil || !strings.Contains(text.String(), "write") ||
+		!strings.Contains(line.String(), `"p99"`) {
 		t.Errorf("%s %s", &text, &line)
 	}
 }
 
-// A closed loop asks as fast as it is answered, and all ends in time.
+// A closed loop sends a request as soon as the previous one is answered, and ends in time.
 func TestClosedLoop(t *testing.T) {
-	p := plan(answers(t, func(_ int, id string) string { return "VA 2 " + id + "\r\nhi\r\n" }))
+	p := testPlan(serveAnswers(t, func(_ int, id string) string { return "VA 2 " + id + "\r\nhi\r\n" }))
 	p.Rate, p.For, p.Conns = 0, 200*time.Millisecond, 4
 	r, err := Run(context.Background(), p)
 	if err != nil || r.Classes[0].Served < 100 {
@@ -130,7 +133,7 @@
 	}
 }
 
-// Load goes to this machine alone, and is bounded.
+// Load is sent to loopback addresses only and is bounded.
 func TestCheck(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
 		"no loopback address": func(p *Plan) { p.Addrs = []string{"10.0.0.1:80"} },
@@ -139,7 +142,7 @@
 		"no class":            func(p *Plan) { p.Classes = nil },
 		"missing port":        func(p *Plan) { p.Addrs = []string{"127.0.0.1"} },
 	} {
-		p := plan("127.0.0.1:1")
+		p := testPlan("127.0.0.1:1")
 		change(&p)
 		if _, err := Run(context.Background(), p); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -10,25 +10,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the result of a run. Latencies are in milliseconds. The JSON names are part of the
-// command's output.
+// Report is the result of a run, or the state of a run that has not ended. The command writes it with these JSON names.
 type Report struct {
 	Seconds float64       `json:"seconds"`
 	Rate    float64       `json:"rate"` // finished requests a second
-	Late    int           `json:"late"` // requests that were sent 10 ms or more after they were due, for want of connections
+	Late    int           `json:"late"` // requests sent 10 ms or more after they were due, because no connection was free
 	Classes []ClassReport `json:"classes"`
 }
 
-// ClassReport is the result of one class.
+// ClassReport is the result of one class. Latencies are in milliseconds.
 type ClassReport struct {
 	Name    string  `json:"name"`
 	Sent    int     `json:"sent"`
 	Served  int     `json:"served"`
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"`
-	Lost    int     `json:"lost"` // the connection ended, or no response came within the deadline
+	Lost    int     `json:"lost"` // the connection was closed, or no response came within the deadline
 	Retries int     `json:"retries"`
-	Service float64 `json:"service"` // worth served within its aim over worth asked for
+	Service float64 `json:"service"` // worth of the requests served within the aim, divided by the worth of all requests
 	P50     float64 `json:"p50"`
 	P90     float64 `json:"p90"`
 	P99     float64 `json:"p99"`
@@ -39,11 +38,11 @@
 // classCounts counts the requests of one class.
 type classCounts struct {
 	sent, served, refused, failed, lost, retries int
-	askedWorth, servedWorth                      float64
+	requestedWorth, servedWorth                  float64
 	latencies                                    *hdrhistogram.Histogram // in microseconds
 }
 
-// report returns the result so far.
+// report returns the result up to now.
 func (r *run) report() *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,14 +56,15 @@
 	return report
 }
 
+// report returns the result of the class under its name.
 func (c *classCounts) report(name string) ClassReport {
 	const microsPerMilli = 1000
 	milliseconds := func(quantile float64) float64 {
 		return float64(c.latencies.ValueAtQuantile(quantile)) / microsPerMilli
 	}
 	service := 1.0
-	if c.askedWorth > 0 {
-		service = c.servedWorth / c.askedWorth
+	if c.requestedWorth > 0 {
+		service = c.servedWorth / c.requestedWorth
 	}
 	return ClassReport{
 		Name:    name,
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	lateAfter  = 10 * time.Millisecond // a request that is sent so much after it was due is late
-	minBackoff = time.Millisecond      // before a retry
+	lateAfter  = 10 * time.Millisecond // a request is late if it is sent this much after it was due
+	minBackoff = time.Millisecond      // minimum wait before a retry
 )
 
-// request is one request that is due.
+// request is one request and the time at which it is due.
 type request struct {
 	id    uint64
 	key   uint64
@@ -22,41 +22,41 @@
 	served outcome = iota
 	refused
 	failed
-	lost // the connection ended, or no response came within the deadline
+	lost // the connection was closed, or no response came within the deadline
 )
 
-// send carries one request to its end, with the retries of a client that is rejected.
+// send sends one request, retries it while it is refused, and records its result.
 func (r *run) send(q request) {
 	class := &r.plan.Classes[q.class]
 	deadline := q.due.Add(class.Deadline)
 	var result outcome
 	retries := 0
 	for {
-		var after time.Duration
-		result, after = r.attempt(q, retries, deadline)
-		if result != refused || retries >= r.plan.Retries || time.Now().Add(after).After(deadline) {
+		var retryAfter time.Duration
+		result, retryAfter = r.attempt(q, retries, deadline)
+		if result != refused || retries >= r.plan.Retries || time.Now().Add(retryAfter).After(deadline) {
 			break
 		}
 		retries++
-		time.Sleep(max(after, minBackoff))
+		time.Sleep(max(retryAfter, minBackoff))
 	}
 	r.record(q, result, retries, time.Since(q.due))
 }
 
-// record counts a finished request.
-func (r *run) record(q request, result outcome, retries int, took time.Duration) {
+// record counts a finished request and its latency.
+func (r *run) record(q request, result outcome, retries int, latency time.Duration) {
 	class := &r.plan.Classes[q.class]
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := &r.counts[q.class]
 	c.sent++
 	c.retries += retries
-	c.askedWorth += class.Worth
+	c.requestedWorth += class.Worth
 	switch result {
 	case served:
 		c.served++
-		c.latencies.RecordValue(max(minLatency, took.Microseconds()))
-		if took <= class.Aim {
+		c.latencies.RecordValue(max(minLatency, latency.Microseconds()))
+		if latency <= class.Aim {
 			c.servedWorth += class.Worth
 		}
 	case refused:
@@ -68,9 +68,9 @@
 	}
 }
 
-// attempt makes the n-th attempt at a request, from 0. after is when a rejected request may be tried
-// again.
-func (r *run) attempt(q request, n int, deadline time.Time) (result outcome, after time.Duration) {
+// attempt makes the n-th attempt at a request, counted from 0. retryAfter is how long the client of a refused request
+// shall wait before a retry.
+func (r *run) attempt(q request, n int, deadline time.Time) (result outcome, retryAfter time.Duration) {
 	c, reused := r.conns.get(q.id)
 	if c == nil {
 		return lost, 0
@@ -80,18 +80,18 @@
 		r.late++
 		r.mu.Unlock()
 	}
-	result, after, usable := r.exchange(c, q, n, deadline)
+	result, retryAfter, usable := r.exchange(c, q, n, deadline)
 	if !usable && reused && result == lost && time.Now().Before(deadline) {
-		// The router may have closed the idle connection at just that moment: once more, on a new one.
+		// The router may have closed the idle connection at the same moment, so the request is sent again on a new one.
 		if c = r.conns.replace(c, q.id); c == nil {
 			return lost, 0
 		}
-		result, after, usable = r.exchange(c, q, n, deadline)
+		result, retryAfter, usable = r.exchange(c, q, n, deadline)
 	}
 	if usable {
 		r.conns.put(c)
 	} else {
 		r.conns.drop(c)
 	}
-	return result, after
+	return result, retryAfter
 }
--- a/internal/lab/membership/simulation_test.go
+++ b/internal/lab/membership/simulation_test.go
@@ -74,8 +74,11 @@
 		}, nil},
 		"starts after an hour": {0, func(s *Simulation) { s.Crash(2); s.Run(s.Now() + time.Hour); s.Start(2) }, map[int]bool{2: true}},
 		"leaves and returns":   {0, func(s *Simulation) { s.Leave(2); s.Run(s.Now() + 5*time.Second); s.Start(2) }, nil},
-		"half pause for a sec": {0, func(s *Simulation) { evenRouters(s, s.Pause); s.Run(s.Now() + time.Second); evenRouters(s, s.Resume) },
-			nil},
+		"half pause for a sec": {0, func(s *Simulation) {
+			evenRouters(s, s.Pause)
+			s.Run(s.Now() + time.Second)
+			evenRouters(s, s.Resume)
+		}, nil},
 		"split for ten minutes": {0.1, func(s *Simulation) { s.Partition(3); s.Run(s.Now() + 10*time.Minute); s.Partition(1) },
 			map[int]bool{0: true, 1: true, 2: true, 3: true, 4: true, 5: true, 6: true, 7: true, 8: true}},
 	} {
--- a/internal/lab/plot/plot.go
+++ b/internal/lab/plot/plot.go
@@ -1,5 +1,5 @@
-// Package plot draws the results of experiments and drills as SVG or PNG files. It reads nothing
-// but the results it is given and writes nothing but the files it is asked for.
+// Package plot draws the results of experiments and drills as SVG or PNG files. Its
+// only input is the results that a caller passes, and its only output is the files that a caller names.
 package plot
 
 import (
@@ -14,8 +14,7 @@
 	"hoptiller/internal/lab/experiment"
 )
 
-// palette is the palette of Okabe and Ito, whose colours can be told apart with any kind of colour
-// vision.
+// palette is the palette of Okabe and Ito. Its colours can be distinguished with any kind of colour vision.
 var palette = []color.Color{
 	color.RGBA{0x00, 0x72, 0xb2, 0xff}, color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0x00, 0x9e, 0x73, 0xff},
 	color.RGBA{0xcc, 0x79, 0xa7, 0xff}, color.RGBA{0xe6, 0x9f, 0x00, 0xff}, color.RGBA{0x56, 0xb4, 0xe9, 0xff},
@@ -28,6 +27,7 @@
 	lineWidth = vg.Length(1.4)
 )
 
+// newPlot returns an empty plot with a title, labels of its axes and a grid.
 func newPlot(title, x, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -36,15 +36,16 @@
 	return p
 }
 
-// save writes a plot in the format that the extension of the path names.
+// save writes a plot in the format of the path's extension: .svg or .png.
 func save(p *plot.Plot, path string) error {
 	if ext := filepath.Ext(path); ext != ".svg" && ext != ".png" {
-		return fmt.Errorf("%s: .svg or .png is meant", path)
+		return fmt.Errorf("%s: the extension must be .svg or .png", path)
 	}
 	return p.Save(width, height, path)
 }
 
-// addLine adds the n-th line in its own colour, with a name in the legend unless that is empty.
+// addLine adds a line in the n-th colour, dashed if the palette has fewer colours. A name that is not empty is added to the
+// legend.
 func addLine(p *plot.Plot, n int, name string, points plotter.XYs) error {
 	l, err := plotter.NewLine(points)
 	if err != nil {
@@ -61,6 +62,7 @@
 	return nil
 }
 
+// title returns the name of the experiment that the records are from.
 func title(records []*experiment.Record) string {
 	if len(records) == 0 {
 		return ""
@@ -68,14 +70,13 @@
 	return records[0].Experiment
 }
 
-// Curve is one line of a plot, given by its points.
+// Curve is one line of a plot, with the coordinates of its points.
 type Curve struct {
 	Name string
 	X, Y []float64
 }
 
-// Curves plots lines over a common axis, with both axes logarithmic. It fails if a value isn't
-// greater than 0.
+// Curves plots lines in one plot with two logarithmic axes. It returns an error if a coordinate isn't greater than 0.
 func Curves(title, x, y string, curves []Curve, path string) error {
 	p := newPlot(title, x, y)
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
@@ -85,7 +86,7 @@
 		for i := range points {
 			points[i] = plotter.XY{X: curve.X[i], Y: curve.Y[i]}
 			if !(points[i].X > 0 && points[i].Y > 0) {
-				return fmt.Errorf("%s: a logarithmic axis has no place for %v", curve.Name, points[i])
+				return fmt.Errorf("%s: a logarithmic axis can't show %v", curve.Name, points[i])
 			}
 		}
 		if err := addLine(p, n, curve.Name, points); err != nil {
--- a/internal/lab/plot/plot_test.go
+++ b/internal/lab/plot/plot_test.go
@@ -11,7 +11,7 @@
 	"hoptiller/internal/lab/experiment"
 )
 
-// Every kind of plot is drawn from results, with the names that are in them.
+// Each kind of plot is drawn from the results of an experiment and shows their names.
 func TestPlots(t *testing.T) {
 	f, err := experiment.Parse("x.toml", []byte(`title = "x"
 policies = ["hoptiller", "ring"]
@@ -51,12 +51,14 @@
 			t.Errorf("%s: %d bytes, %v", name, len(text), err)
 		}
 		if name == "sweep.svg" && (!bytes.Contains(text, []byte("ring")) || !bytes.Contains(text, []byte("load.level"))) {
-			t.Error("the plot does not name what it shows")
+			t.Error("the plot lacks the name of a policy or of the parameter")
 		}
 	}
 	for name, err := range map[string]error{
-		"extension": Sweep(records, "load.level", "score", path("x.gif")), "metric": Sweep(records, "load.level", "beauty", path("x.svg")),
-		"time series": TimeSeries(records[0], "beauty", path("x.svg")), "missing series": TimeSeries(&experiment.Record{Result: records[0].Result}, "none", path("x.svg")),
+		"extension":      Sweep(records, "load.level", "score", path("x.gif")),
+		"metric":         Sweep(records, "load.level", "beauty", path("x.svg")),
+		"time series":    TimeSeries(records[0], "beauty", path("x.svg")),
+		"missing series": TimeSeries(&experiment.Record{Result: records[0].Result}, "none", path("x.svg")),
 	} {
 		if err == nil {
 			t.Errorf("a wrong %s is accepted", name)
--- a/internal/lab/plot/series.go
+++ b/internal/lab/plot/series.go
@@ -13,16 +13,16 @@
 	"hoptiller/internal/lab/tally"
 )
 
-// maxLoadShare caps the plotted load of a cache server: its work over its capacity.
+// maxLoadShare caps the plotted load of a cache server, which is its work divided by its capacity.
 const maxLoadShare = 5
 
-// TimeSeries plots one metric of one run second by second, with a mark at the beginning and end of
-// each fault. The metrics are service, asked, refused, fetches and latency, which have one line, and
-// load and capacity, which have one for each cache server.
+// TimeSeries plots one metric of one run second by second, and marks the beginning and end of each fault. The metrics
+// service, asked, refused, fetches and latency have one line. The metrics load and capacity have one line for each cache
+// server.
 func TimeSeries(r *experiment.Record, metric, path string) error {
 	s := r.Series
 	if s == nil {
-		return errors.New("the results have no course: the experiment must say series = true")
+		return errors.New("the results have no time series: the experiment must set series = true")
 	}
 	lines, label, err := seriesLines(s, metric)
 	if err != nil {
@@ -64,7 +64,8 @@
 		}
 		return lines, "capacity in standard cores, a line a cache", nil
 	}
-	return nil, "", fmt.Errorf("there is no course of %q: service, asked, refused, fetches, latency, load and capacity are meant", metric)
+	return nil, "", fmt.Errorf(
+		"there is no time series of %q: service, asked, refused, fetches, latency, load and capacity are possible", metric)
 }
 
 // addFaults marks the beginning and end of each fault with a labelled vertical line.
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// loadShares returns the work sent to a cache server over its capacity, second by second. It is 0
-// where the server has no capacity.
+// loadShares returns, for each second, the work sent to a cache server divided by its capacity. The value is 0 for a second
+// in which the server has no capacity.
 func loadShares(s *tally.Series, cache int) []float64 {
 	shares := make([]float64, len(s.Sent[cache]))
 	for i := range shares {
@@ -97,7 +98,7 @@
 	return shares
 }
 
-// perSecond returns the points of a line with one value for each second.
+// perSecond returns the points of a line that has one value for each second.
 func perSecond[T int | float64](values []T) plotter.XYs {
 	points := make(plotter.XYs, len(values))
 	for i := range points {
--- a/internal/lab/plot/sweep.go
+++ b/internal/lab/plot/sweep.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	logScaleFrom     = 20   // ratio of the sweep's largest value to its smallest from which the axis is logarithmic
-	barsWidth        = 0.75 // part of the plot's width that all bars take together
-	maxLevelLabels   = 6    // with more labels on the axis they are turned by 45 degrees
-	barsLegendMargin = 1.25 // room for the legend above the highest bar
+	logScaleFrom     = 20   // the axis is logarithmic if the sweep's largest value is at least this many times its smallest
+	barsWidth        = 0.75 // fraction of the plot's width that all bars take together
+	maxLevelLabels   = 6    // if the axis has more labels, they are rotated by 45 degrees
+	barsLegendMargin = 1.25 // top of the axis relative to the highest bar, which leaves space for the legend
 )
 
-// sample holds the values of one policy by the swept parameter.
+// sample holds the values of one metric for one policy, by the value of the swept parameter.
 type sample map[float64][]float64
 
-// Sweep plots the metric y over the swept parameter x: for each policy the means over the seeds,
-// with their 95% confidence intervals. A parameter that isn't a number is plotted as Bars.
+// Sweep plots the metric y over the swept parameter x. It draws a line for each policy through the means over the seeds,
+// with their 95% confidence intervals. If the parameter isn't a number, it plots Bars.
 func Sweep(records []*experiment.Record, x, y, path string) error {
 	if len(records) > 0 {
-		if _, ok := number(records[0].At[x]); !ok {
+		if _, ok := toNumber(records[0].At[x]); !ok {
 			return Bars(records, x, y, path)
 		}
 	}
@@ -54,12 +54,12 @@
 	return save(p, path)
 }
 
-// collect groups the values of a metric by policy and swept parameter. The policies come in the
-// order of the records.
+// collect groups the values of the metric y by policy and by the swept parameter x. It returns the policies in the order
+// of the records.
 func collect(records []*experiment.Record, x, y string) (samples map[string]sample, policies []string, err error) {
 	samples = map[string]sample{}
 	for _, r := range records {
-		at, ok := number(r.At[x])
+		at, ok := toNumber(r.At[x])
 		value, ok2 := r.Value(y)
 		if !ok || !ok2 {
 			return nil, nil, fmt.Errorf("the results have no number %q over %q", y, x)
@@ -73,7 +73,7 @@
 	return samples, policies, nil
 }
 
-// addEstimates adds the line of one policy with its confidence intervals.
+// addEstimates adds the line of one policy with its confidence intervals, in the n-th colour.
 func addEstimates(p *plot.Plot, n int, policy string, values sample) error {
 	var points plotter.XYs
 	var intervals plotter.YErrors
@@ -81,7 +81,7 @@
 		estimate := experiment.NewEstimate(values[at])
 		points = append(points, plotter.XY{X: at, Y: estimate.Mean})
 		half := estimate.Half
-		if math.IsInf(half, 0) { // one seed has no interval
+		if math.IsInf(half, 0) { // a single seed has no interval
 			half = 0
 		}
 		intervals = append(intervals, struct{ Low, High float64 }{half, half})
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// Bars plots the mean of the metric y for each point of the sweep, with one bar for each policy. The
-// points are named by the swept parameter x, or by all parameters if x is empty.
+// Bars plots the mean of the metric y as a bar for each point of the sweep and each policy. The name of a point is its value
+// of the swept parameter x, or the values of all parameters if x is empty.
 func Bars(records []*experiment.Record, x, y, path string) error {
 	p := newPlot(title(records), "", y)
 	var policies, points []string
@@ -146,6 +146,7 @@
 	return save(p, path)
 }
 
+// pointName returns the name of a record's point for Bars.
 func pointName(r *experiment.Record, x string) string {
 	if x == "" {
 		return r.Point()
@@ -153,8 +154,8 @@
 	return fmt.Sprint(r.At[x])
 }
 
-// number converts a parameter as the experiment's file gives it.
-func number(v any) (float64, bool) {
+// toNumber converts a value of a swept parameter to a float64. It returns false if the value is no number.
+func toNumber(v any) (float64, bool) {
 	switch x := v.(type) {
 	case float64:
 		return x, true
--- a/internal/lab/plot/timeline.go
+++ b/internal/lab/plot/timeline.go
@@ -13,7 +13,7 @@
 	"hoptiller/internal/lab/drill"
 )
 
-// Sources of a drill's events (field From), and the text of a router that is ready.
+// These are the sources of a drill's events (field From), and the text of an event by which a router becomes ready.
 const (
 	fromDrill  = "drill"
 	fromWatch  = "watch"
@@ -21,23 +21,23 @@
 	readyText  = "ready"
 )
 
-// Layout of a timeline: each router has a row of height 1, with number 0 on top, and the service is
-// drawn above them.
+// These constants define the layout of a timeline. Each router has a row of height 1, with router 0 at the top. The service
+// is drawn above the rows.
 const (
 	bottom       = 0.5
-	topMargin    = 2.1 // from the first router's row to the top of the plot
-	logOffset    = 0.2 // of the marks of logged events above the row
+	topMargin    = 2.1 // distance from the row of router 0 to the top of the plot
+	logOffset    = 0.2 // distance of the marks of logged events above the row
 	bandWidth    = vg.Length(6)
 	stepWidth    = vg.Length(0.7)
 	glyphRadius  = vg.Length(2.5)
-	readyColor   = 2 // indexes into the palette
+	readyColor   = 2 // index into the palette, like the next two
 	stepColor    = 1
 	warningColor = 4
 )
 
-// Timeline plots the events of a drill. Each router has a row with a band while it was ready, a mark
-// for each step that was applied to it and a mark for each warning that it logged; steps that concern
-// no single router are vertical lines. Above the rows stands the service of each second.
+// Timeline plots the events of a drill. The row of a router has a band for the time in which the router was ready, a mark
+// for each step that was applied to it and a mark for each warning or error that it logged. Steps that don't concern a
+// single router are vertical lines. The service of each second is drawn above the rows.
 func Timeline(title string, events []drill.Event, routers int, service []float64, path string) error {
 	p := newPlot(title, "seconds after the warm-up", "")
 	p.Y.Tick.Marker = plot.ConstantTicks(rowLabels(routers))
@@ -61,6 +61,7 @@
 	return save(p, path)
 }
 
+// rowLabels returns the labels of the vertical axis.
 func rowLabels(routers int) []plot.Tick {
 	var labels []plot.Tick
 	for router := range routers {
@@ -71,7 +72,7 @@
 		plot.Tick{Value: float64(routers) + 2, Label: "1"})
 }
 
-// addSteps adds a vertical line for each step of the drill that concerns no single router.
+// addSteps adds a vertical line for each step of the drill that doesn't concern a single router.
 func addSteps(p *plot.Plot, events []drill.Event) error {
 	for _, e := range events {
 		if e.From != fromDrill || e.Router != 0 {
@@ -93,14 +94,14 @@
 		return nil
 	}
 	var steps plotter.XYs
-	for second, part := range service {
-		y := float64(routers) + 1 + part
+	for second, share := range service {
+		y := float64(routers) + 1 + share
 		steps = append(steps, plotter.XY{X: float64(second), Y: y}, plotter.XY{X: float64(second + 1), Y: y})
 	}
 	return addLine(p, 0, "", steps)
 }
 
-// addReadyBand adds a thick line for each time in which a router was ready.
+// addReadyBand adds a thick line for each period in which a router was ready.
 func addReadyBand(p *plot.Plot, events []drill.Event, router int, y, end float64) error {
 	since, ready := 0.0, false
 	addUntil := func(until float64) error {
@@ -127,8 +128,8 @@
 	return addUntil(end)
 }
 
-// addEventMarks marks the steps applied to a router, and what it logged as a warning or an error, up
-// to the end of the day.
+// addEventMarks marks the steps that were applied to a router, and the warnings and errors that it logged, up to the end of
+// the day.
 func addEventMarks(p *plot.Plot, events []drill.Event, router int, y, end float64) error {
 	var steps, warnings plotter.XYs
 	for _, e := range events {
@@ -146,10 +147,12 @@
 	return addDots(p, warnings, palette[warningColor])
 }
 
+// isWarning reports whether a log line is a warning or an error.
 func isWarning(line string) bool {
 	return strings.Contains(line, "level=WARN") || strings.Contains(line, "level=ERROR")
 }
 
+// addDots adds filled circles at the points.
 func addDots(p *plot.Plot, points plotter.XYs, c color.Color) error {
 	if len(points) == 0 {
 		return nil
--- a/internal/lab/sim/late_test.go
+++ b/internal/lab/sim/late_test.go
@@ -46,8 +46,8 @@
 		return h
 	}
 	day := shortDay()
-	day.Net.Cross = span(0.03) // long enough that many answers are in flight when their calls are cancelled
-	r := play(t, day, policy, Options{})
+	day.Net.Cross = seconds(0.03) // long enough that many answers are in flight when their calls are cancelled
+	r := runDay(t, day, policy, Options{})
 	if r.Broken > 0 {
 		t.Error(r.Violations[0])
 	}
--- a/internal/lab/sim/mass_test.go
+++ b/internal/lab/sim/mass_test.go
@@ -13,9 +13,9 @@
 	failed := map[bool]float64{}
 	for _, reap := range []bool{false, true} {
 		day := model.Prairie()
-		day.Seed, day.Warm, day.Fill, day.Length = 1, span(1), true, span(4)
+		day.Seed, day.Warm, day.Fill, day.Length = 1, seconds(1), true, seconds(4)
 		day.Routers, day.Fleet.Caches, day.Fleet.Reap, day.Load.Level = 300, 200, reap, 0.5
-		r := play(t, &day, Hoptiller, Options{})
+		r := runDay(t, &day, Hoptiller, Options{})
 		if r.Broken > 0 || r.CrossZone > 0.3 {
 			t.Errorf("%d broken rules, %.2f crossings between zones a request", r.Broken, r.CrossZone)
 		}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -17,16 +17,16 @@
 	"hoptiller/internal/unit"
 )
 
-func span(s float64) unit.Duration { return unit.Duration(s * float64(time.Second)) }
+func seconds(s float64) unit.Duration { return unit.Duration(s * float64(time.Second)) }
 
 // shortDay is a day of a few seconds with faults.
 func shortDay(faults ...model.Fault) *model.Day {
 	day := model.Prairie()
-	day.Warm, day.Length, day.Faults = span(8), span(12), faults
+	day.Warm, day.Length, day.Faults = seconds(8), seconds(12), faults
 	return &day
 }
 
-func play(t *testing.T, day *model.Day, policy Policy, opt Options) *tally.Result {
+func runDay(t *testing.T, day *model.Day, policy Policy, opt Options) *tally.Result {
 	t.Helper()
 	if err := day.Check(); err != nil {
 		t.Fatal(err)
@@ -41,11 +41,11 @@
 // The same day gives the same bytes when it is played again, alone or concurrently with other runs.
 func TestRunsAreDeterministic(t *testing.T) {
 	day := func() *model.Day {
-		return shortDay(model.Fault{Kind: "crash", At: span(2), For: span(3), Part: 0.2},
-			model.Fault{Kind: "router_kill", At: span(3), For: span(2)},
-			model.Fault{Kind: "hot_key", At: span(4), For: span(3), Size: 0.2},
-			model.Fault{Kind: "churn", At: span(5), For: span(4), Gap: span(1)},
-			model.Fault{Kind: "zone_cut", At: span(8), For: span(1), Zone: 1})
+		return shortDay(model.Fault{Kind: "crash", At: seconds(2), For: seconds(3), Part: 0.2},
+			model.Fault{Kind: "router_kill", At: seconds(3), For: seconds(2)},
+			model.Fault{Kind: "hot_key", At: seconds(4), For: seconds(3), Size: 0.2},
+			model.Fault{Kind: "churn", At: seconds(5), For: seconds(4), Gap: seconds(1)},
+			model.Fault{Kind: "zone_cut", At: seconds(8), For: seconds(1), Zone: 1})
 	}
 	for _, policy := range []Policy{Hoptiller, rival.New("ring")} {
 		results := make([][]byte, 5)
@@ -189,7 +189,7 @@
 
 // For each invariant there is a policy that violates it, and the checker must report that.
 func TestCheckerReportsViolations(t *testing.T) {
-	slow := model.Fault{Kind: "origin_slow", At: span(0), For: span(12), Size: 20}
+	slow := model.Fault{Kind: "origin_slow", At: seconds(0), For: seconds(12), Size: 20}
 	for _, test := range []struct {
 		fault, rule string
 		faults      []model.Fault
@@ -202,18 +202,18 @@
 		{rules.Effects, rules.Effects, []model.Fault{slow}},
 		{"lost", rules.Effects, []model.Fault{slow}},
 		{rules.OneCall, rules.OneCall, nil},
-		{rules.Attempts, rules.Attempts, []model.Fault{{Kind: "errors", Part: 1, Size: 1, For: span(12)}}},
+		{rules.Attempts, rules.Attempts, []model.Fault{{Kind: "errors", Part: 1, Size: 1, For: seconds(12)}}},
 		{rules.Drain, rules.Drain, []model.Fault{{Kind: "drain", Count: 3}}},
 		{rules.Cold, rules.Cold, []model.Fault{{Kind: "add", Count: 1}}},
 		{rules.Listed, rules.Listed, nil},
 	} {
 		day := shortDay(test.faults...)
-		day.Warm, day.Length, day.Directory.Notice = span(1), span(4), [2]unit.Duration{span(0.1), span(0.2)}
-		r := play(t, day, newFaultyPolicy(test.fault), Options{})
+		day.Warm, day.Length, day.Directory.Notice = seconds(1), seconds(4), [2]unit.Duration{seconds(0.1), seconds(0.2)}
+		r := runDay(t, day, newFaultyPolicy(test.fault), Options{})
 		if !slices.ContainsFunc(r.Violations, func(v rules.Violation) bool { return v.Rule == test.rule }) {
 			t.Errorf("%s: %d violations, none of %s; %v", test.fault, r.Broken, test.rule, r.Violations[:min(2, len(r.Violations))])
 		}
-		if r := play(t, day, Hoptiller, Options{}); r.Broken > 0 {
+		if r := runDay(t, day, Hoptiller, Options{}); r.Broken > 0 {
 			t.Errorf("hoptiller with %v: %v", test.faults, r.Violations[0])
 		}
 	}
@@ -222,12 +222,12 @@
 // All caches of a zone restart cold at the same time and a ring sends them their keys. The misses overload the origin
 // until it stops, which the checker must report.
 func TestCheckerReportsOriginStop(t *testing.T) {
-	day := shortDay(model.Fault{Kind: "zone_loss", At: span(1), For: span(2)})
-	day.Length, day.Origin.Headroom, day.Directory.Notice = span(20), 1.2, [2]unit.Duration{span(0.2), span(0.3)}
+	day := shortDay(model.Fault{Kind: "zone_loss", At: seconds(1), For: seconds(2)})
+	day.Length, day.Origin.Headroom, day.Directory.Notice = seconds(20), 1.2, [2]unit.Duration{seconds(0.2), seconds(0.3)}
 	day.Fleet.ConnsCore, day.Rules.Overload = 100, 50
 	stops := 0
 	for day.Seed = 1; day.Seed <= 6; day.Seed++ {
-		r := play(t, day, rival.New("ring"), Options{})
+		r := runDay(t, day, rival.New("ring"), Options{})
 		stops += r.Stops
 		if slices.ContainsFunc(r.Violations, func(v rules.Violation) bool { return v.Rule == rules.Origin }) {
 			return
@@ -239,19 +239,19 @@
 // The decision module violates no invariant and keeps at least half of its service under each kind of fault.
 func TestFaults(t *testing.T) {
 	for _, f := range []model.Fault{
-		{Kind: "crash", Part: 0.2}, {Kind: "crash", Part: 0.3, For: span(0.05)}, // restarts within 50 ms, with a new start time
+		{Kind: "crash", Part: 0.2}, {Kind: "crash", Part: 0.3, For: seconds(0.05)}, // restarts within 50 ms, with a new start time
 		{Kind: "vanish", Part: 0.2}, {Kind: "errors", Part: 0.2, Size: 1}, {Kind: "slow", Part: 0.2, Size: 0.7},
 		{Kind: "hot_key", Size: 0.2}, {Kind: "silent", Size: 0.1}, {Kind: "resets", Size: 20}, {Kind: "lossy", Size: 0.03},
-		{Kind: "add", Count: 4}, {Kind: "drain", Count: 3}, {Kind: "churn", Gap: span(2)}, {Kind: "directory"},
+		{Kind: "add", Count: 4}, {Kind: "drain", Count: 3}, {Kind: "churn", Gap: seconds(2)}, {Kind: "directory"},
 		{Kind: "router_kill"}, {Kind: "router_restart"}, {Kind: "zone_cut"}, {Kind: "zone_loss"}, {Kind: "peers"},
 		{Kind: "origin_stop"}, {Kind: "origin_slow", Size: 3}, {Kind: "origin_errors", Size: 0.3},
 	} {
 		t.Run(f.Kind, func(t *testing.T) {
 			t.Parallel()
-			if f.At = span(2); f.For == 0 {
-				f.For = span(5)
+			if f.At = seconds(2); f.For == 0 {
+				f.For = seconds(5)
 			}
-			r := play(t, shortDay(f), Hoptiller, Options{Series: true})
+			r := runDay(t, shortDay(f), Hoptiller, Options{Series: true})
 			if r.Broken > 0 {
 				t.Errorf("%v", r.Violations[0])
 			}
@@ -268,32 +268,32 @@
 // The module serves as well when its events come in rounds of 5 ms, as on the wire of the simulator.
 func TestRounds(t *testing.T) {
 	day := shortDay()
-	at := play(t, day, Hoptiller, Options{})
+	at := runDay(t, day, Hoptiller, Options{})
 	day.Round = unit.Duration(5 * time.Millisecond)
-	if r := play(t, day, Hoptiller, Options{}); r.Broken > 0 || r.Service < at.Service-0.03 {
+	if r := runDay(t, day, Hoptiller, Options{}); r.Broken > 0 || r.Service < at.Service-0.03 {
 		t.Errorf("service %.3f in rounds, %.3f without; %v", r.Service, at.Service, r.Violations)
 	}
 }
 
 // A request without an answer when its router is killed is no violation by that router, and its client retries.
 func TestRequestsOfKilledRouter(t *testing.T) {
-	day := shortDay(model.Fault{Kind: "router_kill", At: span(4), For: span(2), Count: 3})
-	r := play(t, day, Hoptiller, Options{})
+	day := shortDay(model.Fault{Kind: "router_kill", At: seconds(4), For: seconds(2), Count: 3})
+	r := runDay(t, day, Hoptiller, Options{})
 	if r.Broken > 0 {
 		t.Fatal(r.Violations[0])
 	}
-	if faultless := play(t, shortDay(), Hoptiller, Options{}); r.Tries <= faultless.Tries || r.Service >= faultless.Service {
+	if faultless := runDay(t, shortDay(), Hoptiller, Options{}); r.Tries <= faultless.Tries || r.Service >= faultless.Service {
 		t.Errorf("tries %.3f and service %.3f, without faults %.3f and %.3f", r.Tries, r.Service, faultless.Tries, faultless.Service)
 	}
 }
 
 // Two overlapping faults that restart the same router leave one router running. Found by a hunt (seed 1, day 196).
 func TestRestartsOverlap(t *testing.T) {
-	day := shortDay(model.Fault{Kind: "router_restart", At: span(2), Count: 1},
-		model.Fault{Kind: "router_kill", At: span(3), For: span(1)},
-		model.Fault{Kind: "router_kill", At: span(5), For: span(3)})
+	day := shortDay(model.Fault{Kind: "router_restart", At: seconds(2), Count: 1},
+		model.Fault{Kind: "router_kill", At: seconds(3), For: seconds(1)},
+		model.Fault{Kind: "router_kill", At: seconds(5), For: seconds(3)})
 	day.Routers = 1
-	if r := play(t, day, Hoptiller, Options{}); r.Broken > 0 {
+	if r := runDay(t, day, Hoptiller, Options{}); r.Broken > 0 {
 		t.Error(r.Violations[0])
 	}
 }
@@ -303,9 +303,9 @@
 	for _, policy := range []Policy{Hoptiller, rival.New("ring"), rival.New("maglev")} {
 		day := shortDay()
 		day.Warm = 0
-		empty := play(t, day, policy, Options{})
+		empty := runDay(t, day, policy, Options{})
 		day.Fill = true
-		if r := play(t, day, policy, Options{}); r.Outcomes["miss"] > empty.Outcomes["miss"]*3/4 ||
+		if r := runDay(t, day, policy, Options{}); r.Outcomes["miss"] > empty.Outcomes["miss"]*3/4 ||
 			r.Service < empty.Service || r.Service < 0.95 {
 			t.Errorf("service %.3f with %d misses, %.3f with %d misses if the caches begin empty", r.Service, r.Outcomes["miss"],
 				empty.Service, empty.Outcomes["miss"])
@@ -341,9 +341,9 @@
 		all = append(all, p)
 		return p
 	}
-	day := shortDay(model.Fault{Kind: "peers", At: span(0), For: span(6)})
+	day := shortDay(model.Fault{Kind: "peers", At: seconds(0), For: seconds(6)})
 	day.Net.PeerLoss, day.Load.Level = 0.1, 0
-	play(t, day, policy, Options{})
+	runDay(t, day, policy, Options{})
 	for i, p := range all {
 		// The router sends 100 messages a second for 20 s, and for 6 s more until the pending requests have ended. None arrives
 		// in 6 s of these, and one in ten is lost.
@@ -355,7 +355,7 @@
 }
 
 func TestTrace(t *testing.T) {
-	r := play(t, shortDay(), Hoptiller, Options{Story: &Subject{0, 7}})
+	r := runDay(t, shortDay(), Hoptiller, Options{Story: &Subject{0, 7}})
 	if len(r.Story) < 4 || !bytes.Contains([]byte(r.Story[len(r.Story)-1]), []byte("final answer")) {
 		t.Errorf("trace %q", r.Story)
 	}
--- a/internal/lab/speed/speed.go
+++ b/internal/lab/speed/speed.go
@@ -1,6 +1,6 @@
-// Package speed measures what a router adds to a request, beside a bare relay
-// that passes lines on and knows nothing of them. Both run as processes of their
-// own on one core, in front of the same servers, which answer at once.
+// Package speed measures the latency that a router adds to a request, and the throughput of the router. It compares both
+// with those of a bare relay, which forwards lines without parsing them. The router and the relay run as separate processes on one core each, in
+// front of the same servers, which answer at once.
 package speed
 
 import (
@@ -24,36 +24,39 @@
 	"hoptiller/internal/logs"
 )
 
-// Options say what is measured and for how long.
+// Options holds the programs to measure and the load on them.
 type Options struct {
-	Router string   // the router's program
-	Relay  []string // the command that starts the bare relay; the address to relay to is added
-	For    time.Duration
-	Conns  int
-	Caches int
-	File   string // an operator's file, with which the router is measured once more; "" for none
+	Router string        // path of the router's program
+	Relay  []string      // command that starts the bare relay; the address of its server is appended
+	For    time.Duration // duration of each measurement
+	Conns  int           // number of client connections
+	Caches int           // number of cache servers
+	File   string        // operator's file with which the router is measured in addition; "" for none
 }
 
-// rounds is how often the router is measured with and without a file, in turns: machines have slow moments.
+// rounds is the number of alternate measurements of the router with and without a file. There are many, because the speed
+// of a machine varies.
 const rounds = 21
 
-// Report is what was measured.
+// Report holds the results of Run.
 type Report struct {
 	Direct, Relay, Router Figures
 
-	// What a request costs the router's processor with an operator's file and without; 0 without Options.File. On one
-	// core that bounds the throughput, and unlike the throughput it does not hang on what else the machine does.
+	// With and Without are the CPU time that the router takes for a request with and without an operator's file; 0 if
+	// Options.File is empty. The CPU time bounds the throughput of one core. Unlike the throughput it does not depend on
+	// other load on the machine.
 	With, Without time.Duration
 }
 
-// Figures are those of one way to the servers. Times are in ms, at Rate requests a second for all ways alike.
+// Figures holds the measurements of one path to the servers. P50 and P99 are latencies in ms at Rate, which is the same
+// for all paths.
 type Figures struct {
-	Most     float64 // requests a second, as many as the connections carry
-	Rate     float64
+	Most     float64 // maximum throughput of the connections, in requests a second
+	Rate     float64 // requests a second
 	P50, P99 float64
 }
 
-// Run measures the way straight to a server, that through the relay, and that through the router.
+// Run measures three paths: directly to a server, through the relay, and through the router.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -65,60 +68,60 @@
 		}
 		defer l.Close()
 		addrs[i] = l.Addr().String()
-		go instant(l)
+		go serveInstantly(l)
 	}
-	relay, end, err := start(ctx, append(opt.Relay, addrs[0]), nil)
+	relay, endRelay, err := startProgram(ctx, append(opt.Relay, addrs[0]), nil)
 	if err != nil {
 		return nil, err
 	}
-	defer end()
+	defer endRelay()
 	config, clean, err := configure(addrs)
 	if err != nil {
 		return nil, err
 	}
 	defer clean()
-	router, end2, err := start(ctx, []string{opt.Router}, []string{"RELAY_CONFIG=" + config})
+	router, endRouter, err := startProgram(ctx, []string{opt.Router}, []string{"RELAY_CONFIG=" + config})
 	if err != nil {
 		return nil, err
 	}
-	defer end2()
+	defer endRouter()
 	r := &Report{}
-	ways := []struct {
-		addr string
-		to   *Figures
+	paths := []struct {
+		addr    string
+		figures *Figures
 	}{{addrs[0], &r.Direct}, {relay, &r.Relay}, {router, &r.Router}}
-	for _, w := range ways {
-		p, err := load.Run(ctx, plan(w.addr, opt, 0))
+	for _, path := range paths {
+		p, err := load.Run(ctx, loadPlan(path.addr, opt, 0))
 		if err != nil {
 			return nil, err
 		}
 		if c := p.Classes[0]; c.Served < c.Sent*99/100 {
-			return nil, fmt.Errorf("%s served %d of %d requests", w.addr, c.Served, c.Sent)
+			return nil, fmt.Errorf("%s served %d of %d requests", path.addr, c.Served, c.Sent)
 		}
-		w.to.Most = p.Rate
+		path.figures.Most = p.Rate
 	}
 	rate := min(r.Relay.Most, r.Router.Most) / 2
-	for _, w := range ways {
-		p, err := load.Run(ctx, plan(w.addr, opt, rate))
+	for _, path := range paths {
+		p, err := load.Run(ctx, loadPlan(path.addr, opt, rate))
 		if err != nil {
 			return nil, err
 		}
-		w.to.Rate, w.to.P50, w.to.P99 = p.Rate, p.Classes[0].P50, p.Classes[0].P99
+		path.figures.Rate, path.figures.P50, path.figures.P99 = p.Rate, p.Classes[0].P50, p.Classes[0].P99
 	}
 	if opt.File != "" {
-		err = r.withFile(ctx, opt, config)
+		err = r.measureWithFile(ctx, opt, config)
 	}
 	return r, err
 }
 
-// withFile measures the router with an operator's file and without, in turns. Both are new: one that has been under
-// load is slower than one that has not.
-func (r *Report) withFile(ctx context.Context, opt Options, config string) error {
+// measureWithFile measures the CPU time of a request with and without an operator's file, in alternate rounds. It starts a new
+// router for each, because a router that has been under load is slower than a new one.
+func (r *Report) measureWithFile(ctx context.Context, opt Options, config string) error {
 	env := []string{"RELAY_CONFIG=" + config}
 	var addrs [2]string
 	var ends [2]func() time.Duration
 	for i, env := range [][]string{env, append(env, "HOPTILLER_FILE="+opt.File)} {
-		addr, end, err := start(ctx, []string{opt.Router}, env)
+		addr, end, err := startProgram(ctx, []string{opt.Router}, env)
 		if err != nil {
 			return err
 		}
@@ -129,7 +132,7 @@
 	var served [2]int
 	for range rounds {
 		for i, addr := range addrs {
-			p, err := load.Run(ctx, plan(addr, opt, 0))
+			p, err := load.Run(ctx, loadPlan(addr, opt, 0))
 			if err != nil {
 				return err
 			}
@@ -143,13 +146,15 @@
 	return nil
 }
 
-func plan(addr string, opt Options, rate float64) load.Plan {
+// loadPlan returns the load of one measurement; a rate of 0 measures the maximum throughput.
+func loadPlan(addr string, opt Options, rate float64) load.Plan {
 	return load.Plan{Addrs: []string{addr}, Rate: rate, For: opt.For, Conns: opt.Conns, Keys: 1000, Zipf: 0.5, Seed: 1, Value: 2,
 		Classes: []load.Class{{Name: "slot-view", Share: 1, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}}}
 }
 
-// instant answers reads at once, with the value that their id is.
-func instant(l net.Listener) {
+// serveInstantly is a cache server. It answers a line with a request ID at once with a value of 2 bytes, and any other
+// line with MN.
+func serveInstantly(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -178,7 +183,8 @@
 	}
 }
 
-// Relay passes lines on between clients that it accepts and a server, one connection for each.
+// Relay forwards lines between clients and a server. It opens a connection to the server for each client. When one of the
+// two connections ends, it closes the other one.
 func Relay(l net.Listener, to string) error {
 	for {
 		c, err := l.Accept()
@@ -195,14 +201,15 @@
 			go func() {
 				defer c.Close()
 				defer s.Close()
-				lines(s, c)
+				forwardLines(s, c)
 			}()
-			lines(c, s)
+			forwardLines(c, s)
 		}()
 	}
 }
 
-func lines(from, to net.Conn) {
+// forwardLines forwards lines until one of the connections ends.
+func forwardLines(from, to net.Conn) {
 	r := bufio.NewReader(from)
 	for {
 		line, err := r.ReadSlice('\n')
@@ -215,8 +222,9 @@
 	}
 }
 
-// start starts a program on one core that says where it listens.
-func start(ctx context.Context, command, env []string) (addr string, end func() time.Duration, err error) {
+// startProgram starts a program on one core. The program must log the address on which it listens as addr in its first
+// line. end stops the program and returns the CPU time that it took.
+func startProgram(ctx context.Context, command, env []string) (addr string, end func() time.Duration, err error) {
 	cmd := exec.CommandContext(ctx, command[0], command[1:]...)
 	cmd.Env = append(append(os.Environ(), "GOMAXPROCS=1"), env...)
 	out, err := cmd.StderrPipe()
@@ -226,7 +234,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	end = func() time.Duration { // tells the processor time that it took
+	end = func() time.Duration {
 		cmd.Process.Kill()
 		cmd.Wait()
 		return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
@@ -236,22 +244,24 @@
 	addr, ok := logs.Field(line, "addr")
 	if !ok {
 		end()
-		return "", nil, errors.New(command[0] + " does not say where it listens: " + line)
+		return "", nil, errors.New(command[0] + " does not log the address on which it listens: " + line)
 	}
 	go io.Copy(io.Discard, r)
 	return addr, end, nil
 }
 
-// configure writes a router's configuration with the servers as slot caches, and serves it a directory.
+// configure writes the configuration of a router whose slot caches are the servers, and serves a discovery service that
+// lists them. clean stops the service and removes the configuration.
 func configure(addrs []string) (path string, clean func(), err error) {
 	day := model.Prairie()
 	day.Routers = 1
-	list := []map[string]any{}
+	servers := []map[string]any{}
 	for i, a := range addrs {
-		list = append(list, map[string]any{"id": fmt.Sprintf("s-%08x", i+1), "addr": a, "zone": "z0", "kind": day.Kinds[0].Name, "cell": 0,
+		servers = append(servers, map[string]any{"id": fmt.Sprintf("s-%08x", i+1), "addr": a, "zone": "z0",
+			"kind": day.Kinds[0].Name, "cell": 0,
 			"state": "active", "weight": 1.0, "started_ms": 0})
 	}
-	known := map[string]any{"version": 1, "full": true, "servers": list}
+	known := map[string]any{"version": 1, "full": true, "servers": servers}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
@@ -289,16 +299,19 @@
 	return path, clean, err
 }
 
-// Write writes the report as a table, with ratios.
+// Write writes the report as a table, with a comparison of the router and the relay.
 func (r *Report) Write(out io.Writer) error {
 	row := func(name string, f Figures) string {
-		return fmt.Sprintf("%-8s %8.0f a second at the most   %7.3f ms p50  %7.3f ms p99 at %.0f a second\n", name, f.Most, f.P50, f.P99, f.Rate)
+		return fmt.Sprintf("%-8s %8.0f a second at the most   %7.3f ms p50  %7.3f ms p99 at %.0f a second\n",
+			name, f.Most, f.P50, f.P99, f.Rate)
 	}
-	_, err := fmt.Fprintf(out, "%s%s%srouter over relay: %.2f of the throughput; adds %.3f ms (p50) and %.3f ms (p99), the relay %.3f and %.3f\n",
+	_, err := fmt.Fprintf(out,
+		"%s%s%srouter over relay: %.2f of the throughput; adds %.3f ms (p50) and %.3f ms (p99), the relay %.3f and %.3f\n",
 		row("direct", r.Direct), row("relay", r.Relay), row("router", r.Router), r.Router.Most/r.Relay.Most,
 		r.Router.P50-r.Direct.P50, r.Router.P99-r.Direct.P99, r.Relay.P50-r.Direct.P50, r.Relay.P99-r.Direct.P99)
 	if err == nil && r.Without > 0 {
-		_, err = fmt.Fprintf(out, "router with the operator's file: %v of its processor for a request, %v without: %.3f of the throughput\n",
+		_, err = fmt.Fprintf(out,
+			"router with the operator's file: %v of its processor for a request, %v without: %.3f of the throughput\n",
 			r.With, r.Without, float64(r.Without)/float64(r.With))
 	}
 	return err
--- a/internal/lab/speed/speed_test.go
+++ b/internal/lab/speed/speed_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// The relay passes on what both sides say and ends with either.
+// The relay forwards the lines of both sides.
 func TestRelay(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	go instant(server)
+	go serveInstantly(server)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testprog/await.go
+++ b/internal/testprog/await.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// Patience bounds every wait of a test for something that must come. It is far longer than what is waited for
-// takes on a loaded machine, and far shorter than the test command's own limit, so that a test that waits in vain
-// says for what.
+// Patience bounds each wait of a test for an event that must happen. It is far longer than such an event takes on a loaded
+// machine. It is far shorter than the time limit of go test, so that a test that waits in vain can report the event that
+// is missing.
 const Patience = 30 * time.Second
 
-// Await takes the next value that comes, or ends the test and says what did not.
+// Await returns the next value from a channel. If none arrives within Patience it fails the test with the name of the value.
 func Await[T any](t testing.TB, from <-chan T, what string) T {
 	t.Helper()
-	late := time.NewTimer(Patience)
-	defer late.Stop()
+	timeout := time.NewTimer(Patience)
+	defer timeout.Stop()
 	select {
 	case x := <-from:
 		return x
-	case <-late.C:
+	case <-timeout.C:
 		t.Fatalf("no %s within %v", what, Patience)
 		panic("unreachable")
 	}
 }
 
-// Give hands a value to who takes it, or ends the test and says that nobody does.
+// Give sends a value to a channel. If nothing receives it within Patience it fails the test with the name of the value.
 func Give[T any](t testing.TB, to chan<- T, x T, what string) {
 	t.Helper()
-	late := time.NewTimer(Patience)
-	defer late.Stop()
+	timeout := time.NewTimer(Patience)
+	defer timeout.Stop()
 	select {
 	case to <- x:
-	case <-late.C:
-		t.Fatalf("nobody takes %s within %v", what, Patience)
+	case <-timeout.C:
+		t.Fatalf("nothing receives %s within %v", what, Patience)
 	}
 }
 
-// Until asks until something holds, or ends the test and says what does not.
+// Until waits until a condition holds. If it does not hold within Patience, Until fails the test with the name of the
+// condition.
 func Until(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for late := time.Now().Add(Patience); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(Patience); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("not within %v: %s", Patience, what)
 		}
 	}
--- a/internal/testprog/late.go
+++ b/internal/testprog/late.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Late opens a listener to which no further connection comes up, since its queue is full, until listen is called: that
-// takes what is in the queue away, and gives a listener to which those that have tried meanwhile come up when they try again,
-// after a second.
+// Late opens a listener whose accept queue is full, so that no further connection can be established until listen is called.
+// listen empties the queue and returns the listener. Connections that clients have tried to open meanwhile are established
+// when the kernel retries, after a second.
 func Late(t testing.TB) (addr string, listen func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -39,13 +39,13 @@
 			break
 		}
 		if queue = append(queue, conn); len(queue) > 100 {
-			t.Fatal("the queue of a listener has no end")
+			t.Fatal("the accept queue of the listener does not fill up")
 		}
 	}
 	return addr, func() net.Listener {
 		for i, conn := range queue {
 			if _, err := l.Accept(); err != nil {
-				t.Fatal(fmt.Errorf("connection %d of the queue: %w", i, err))
+				t.Fatal(fmt.Errorf("accept connection %d of the queue: %w", i, err))
 			}
 			conn.Close()
 		}
--- a/internal/testprog/serve.go
+++ b/internal/testprog/serve.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Serve runs a server on a listener of its own until the test ends, and gives a function that connects to it.
-// Reads and writes of the connections fail once Patience has passed.
+// Serve runs a server on a listener of its own until the test ends. It returns a function that connects to the server.
+// Reads from and writes to a connection fail once Patience has passed since it was opened.
 func Serve(t *testing.T, serve func(ctx context.Context, l net.Listener) error) (dial func() net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- serve(ctx, l) }()
 	t.Cleanup(func() {
-		end()
+		cancel()
 		if err := Await(t, done, "end of the server"); err != nil {
 			t.Error(err)
 		}
@@ -34,7 +34,7 @@
 	}
 }
 
-// Accept hands each connection of a listener to a goroutine of its own until the listener is closed.
+// Accept starts a goroutine that accepts connections until the listener is closed and handles each in its own goroutine.
 func Accept(l net.Listener, handle func(net.Conn)) {
 	go func() {
 		for {
@@ -47,7 +47,7 @@
 	}()
 }
 
-// Listen listens on a free port until the test ends.
+// Listen returns a listener on a free loopback port that is closed when the test ends.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/testprog/testprog.go
+++ b/internal/testprog/testprog.go
@@ -1,5 +1,5 @@
-// Package testprog builds a program of this module once for the tests of a
-// package. Only tests may import it.
+// Package testprog helps tests: it builds a program of this module once for all tests of a package, waits for events and
+// runs servers. Only tests may import it.
 package testprog
 
 import (
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Main is the body of a TestMain: it builds the program of package pkg, puts its path into binary, runs
-// the tests, and removes the program.
+// Main is the body of a TestMain. It builds the program of package pkg, stores the path of the program in binary, runs the
+// tests, removes the program and exits.
 func Main(m *testing.M, pkg string, binary *string) {
 	dir, err := os.MkdirTemp("", "testprog")
 	if err == nil {
