--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -43,15 +43,15 @@
 	return fmt.Sprintf("%.4f ± %.4f", e.Mean, e.Half)
 }
 
-// Row holds how one policy differs between two results in one figure at one point of the sweep.
+// Row holds one figure of one policy at one point of the sweep, in two results that are compared.
 type Row struct {
 	Policy, Point, Figure string
-	Before, After                  Estimate // of the first and of the second result
+	Before, After         Estimate
 	Difference            Estimate // After minus Before, over pairs of runs with the same seed
 }
 
-// Compare compares two results by pairs of runs with the same policy, point and seed. It returns a row for each policy,
-// point and figure, and the number of runs that only one of the results has.
+// Compare compares the results before and after a change by pairs of runs with the same policy, point and seed. It
+// returns a row for each policy, point and figure, and the number of runs that only one of the results has.
 func Compare(before, after []*Record, figures []string) (rows []Row, missing int) {
 	type key struct {
 		policy, point string
--- a/internal/lab/experiment/hunt.go
+++ b/internal/lab/experiment/hunt.go
@@ -182,8 +182,8 @@
 	uniform func(a, b float64) float64) model.Fault {
 	kinds := model.FaultKinds()
 	f := model.Fault{Kind: kinds[r.IntN(len(kinds))][0], At: randomDuration(2, 15), For: randomDuration(3, 15),
-		Part: float64(int(uniform(5, 30))) / 100, Size: float64(int(uniform(10, 60))) / 100, Count: 1 + r.IntN(3), Gap: randomDuration(0.5, 4),
-		Zone: r.IntN(day.Zones)}
+		Part: float64(int(uniform(5, 30))) / 100, Size: float64(int(uniform(10, 60))) / 100, Count: 1 + r.IntN(3),
+		Gap: randomDuration(0.5, 4), Zone: r.IntN(day.Zones)}
 	switch f.Kind {
 	case "hot_key":
 		f.Size /= 2.5
--- a/internal/lab/speed/speed.go
+++ b/internal/lab/speed/speed.go
@@ -1,6 +1,6 @@
 // Package speed measures the latency that a router adds to a request, and the throughput of the router. It compares both
-// with those of a bare relay, which forwards lines without parsing them. The router and the relay run as separate processes on one core each, in
-// front of the same servers, which answer at once.
+// with those of a bare relay, which forwards lines without parsing them. The router and the relay run as separate
+// processes on one core each, in front of the same servers, which answer at once.
 package speed
 
 import (
