--- a/internal/lab/rival/choose.go
+++ b/internal/lab/rival/choose.go
@@ -53,6 +53,7 @@
 	servers int
 }
 
+// point is one point of a server on the ring.
 type point struct {
 	hash   uint64 // position on the ring
 	server *server
@@ -103,6 +104,7 @@
 // on the ring.
 type bounded struct{ ring }
 
+// maxLoadFactor bounds the calls in flight of a server, relative to its share of all calls in flight by weight.
 const maxLoadFactor = 1.25
 
 func (c *bounded) pick(r *rand.Rand, key uint64, ok func(*server) bool) *server {
--- a/internal/lab/rival/rival.go
+++ b/internal/lab/rival/rival.go
@@ -64,6 +64,7 @@
 	watchToken = 1
 )
 
+// server is one listed server, with what the router knows of its state.
 type server struct {
 	hoptiller.Server
 	errors, ejections int           // consecutive errors; ejections so far
@@ -71,12 +72,14 @@
 	inFlight          int           // calls in flight
 }
 
+// call is one call of a request.
 type call struct {
 	server              *server
 	pending, mayHaveRun bool          // in flight; may have taken effect
 	sentAt              time.Duration // when it was sent
 }
 
+// request is a request without a final answer, or with calls in flight.
 type request struct {
 	hoptiller.Request
 	class      *hoptiller.Class
@@ -211,8 +214,8 @@
 	return s
 }
 
-// finish gives the final answer of a request that was not served: it is refused if no call can have taken effect or
-// effects do no harm, and fails otherwise.
+// finish gives the final answer of a request that was not served. It refuses the request if the client may safely retry
+// it, because the class is idempotent or no call can have taken effect. Otherwise the request fails.
 func (r *Router) finish(q *request) {
 	canRefuse := q.class.Effect == hoptiller.Idempotent ||
 		!slices.ContainsFunc(q.calls, func(c call) bool { return c.mayHaveRun })
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -9,7 +9,7 @@
 	"hoptiller/internal/lab/model"
 )
 
-// pool holds a router's connections to one server. It follows the rules of the real router: a call takes an idle
+// pool holds a router's connections to one server. It works like the pool of the real router: a call takes an idle
 // connection first, then one that few calls share, then a new one.
 type pool struct {
 	router  *router
@@ -18,7 +18,7 @@
 	dialing []*conn // being opened
 }
 
-// conn is one connection, from the router's side.
+// conn is the router's side of one connection.
 type conn struct {
 	pool      *pool
 	modelConn *model.Conn
@@ -29,6 +29,7 @@
 	idleSince time.Duration
 }
 
+// poolFor returns the pool of a server, and creates it if needed.
 func (r *router) poolFor(server int) *pool {
 	p := r.pools[server]
 	if p == nil {
@@ -47,6 +48,7 @@
 	return list
 }
 
+// allConns returns the open connections and those that are being opened.
 func (p *pool) allConns() []*conn { return slices.Concat(p.conns, p.dialing) }
 
 // connLimits returns the number of calls that share a connection before another one is opened, and the maximum number of
@@ -102,6 +104,7 @@
 	}
 }
 
+// send sends a call on the connection.
 func (cn *conn) send(c *call) {
 	c.conn = cn
 	cn.calls = append(cn.calls, c)
@@ -205,7 +208,7 @@
 // abandon stops waiting for the answer to a call that was cancelled or has timed out
 // The server notices only when the connection is closed, which is at once unless other calls wait on it.
 func (r *router) abandon(c *call) {
-	if d := c.dialing; d != nil { // opening the connection goes on: it can be used by other calls
+	if d := c.dialing; d != nil { // the connection is not closed: other calls can use it once it is open
 		return
 	}
 	cn := c.conn
@@ -222,6 +225,7 @@
 	r.closeConn(cn, hoptiller.Cancelled)
 }
 
+// closeIdle closes the connections that no call waits on.
 func (p *pool) closeIdle() {
 	for _, cn := range slices.Clone(p.conns) {
 		if len(cn.calls) == 0 {
@@ -230,7 +234,7 @@
 	}
 }
 
-// closeAll closes all connections; the server's process has been replaced by another one.
+// closeAll closes all connections because another process has replaced the server's process.
 func (p *pool) closeAll() {
 	for _, cn := range slices.Clone(p.conns) {
 		p.router.closeConn(cn, hoptiller.Reset)
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -13,7 +13,7 @@
 // acceptAfterStop is the time for which a router goes on accepting requests after it was stopped, as the real router does.
 const acceptAfterStop = 1900 * time.Millisecond
 
-// router carries out what one policy decides.
+// router carries out the actions of one instance of a policy.
 type router struct {
 	tier        *tier
 	index       int
@@ -51,6 +51,7 @@
 	serverID    uint32
 }
 
+// newRouter starts an incarnation of a router. It knows the servers that discovery lists at this time.
 func newRouter(t *tier, index, incarnation int) *router {
 	r := &router{tier: t, index: index, incarnation: incarnation, invocations: map[uint32]*invocation{},
 		byTry: map[*model.Try]*invocation{}, servers: map[uint32]model.Member{}, pools: map[int]*pool{}}
@@ -66,6 +67,7 @@
 	return r
 }
 
+// now returns the time on the router's clock.
 func (r *router) now() time.Duration { return Epoch + r.tier.World.Now() }
 
 // refusesRequests reports whether the router has been stopped for longer than acceptAfterStop.
