--- a/internal/lab/sim/mass_test.go
+++ b/internal/lab/sim/mass_test.go
@@ -6,15 +6,16 @@
 	"hoptiller/internal/lab/model"
 )
 
-// In front of 200 caches 300 routers would hold more connections than the tables take, each of them as few as a
-// small fleet's do. What they keep idle ends early enough for the sum, and keys have their homes in the own zone.
-func TestTablesHoldThoseOfHundreds(t *testing.T) {
+// 300 routers in front of 200 caches would hold more connections than the caches' tables have slots, although each router
+// keeps as few as one of a small fleet. Routers must close idle connections early enough for the sum to fit, and keep
+// the homes of keys in their own zone.
+func TestConnTablesHoldHundredsOfRouters(t *testing.T) {
 	failed := map[bool]float64{}
 	for _, reap := range []bool{false, true} {
 		day := model.Prairie()
-		day.Seed, day.Warm, day.Fill, day.Length = 1, span(1), true, span(4)
+		day.Seed, day.Warm, day.Fill, day.Length = 1, seconds(1), true, seconds(4)
 		day.Routers, day.Fleet.Caches, day.Fleet.Reap, day.Load.Level = 300, 200, reap, 0.5
-		r := play(t, &day, Hoptiller, Options{})
+		r := runDay(t, &day, Hoptiller, Options{})
 		if r.Broken > 0 || r.CrossZone > 0.3 {
 			t.Errorf("%d broken rules, %.2f crossings between zones a request", r.Broken, r.CrossZone)
 		}
