--- a/cmd/hoplab/drill.go
+++ b/cmd/hoplab/drill.go
@@ -17,22 +17,24 @@
 	"hoptiller/internal/lab/plot"
 )
 
-// playsAgain is how often a drill that the machine was too busy for is played before that is told.
-const playsAgain = 3
+// maxPlays is how often a drill is run, at most, while the machine is too busy to give a verdict. After that it is an error.
+const maxPlays = 3
 
+// drillCmd runs drills from files, or random ones, against real router processes.
 type drillCmd struct {
-	Files   []string `arg:"" optional:"" help:"Drills." type:"existingfile"`
-	Random  bool     `help:"Draw drills instead."`
-	Permits bool     `help:"Draw drills in which all routers ask to go out."`
-	Seeds   int      `help:"How many are drawn." default:"10"`
-	Seed    uint64   `help:"The first one's seed; of files, in place of their own."`
-	AtOnce  int      `help:"How many are played at once." default:"1"`
+	Files   []string `arg:"" optional:"" help:"Drill files." type:"existingfile"`
+	Random  bool     `help:"Generate random drills instead."`
+	Permits bool     `help:"Generate random drills in which all routers request a permit to go out of service."`
+	Seeds   int      `help:"Number of random drills." default:"10"`
+	Seed    uint64   `help:"Seed of the first random drill; for files, replaces the seed that they state."`
+	AtOnce  int      `help:"Number of drills that run at the same time." default:"1"`
 	Router  string   `help:"The router's program." default:"bin/hoptiller" type:"existingfile"`
-	Out     string   `help:"Folder for timelines and pictures, and for drawn drills that break a claim." default:"found/drills" type:"path"`
+	Out     string   `help:"Folder for timelines, plots and random drills that violate a claim." default:"found/drills" type:"path"`
 }
 
+// Run runs all drills and prints their verdicts. The error is command.ErrFinding if a claim is broken.
 func (c *drillCmd) Run(ctx context.Context) error {
-	var all []*drill.File
+	var drills []*drill.File
 	for _, path := range c.Files {
 		f, err := drill.Load(path)
 		if err != nil {
@@ -41,35 +43,35 @@
 		if c.Seed > 0 {
 			f.Day.Seed = c.Seed
 		}
-		all = append(all, f)
+		drills = append(drills, f)
 	}
 	if c.Random {
 		for i := range c.Seeds {
 			if c.Permits {
-				all = append(all, drill.RandomPermits(max(c.Seed, 1)+uint64(i)))
+				drills = append(drills, drill.RandomPermits(max(c.Seed, 1)+uint64(i)))
 			} else {
-				all = append(all, drill.Random(max(c.Seed, 1)+uint64(i)))
+				drills = append(drills, drill.Random(max(c.Seed, 1)+uint64(i)))
 			}
 		}
 	}
-	if len(all) == 0 {
-		return errors.New("no drill: files, or --random")
+	if len(drills) == 0 {
+		return errors.New("no drills: name drill files, or use --random")
 	}
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return err
 	}
 	if c.AtOnce < 1 {
-		return fmt.Errorf("--at-once %d: at least 1 is possible", c.AtOnce)
+		return fmt.Errorf("--at-once %d: must be at least 1", c.AtOnce)
 	}
-	var mu sync.Mutex // of what is counted and written
+	var mu sync.Mutex // guards the counts and standard output
 	played, broken := 0, 0
 	var g errgroup.Group
 	g.SetLimit(c.AtOnce)
-	bases := c.bases(all)
-	for i, f := range all {
+	paths := c.outputPaths(drills)
+	for i, f := range drills {
 		g.Go(func() error {
 			var text bytes.Buffer
-			holds, err := c.play(ctx, &text, f, bases[i], i >= len(c.Files))
+			holds, err := c.play(ctx, &text, f, paths[i], i >= len(c.Files))
 			mu.Lock()
 			defer mu.Unlock()
 			os.Stdout.Write(text.Bytes())
@@ -89,31 +91,34 @@
 		return err
 	}
 	if ctx.Err() != nil {
-		fmt.Printf("stopped; %d of %d drills were played\n", played, len(all))
+		fmt.Printf("stopped; %d of %d drills were played\n", played, len(drills))
 		return nil
 	}
-	fmt.Printf("%d drills, %d with a broken claim\n", len(all), broken)
+	fmt.Printf("%d drills, %d with a broken claim\n", len(drills), broken)
 	if broken > 0 {
 		return command.ErrFinding
 	}
 	return nil
 }
 
-// bases are where the timelines of plays go, without their endings. Plays of one drill are numbered from the second on.
-func (c *drillCmd) bases(all []*drill.File) (bases []string) {
-	plays := map[string]int{}
-	for _, f := range all {
-		base := filepath.Join(c.Out, f.Name)
-		if plays[f.Name]++; plays[f.Name] > 1 {
-			base = fmt.Sprintf("%s-play-%d", base, plays[f.Name])
+// outputPaths returns the paths of the output files of each drill, without extensions. When a drill occurs more than once, its
+// name gets a number from the second occurrence on.
+func (c *drillCmd) outputPaths(drills []*drill.File) (paths []string) {
+	occurrences := map[string]int{}
+	for _, f := range drills {
+		path := filepath.Join(c.Out, f.Name)
+		if occurrences[f.Name]++; occurrences[f.Name] > 1 {
+			path = fmt.Sprintf("%s-play-%d", path, occurrences[f.Name])
 		}
-		bases = append(bases, base)
+		paths = append(paths, path)
 	}
-	return bases
+	return paths
 }
 
-// play plays a drill until the machine leaves it the time, tells what became of its claims, and keeps the timeline.
-func (c *drillCmd) play(ctx context.Context, w io.Writer, f *drill.File, base string, drawn bool) (holds bool, err error) {
+// play runs a drill, again if the machine was too busy for a verdict. It writes the verdict on each claim to w, and the
+// timeline to files whose paths begin with base. random says that the drill was generated: one that breaks a claim is then
+// written to a file too.
+func (c *drillCmd) play(ctx context.Context, w io.Writer, f *drill.File, base string, random bool) (holds bool, err error) {
 	var r *drill.Report
 	for n := 1; ; n++ {
 		if r, err = drill.Play(ctx, f, drill.Options{Router: c.Router}); err != nil {
@@ -123,7 +128,7 @@
 			break
 		}
 		fmt.Fprintf(w, "%s: the machine kept the drill from running for %v: played again\n", f.Name, r.Lag.Round(1e6))
-		if n == playsAgain {
+		if n == maxPlays {
 			return false, fmt.Errorf("the machine was too busy %d times, nothing is shown", n)
 		}
 	}
@@ -131,7 +136,8 @@
 	for _, v := range r.Verdicts {
 		fmt.Fprintf(w, "  %-6s %-8s %s\n", map[bool]string{true: "holds", false: "BROKEN"}[v.Holds], v.Claim.Kind, v.Why)
 	}
-	fmt.Fprintf(w, "  over the day %.3f of %d requests' worth was served, %d cold servers were pushed over\n", r.Result.Service, r.Result.Asked, r.Result.Falls)
+	fmt.Fprintf(w, "  over the day %.3f of %d requests' worth was served, %d cold servers were pushed over\n",
+		r.Result.Service, r.Result.Asked, r.Result.Falls)
 	out, err := os.Create(base + ".jsonl")
 	if err != nil {
 		return false, err
@@ -145,8 +151,8 @@
 	if len(r.Broken()) == 0 {
 		return true, nil
 	}
-	again := fmt.Sprintf("hoplab drill %s --seed %d", f.Name+".toml", f.Day.Seed)
-	if drawn {
+	replayCommand := fmt.Sprintf("hoplab drill %s --seed %d", f.Name+".toml", f.Day.Seed)
+	if random {
 		text, err := drill.Text(f)
 		if err == nil {
 			err = os.WriteFile(base+".toml", text, 0o644)
@@ -154,11 +160,11 @@
 		if err != nil {
 			return false, err
 		}
-		again = fmt.Sprintf("hoplab drill --random --seeds 1 --seed %d", f.Day.Seed)
+		replayCommand = fmt.Sprintf("hoplab drill --random --seeds 1 --seed %d", f.Day.Seed)
 		if c.Permits {
-			again += " --permits"
+			replayCommand += " --permits"
 		}
 	}
-	fmt.Fprintf(w, "  timeline %s.jsonl, picture %s.svg; again: %s\n", base, base, again)
+	fmt.Fprintf(w, "  timeline %s.jsonl, picture %s.svg; again: %s\n", base, base, replayCommand)
 	return false, nil
 }
--- a/cmd/hoplab/lab.go
+++ b/cmd/hoplab/lab.go
@@ -24,20 +24,22 @@
 	"hoptiller/internal/lab/tally"
 )
 
+// runCmd runs an experiment.
 type runCmd struct {
 	File  string `arg:"" help:"Experiment file (TOML)." type:"existingfile"`
-	Out   string `help:"File for the results, as JSON lines; beside the experiment file if not stated, - for none." short:"o"`
+	Out   string `help:"File for the results, as JSON lines; next to the experiment file if not given, - for none." short:"o"`
 	Cores int    `help:"Cores to use; 0 for all." default:"0"`
-	Seeds int    `help:"Seeds to play instead of the file's." default:"0"`
-	Plots string `help:"Folder for the plots that the file asks for, as SVG." type:"path"`
-	Quiet bool   `help:"No progress and no table." short:"q"`
+	Seeds int    `help:"Number of seeds to run instead of the number in the file." default:"0"`
+	Plots string `help:"Folder for the plots that the file defines, as SVG." type:"path"`
+	Quiet bool   `help:"Print no progress and no table." short:"q"`
 
-	Sockets bool   `help:"Play the days in real time on loopback sockets, with the router's program; hoptiller alone, one run after the other."`
+	Sockets bool   `help:"Run in real time on loopback sockets with the router's program; only policy hoptiller, one run at a time."`
 	Router  string `help:"The router's program, for --sockets." default:"bin/hoptiller"`
 }
 
-// onSockets has an experiment played by the real program.
-func (c *runCmd) onSockets(f *experiment.File) error {
+// useSockets makes an experiment run on loopback sockets with the router's program, with policy hoptiller alone and one run at
+// a time.
+func (c *runCmd) useSockets(f *experiment.File) error {
 	if _, err := os.Stat(c.Router); err != nil {
 		return fmt.Errorf("the router's program: %w", err)
 	}
@@ -48,6 +50,7 @@
 	return nil
 }
 
+// Run runs the experiment, writes its results and prints a summary with the first invariant violation of each policy.
 func (c *runCmd) Run(ctx context.Context) error {
 	f, err := experiment.Load(c.File)
 	if err != nil {
@@ -57,7 +60,7 @@
 		f.Seeds = c.Seeds
 	}
 	if c.Sockets {
-		if err := c.onSockets(f); err != nil {
+		if err := c.useSockets(f); err != nil {
 			return err
 		}
 	}
@@ -73,11 +76,11 @@
 		defer file.Close()
 		out = file
 	}
-	at := time.Now()
-	taken := 0
-	records, err := f.Run(ctx, c.Cores, out, func(n, of int, r *experiment.Record) {
-		if taken += r.Taken; !c.Quiet && terminal(os.Stderr) {
-			fmt.Fprintf(os.Stderr, "\r%d of %d runs", n, of)
+	started := time.Now()
+	requests := 0
+	records, err := f.Run(ctx, c.Cores, out, func(done, total int, r *experiment.Record) {
+		if requests += r.Taken; !c.Quiet && isTerminal(os.Stderr) {
+			fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, total)
 		}
 	})
 	if c.Plots != "" && err == nil {
@@ -86,28 +89,28 @@
 	if c.Quiet {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "\r%d runs, %d requests in %v, %d MB of memory at the most\n", len(records), taken,
-		time.Since(at).Round(10*time.Millisecond), memory())
+	fmt.Fprintf(os.Stderr, "\r%d runs, %d requests in %v, %d MB of memory at the most\n", len(records), requests,
+		time.Since(started).Round(10*time.Millisecond), peakMemoryMB())
 	if werr := experiment.WriteSummary(os.Stdout, records, f.Plot.X); werr != nil {
 		return errors.Join(err, werr)
 	}
-	shown := map[string]bool{}
+	reported := map[string]bool{}
 	for _, r := range records {
-		if r.Broken == 0 || shown[r.Policy] {
+		if r.Broken == 0 || reported[r.Policy] {
 			continue
 		}
-		shown[r.Policy] = true
+		reported[r.Policy] = true
 		v := r.Violations[0]
 		fmt.Printf("%s broke rules %d times at seed %d, first: %v\n", r.Policy, r.Broken, r.Seed, v)
 		if v.Request > 0 {
 			fmt.Printf("  its course: hoplab story %s --policy %s --seed %d --router %d --request %d%s\n", c.File, r.Policy, r.Seed,
-				v.Router, v.Request, flagsAt(r.At))
+				v.Router, v.Request, setFlags(r.At))
 		}
 	}
 	return err
 }
 
-// plot draws what the file asks for.
+// plot writes the plots that the experiment file defines.
 func (c *runCmd) plot(f *experiment.File, records []*experiment.Record) error {
 	if err := os.MkdirAll(c.Plots, 0o755); err != nil {
 		return err
@@ -121,43 +124,44 @@
 	return nil
 }
 
-// plot draws a figure over another one, as bars where that has no numbers, or the course of a policy's run.
+// writePlot plots the metric y against the swept setting x, as bars if x is empty. If x is "time" it plots y over time instead,
+// for run number run (from 1) of the policy.
 func writePlot(records []*experiment.Record, x, y, policy string, run int, path string) error {
 	switch x {
 	case "":
 		return plot.Bars(records, "", y, path)
 	case "time":
-		var own []*experiment.Record
+		var matching []*experiment.Record
 		for _, r := range records {
 			if r.Policy == policy {
-				own = append(own, r)
+				matching = append(matching, r)
 			}
 		}
-		if run < 1 || run > len(own) {
-			return fmt.Errorf("there are %d runs of %s", len(own), policy)
+		if run < 1 || run > len(matching) {
+			return fmt.Errorf("there are %d runs of %s", len(matching), policy)
 		}
-		return plot.TimeSeries(own[run-1], y, path)
+		return plot.TimeSeries(matching[run-1], y, path)
 	}
 	return plot.Sweep(records, x, y, path)
 }
 
-// memory is the most that this process has held, in MB; 0 where that is not told.
-func memory() int64 {
-	var use syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) != nil {
+// peakMemoryMB returns the peak memory of this process in MB, or 0 if the system does not report it.
+func peakMemoryMB() int64 {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return use.Maxrss / 1024
+	return usage.Maxrss / 1024
 }
 
-// terminal tells whether a person watches what is written there.
-func terminal(f *os.File) bool {
+// isTerminal reports whether a file is a character device, such as a terminal.
+func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// flagsAt writes a point of a sweep as flags of hoplab story.
-func flagsAt(at map[string]any) string {
+// setFlags formats the settings of a point of a sweep as --set flags of hoplab story.
+func setFlags(at map[string]any) string {
 	text := ""
 	for k, v := range at {
 		text += fmt.Sprintf(" --set %s=%v", k, v)
@@ -165,24 +169,26 @@
 	return text
 }
 
+// compareCmd compares the results of two runs.
 type compareCmd struct {
 	Before  string   `arg:"" help:"Results of hoplab run." type:"existingfile"`
 	After   string   `arg:"" help:"Results of a later run." type:"existingfile"`
-	Figures []string `help:"Figures to compare." default:"score,service,worst,fetches,fetch_peak,calls,tries,waste,broken" short:"f"`
-	Against string   `help:"Policy of BEFORE to hold all of AFTER against, instead of each against itself."`
-	Fall    float64  `help:"Exit with 3 if a policy's score is sure to have fallen by more than this." default:"0.03"`
+	Figures []string `help:"Metrics to compare." default:"score,service,worst,fetches,fetch_peak,calls,tries,waste,broken" short:"f"`
+	Against string   `help:"Policy of BEFORE to compare all policies of AFTER with, instead of each with itself."`
+	Fall    float64  `help:"Exit with 3 if a policy's score has certainly fallen by more than this." default:"0.03"`
 }
 
+// Run prints the comparison. The error is command.ErrFinding if a score has fallen by more than the --fall flag allows.
 func (c *compareCmd) Run() error {
-	before, whole, err := experiment.ReadRecords(c.Before)
+	before, beforeComplete, err := experiment.ReadRecords(c.Before)
 	if err != nil {
 		return err
 	}
-	after, whole2, err := experiment.ReadRecords(c.After)
+	after, afterComplete, err := experiment.ReadRecords(c.After)
 	if err != nil {
 		return err
 	}
-	if !whole || !whole2 {
+	if !beforeComplete || !afterComplete {
 		fmt.Println("one of the results is not whole: only the runs that both have are compared")
 	}
 	if c.Against != "" {
@@ -190,9 +196,9 @@
 		var all []*experiment.Record
 		for _, p := range append([]string{"hoptiller"}, rival.Names()...) {
 			for _, r := range before {
-				same := *r
-				same.Policy = p
-				all = append(all, &same)
+				renamed := *r
+				renamed.Policy = p
+				all = append(all, &renamed)
 			}
 		}
 		before = all
@@ -216,15 +222,17 @@
 	return err
 }
 
+// plotCmd plots results.
 type plotCmd struct {
 	Results string `arg:"" help:"Results of hoplab run." type:"existingfile"`
-	X       string `help:"Figure of the sweep to plot over, as bars where it is no number; \"time\" for the course of one run." short:"x"`
-	Y       string `help:"Figure to plot." short:"y" default:"score"`
+	X       string `help:"Swept setting on the x axis, with bars if it is no number; \"time\" for one run over time." short:"x"`
+	Y       string `help:"Metric to plot." short:"y" default:"score"`
 	Out     string `help:"File to write, .svg or .png." short:"o" required:""`
-	Policy  string `help:"Policy whose course is plotted." default:"hoptiller"`
-	Nth     int    `name:"run" help:"Run of the policy whose course is plotted, from 1." default:"1"`
+	Policy  string `help:"Policy whose run is plotted over time." default:"hoptiller"`
+	Nth     int    `name:"run" help:"Number of the run that is plotted over time, from 1." default:"1"`
 }
 
+// Run writes the plot.
 func (c *plotCmd) Run() error {
 	records, _, err := experiment.ReadRecords(c.Results)
 	if err != nil {
@@ -233,12 +241,14 @@
 	return writePlot(records, c.X, c.Y, c.Policy, c.Nth, c.Out)
 }
 
+// tableCmd prints results as a Markdown table.
 type tableCmd struct {
 	Results string `arg:"" help:"Results of hoplab run." type:"existingfile"`
-	X       string `help:"Figure of the sweep, a row for each value." short:"x"`
-	Y       string `help:"Figure in the table." short:"y" default:"score"`
+	X       string `help:"Swept setting; the table has a row for each value." short:"x"`
+	Y       string `help:"Metric in the table." short:"y" default:"score"`
 }
 
+// Run prints the table.
 func (c *tableCmd) Run() error {
 	records, _, err := experiment.ReadRecords(c.Results)
 	if err != nil {
@@ -247,18 +257,20 @@
 	return experiment.WriteTable(os.Stdout, records, c.X, c.Y)
 }
 
+// huntCmd searches random days for faults of a policy.
 type huntCmd struct {
-	For    time.Duration `help:"How long to look." default:"1m"`
-	Days   int           `help:"Most days to play." default:"1000000"`
-	Seed   uint64        `help:"Where the days come from: the same seed gives the same days." default:"1"`
-	Policy string        `help:"Policy that is tried." default:"hoptiller"`
-	Rivals []string      `help:"Policies that it is held against." default:"ring,rendezvous"`
-	Margin float64       `help:"By which a rival's score must be higher." default:"0.1"`
+	For    time.Duration `help:"How long to search." default:"1m"`
+	Days   int           `help:"Maximum number of days to run." default:"1000000"`
+	Seed   uint64        `help:"Seed of the random days: the same seed gives the same days." default:"1"`
+	Policy string        `help:"Policy under test." default:"hoptiller"`
+	Rivals []string      `help:"Policies that it is compared with." default:"ring,rendezvous"`
+	Margin float64       `help:"Margin by which a rival's score must be higher to count as a finding." default:"0.1"`
 	Cores  int           `help:"Cores to use." default:"4"`
-	Out    string        `help:"Folder for the findings, each an experiment file." default:"found" type:"path"`
-	Most   int           `help:"Findings to keep of a kind." default:"3"`
+	Out    string        `help:"Folder for the findings, each written as an experiment file." default:"found" type:"path"`
+	Most   int           `help:"Maximum number of findings to keep of each kind." default:"3"`
 }
 
+// Run writes an experiment file for each finding and prints it. The error is command.ErrFinding if there are any findings.
 func (c *huntCmd) Run(ctx context.Context) error {
 	for _, p := range append([]string{c.Policy}, c.Rivals...) {
 		if experiment.Policy(p) == nil {
@@ -313,15 +325,17 @@
 	return nil
 }
 
+// storyCmd prints the trace of one request.
 type storyCmd struct {
 	File    string            `arg:"" help:"Experiment file." type:"existingfile"`
-	Policy  string            `help:"Policy that decides." default:"hoptiller"`
-	Seed    uint64            `help:"Seed of the day; the file's if not stated." default:"0"`
+	Policy  string            `help:"Policy that makes the decisions." default:"hoptiller"`
+	Seed    uint64            `help:"Seed of the day; the one in the file if not given." default:"0"`
 	Router  int               `help:"Router that took the request, from 0." required:""`
 	Request uint32            `help:"Number of the request at its router." required:""`
-	Set     map[string]string `help:"Figures of the day to set, as in a sweep."`
+	Set     map[string]string `help:"Settings of the day to change, as in a sweep."`
 }
 
+// Run repeats the run and prints the trace of the request and the invariants that it violated.
 func (c *storyCmd) Run(ctx context.Context) error {
 	f, err := experiment.Load(c.File)
 	if err != nil {
@@ -355,8 +369,10 @@
 	return nil
 }
 
+// kindsCmd lists the names that experiment and drill files may use.
 type kindsCmd struct{}
 
+// Run prints the kinds of fault, the steps and claims of drills, and the policies.
 func (*kindsCmd) Run() error {
 	fmt.Println("faults")
 	for _, k := range model.FaultKinds() {
--- a/cmd/hoplab/main_test.go
+++ b/cmd/hoplab/main_test.go
@@ -11,11 +11,11 @@
 	"hoptiller/internal/testprog"
 )
 
-var binary string // of the program, built once
+var programPath string // of the hoplab program that TestMain builds
 
-func TestMain(m *testing.M) { testprog.Main(m, ".", &binary) }
+func TestMain(m *testing.M) { testprog.Main(m, ".", &programPath) }
 
-// Each command does what the operators' page says, with its exit code and its words.
+// TestCommands runs each command and checks its exit code and a part of its output.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -39,7 +39,7 @@
 	for _, test := range []struct {
 		args string
 		code int
-		says string
+		want string
 	}{
 		{"run day.toml", 0, "load.level=0.5"},
 		{"run worse.toml -q", 0, ""},
@@ -70,7 +70,7 @@
 		{"scale scale.toml --report scale.jsonl --plot scale.svg", 0, "sent 7000 of 6000 B/s (at 100)"},
 		{"run --nonsense", 80, "unknown flag"},
 	} {
-		cmd := exec.Command(binary, strings.Fields(test.args)...)
+		cmd := exec.Command(programPath, strings.Fields(test.args)...)
 		cmd.Dir = dir
 		out, err := cmd.CombinedOutput()
 		code := 0
@@ -80,8 +80,8 @@
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		if code != test.code || !strings.Contains(string(out), test.says) {
-			t.Errorf("hoplab %s: exit code %d, said\n%s\nwant %d and %q", test.args, code, out, test.code, test.says)
+		if code != test.code || !strings.Contains(string(out), test.want) {
+			t.Errorf("hoplab %s: exit code %d, output\n%s\nwant %d and %q", test.args, code, out, test.code, test.want)
 		}
 	}
 	for _, name := range []string{"a.svg", "b.png", "scale.svg", "drawn/plots-score.svg", "drawn/plots-call_p99.svg"} {
--- a/cmd/hoplab/pick.go
+++ b/cmd/hoplab/pick.go
@@ -13,14 +13,16 @@
 	"hoptiller/internal/lab/sim"
 )
 
+// pickCmd measures the time of one server pick by policy and fleet size.
 type pickCmd struct {
-	Caches   []int         `help:"Sizes of the fleet." default:"10,30,100,300,1000,4000"`
+	Caches   []int         `help:"Numbers of slot caches in the fleet." default:"10,30,100,300,1000,4000"`
 	Policies []string      `help:"Policies to measure." default:"hoptiller,ring,maglev,rendezvous,bounded,p2c"`
-	For      time.Duration `help:"How long each is measured." default:"300ms"`
+	For      time.Duration `help:"Duration of each measurement." default:"300ms"`
 	Out      string        `help:"Plot to write, .svg or .png." short:"o" type:"path"`
 }
 
-// Run measures what a request costs the policy alone: the pick of a server and the report of its answer.
+// Run measures the time that a policy alone takes for a request, in microseconds: picking a server and processing its reported
+// outcome.
 func (c *pickCmd) Run(ctx context.Context) error {
 	day := model.Prairie()
 	var curves []plot.Curve
@@ -28,7 +30,7 @@
 	fmt.Fprint(w, "us\t")
 	for _, n := range c.Caches {
 		if n < 1 || n > 20000 {
-			return fmt.Errorf("%d caches: 1 to 20000 is possible", n)
+			return fmt.Errorf("%d caches: must be from 1 to 20000", n)
 		}
 		fmt.Fprintf(w, "%d\t", n)
 	}
@@ -46,12 +48,12 @@
 			for i := range list {
 				list[i] = model.Member{ID: ids.Uint32() | 1, Index: i + 1, Phase: model.Ready, Weight: 4 + float64(i%3)}
 			}
-			home := sim.Homes(&day, policy, list)
-			picks, begun := 0, time.Now()
-			for ; time.Since(begun) < c.For && ctx.Err() == nil; picks++ {
-				home(uint64(picks)*0x9e3779b97f4a7c15 | 1)
+			pickServer := sim.Homes(&day, policy, list)
+			picks, started := 0, time.Now()
+			for ; time.Since(started) < c.For && ctx.Err() == nil; picks++ {
+				pickServer(uint64(picks)*0x9e3779b97f4a7c15 | 1)
 			}
-			us := float64(time.Since(begun).Nanoseconds()) / 1000 / float64(max(picks, 1))
+			us := float64(time.Since(started).Nanoseconds()) / 1000 / float64(max(picks, 1))
 			curve.X, curve.Y = append(curve.X, float64(n)), append(curve.Y, us)
 			fmt.Fprintf(w, "%.2f\t", us)
 		}
--- a/cmd/hoplab/scale.go
+++ b/cmd/hoplab/scale.go
@@ -17,20 +17,22 @@
 	"hoptiller/internal/lab/scale"
 )
 
+// scaleCmd measures fleets of many routers.
 type scaleCmd struct {
-	File   string `arg:"" help:"Scenario (TOML)." type:"existingfile"`
-	Sizes  []int  `help:"Sizes to run instead of the file's."`
-	Seeds  int    `help:"Runs of each size instead of the file's."`
+	File   string `arg:"" help:"Scenario file (TOML)." type:"existingfile"`
+	Sizes  []int  `help:"Fleet sizes to run instead of those in the file."`
+	Seeds  int    `help:"Number of runs of each size, instead of the number in the file."`
 	Seed   uint64 `help:"The only seed to run."`
 	Router string `help:"The router's program." default:"bin/hoptiller" type:"path"`
-	Out    string `help:"File to which results are added, as JSON lines; found/scale/NAME.jsonl if not stated." type:"path"`
-	Plot   string `help:"File for a plot of what routers send, .svg or .png." type:"path"`
-	Report string `help:"Report these results, and run nothing." type:"existingfile"`
-	Commit string `help:"Commit that the programs were built from; if not stated what the build tells, else what is checked out here."`
+	Out    string `help:"File to append results to, as JSON lines; found/scale/NAME.jsonl if not given." type:"path"`
+	Plot   string `help:"File for a plot of the bytes that routers send, .svg or .png." type:"path"`
+	Report string `help:"Report the results in this file instead of running anything." type:"existingfile"`
+	Commit string `help:"Commit of the programs; if not given, that of the build information, or else the one checked out here."`
 	Quiet  bool   `help:"No progress." short:"q"`
 }
 
-// Run runs the scenario and reports what came of it. The error is command.ErrFinding if a fleet did not agree.
+// Run runs the scenario and prints its results. The error is command.ErrFinding if the routers of a fleet did not agree on
+// their view.
 func (c *scaleCmd) Run(ctx context.Context) error {
 	f, err := scale.Load(c.File)
 	if err != nil {
@@ -46,11 +48,11 @@
 	if _, err := os.Stat(c.Router); err != nil {
 		return fmt.Errorf("the router's program: %w", err)
 	}
-	runs, err := c.runs(f)
+	runs, err := c.selectRuns(f)
 	if err != nil {
 		return err
 	}
-	// Hollow routers share this process's log, and each would tell of all the others.
+	// Hollow routers share this process's log, and each would log a line about every other router.
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	records, failed := c.play(ctx, f, runs)
 	if len(records) < len(runs) {
@@ -62,8 +64,9 @@
 	return errors.Join(failed, c.report(records))
 }
 
-// runs are those of the file and the flags, each of which must be within the bounds.
-func (c *scaleCmd) runs(f *scale.File) ([]scale.Run, error) {
+// selectRuns returns the runs that the file and the flags ask for. Each must be within the limits of the scenario and the
+// machine.
+func (c *scaleCmd) selectRuns(f *scale.File) ([]scale.Run, error) {
 	if len(c.Sizes) > 0 {
 		f.Sizes = c.Sizes
 	}
@@ -92,7 +95,7 @@
 	return runs, nil
 }
 
-// play plays runs one after the other and adds the result of each to a file.
+// play executes the runs one after the other and appends the result of each to a file.
 func (c *scaleCmd) play(ctx context.Context, f *scale.File, runs []scale.Run) (records []*scale.Record, err error) {
 	path := c.Out
 	if path == "" {
@@ -112,14 +115,14 @@
 	}
 	commit := c.Commit
 	if commit == "" {
-		commit = revision(ctx)
+		commit = programCommit(ctx)
 	}
 	options := scale.Options{Program: c.Router, Commit: commit, Said: func(text string) { fmt.Fprintf(progress, "  %s\n", text) }}
 	for _, run := range runs {
 		fmt.Fprintf(progress, "%s: %d routers, %d of them real, seed %d\n", f.Name, run.Size, run.Real, run.Seed)
 		r, err := scale.Play(ctx, run, options)
 		if ctx.Err() != nil {
-			return records, errors.New("interrupted: the run that was going on is not kept")
+			return records, errors.New("interrupted: the result of the current run is not kept")
 		}
 		if err != nil {
 			return records, err
@@ -132,7 +135,7 @@
 	return records, nil
 }
 
-// report writes the tables, and the plot if one is asked for.
+// report prints the tables and, if --plot is given, writes the plot. The error is command.ErrFinding if a run failed.
 func (c *scaleCmd) report(records []*scale.Record) error {
 	hollow := slices.DeleteFunc(slices.Clone(records), (*scale.Record).AllReal)
 	if calibration := scale.Calibrate(records); len(calibration) > 0 {
@@ -159,12 +162,13 @@
 	return nil
 }
 
-// unknownCommit is told where neither the build nor a checkout names one.
+// unknownCommit is reported when neither the build information nor a checkout names a commit.
 const unknownCommit = "unknown"
 
-// revision is the commit that this program was built from, or where the build does not tell the one that is checked out here.
-func revision(ctx context.Context) string {
-	commit, changed := checkedOut(ctx), ""
+// programCommit returns the commit that this program was built from. If the build information names none, it returns the commit
+// that is checked out in the working directory.
+func programCommit(ctx context.Context) string {
+	commit, changed := checkedOutCommit(ctx), ""
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return commit
@@ -180,8 +184,8 @@
 	return commit + changed
 }
 
-// checkedOut is the commit of the working tree.
-func checkedOut(ctx context.Context) string {
+// checkedOutCommit returns the commit of the working tree, or unknownCommit.
+func checkedOutCommit(ctx context.Context) string {
 	text, err := exec.CommandContext(ctx, "git", "describe", "--always", "--abbrev=40", "--dirty=+changes", "--exclude=*").Output()
 	if err != nil {
 		return unknownCommit
--- a/cmd/hoplab/soak.go
+++ b/cmd/hoplab/soak.go
@@ -18,26 +18,27 @@
 	"hoptiller/internal/lab/sim"
 )
 
+// soakCmd runs random days with several kinds of fault against real router processes.
 type soakCmd struct {
-	Seeds  int    `help:"How many days are drawn." default:"10"`
-	Seed   uint64 `help:"The first one's seed." default:"1"`
-	AtOnce int    `help:"How many are played at once." default:"1"`
+	Seeds  int    `help:"Number of random days." default:"10"`
+	Seed   uint64 `help:"Seed of the first day." default:"1"`
+	AtOnce int    `help:"Number of days that run at the same time." default:"1"`
 	Router string `help:"The router's program." default:"bin/hoptiller" type:"existingfile"`
-	Keep   bool   `help:"Keep the timelines and files of all days, not only of those that break a claim."`
-	Out    string `help:"Folder for the timelines and files of days that break a claim." default:"found/soak" type:"path"`
+	Keep   bool   `help:"Keep the timelines and files of all days, not only of days that violate a claim."`
+	Out    string `help:"Folder for the timelines and files of days that violate a claim." default:"found/soak" type:"path"`
 }
 
-// Run plays drawn days and writes a row for each.
+// Run runs the random days and prints a table row for each. The error is command.ErrFinding if a claim is broken.
 func (c *soakCmd) Run(ctx context.Context) error {
 	if c.Seeds < 1 || c.AtOnce < 1 {
-		return errors.New("--seeds and --at-once want 1 or more")
+		return errors.New("--seeds and --at-once must be at least 1")
 	}
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return err
 	}
 	fmt.Println("| seed | routers | requests | served | not served | unexplained | by the moment | ring, module | held up | troubles | broken |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	var mu sync.Mutex // of what is counted and written
+	var mu sync.Mutex // guards the counts and standard output
 	played, broken, unclear := 0, 0, 0
 	var g errgroup.Group
 	g.SetLimit(c.AtOnce)
@@ -51,23 +52,23 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", f.Name, err)
 			}
-			besides, err := playBeside(ctx, f)
+			baseline, err := playReference(ctx, f)
 			if err != nil {
 				return fmt.Errorf("%s in virtual time: %w", f.Name, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			fmt.Println(soakRow(f, report, besides))
+			fmt.Println(soakRow(f, report, baseline))
 			played++
-			keep := c.Keep
+			keepFiles := c.Keep
 			switch {
 			case report.Busy():
 				unclear++
 			case len(report.Broken()) > 0:
 				broken++
-				keep = true
+				keepFiles = true
 			}
-			if keep {
+			if keepFiles {
 				return c.keep(f, report)
 			}
 			return nil
@@ -76,48 +77,51 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	fmt.Printf("%d of %d days played, %d with a broken claim, %d on a machine too busy for a verdict\n", played, c.Seeds, broken, unclear)
+	fmt.Printf("%d of %d days played, %d with a broken claim, %d on a machine too busy for a verdict\n",
+		played, c.Seeds, broken, unclear)
 	if broken > 0 {
 		return command.ErrFinding
 	}
 	return nil
 }
 
-// beside is what others serve of the same day in virtual time: its fleet, load and faults of cache servers, without what is done to
-// routers and their ways, and with clients that wait for their answers.
-type beside struct {
-	ring, module float64 // a hash ring, and the decision module
+// reference holds the service that two policies reach on the same day in virtual time, for comparison. The virtual day has the
+// same fleet, load and cache server faults, but no faults of routers or of their network paths, and its clients wait for their
+// answers.
+type reference struct {
+	ringService, moduleService float64 // of a hash ring, and of the decision module
 }
 
-func playBeside(ctx context.Context, f *drill.File) (b beside, err error) {
-	for _, player := range []struct {
+// playReference runs the day of a drill in virtual time with both reference policies.
+func playReference(ctx context.Context, f *drill.File) (r reference, err error) {
+	for _, run := range []struct {
 		policy  sim.Policy
 		service *float64
-	}{{rival.New("ring"), &b.ring}, {sim.Hoptiller, &b.module}} {
+	}{{rival.New("ring"), &r.ringService}, {sim.Hoptiller, &r.moduleService}} {
 		day := f.Day
-		result, err := sim.Run(ctx, &day, player.policy, sim.Options{})
+		result, err := sim.Run(ctx, &day, run.policy, sim.Options{})
 		if err != nil {
-			return b, err
+			return r, err
 		}
-		*player.service = result.Service
+		*run.service = result.Service
 	}
-	return b, nil
+	return r, nil
 }
 
-// soakRow is a day's row of the table.
-func soakRow(f *drill.File, r *drill.Report, b beside) string {
+// soakRow formats a day's row of the table.
+func soakRow(f *drill.File, r *drill.Report, virtual reference) string {
 	counts := map[string]int{}
-	var kinds []string
+	var faults []string
 	for _, s := range f.Steps {
 		if counts[s.Kind]++; counts[s.Kind] == 1 {
-			kinds = append(kinds, s.Kind)
+			faults = append(faults, s.Kind)
 		}
 	}
-	for i, kind := range kinds {
-		kinds[i] = fmt.Sprintf("%d %s", counts[kind], kind)
+	for i, kind := range faults {
+		faults[i] = fmt.Sprintf("%d %s", counts[kind], kind)
 	}
 	for _, fault := range f.Day.Faults {
-		kinds = append(kinds, "caches "+fault.Kind)
+		faults = append(faults, "caches "+fault.Kind)
 	}
 	verdict := "none"
 	if r.Busy() {
@@ -129,11 +133,13 @@
 		}
 		verdict = strings.Join(texts, "; ")
 	}
-	return fmt.Sprintf("| %d | %d | %d | %.3f | %v | %.4f | %.4f | %.3f, %.3f | %v | %s | %s |", f.Day.Seed, f.Day.Routers, r.Result.Asked, r.Result.Service,
-		&r.Result.Unserved, r.Result.Unexplained, r.Result.ByTheMoment, b.ring, b.module, r.Lag.Round(time.Millisecond), strings.Join(kinds, ", "), verdict)
+	return fmt.Sprintf("| %d | %d | %d | %.3f | %v | %.4f | %.4f | %.3f, %.3f | %v | %s | %s |",
+		f.Day.Seed, f.Day.Routers, r.Result.Asked, r.Result.Service,
+		&r.Result.Unserved, r.Result.Unexplained, r.Result.ByTheMoment, virtual.ringService, virtual.moduleService,
+		r.Lag.Round(time.Millisecond), strings.Join(faults, ", "), verdict)
 }
 
-// keep writes a day as a drill that can be played again, with what happened.
+// keep writes a day as a drill file that can be run again, and the timeline of its events.
 func (c *soakCmd) keep(f *drill.File, r *drill.Report) error {
 	base := filepath.Join(c.Out, f.Name)
 	text, err := drill.Text(f)
--- a/cmd/hoplab/sockets.go
+++ b/cmd/hoplab/sockets.go
@@ -19,28 +19,31 @@
 	"hoptiller/internal/unit"
 )
 
-// fleetFlags say what a fleet on sockets is like.
+// fleetFlags are the flags that describe a fleet on loopback sockets.
 type fleetFlags struct {
-	Caches  int           `help:"Slot caches." default:"6"`
-	Routers int           `help:"Routers." default:"2"`
-	For     time.Duration `help:"How long to go on." default:"1m"`
+	Caches  int           `help:"Number of slot caches." default:"6"`
+	Routers int           `help:"Number of routers." default:"2"`
+	For     time.Duration `help:"How long to run." default:"1m"`
 	Seed    uint64        `help:"Seed of the day." default:"1"`
 }
 
+// day returns the default day with the size, seed and length that the flags state.
 func (f *fleetFlags) day() model.Day {
 	day := model.Prairie()
 	day.Fleet.Caches, day.Routers, day.Seed, day.Length = f.Caches, f.Routers, f.Seed, unit.Duration(f.For)
 	return day
 }
 
+// demoCmd runs a fleet, its routers and load together.
 type demoCmd struct {
 	fleetFlags `embed:""`
-	Level      float64 `help:"Load, as a part of the fleet's capacity." default:"0.5"`
-	Fault      string  `help:"What goes wrong a third of the way; see hoplab kinds." default:"crash"`
+	Level      float64 `help:"Load, as a fraction of the fleet's capacity." default:"0.5"`
+	Fault      string  `help:"Kind of fault that is injected after a third of the time; see hoplab kinds." default:"crash"`
 	Router     string  `help:"The router's program." default:"bin/hoptiller" type:"existingfile"`
-	Log        string  `help:"File for what the routers log." default:"" type:"path"`
+	Log        string  `help:"File for the routers' logs." default:"" type:"path"`
 }
 
+// Run runs the demo, prints a line each second and a summary at the end.
 func (c *demoCmd) Run(ctx context.Context) error {
 	day := c.day()
 	day.Load.Level, day.Warm, day.Fill = c.Level, unit.Duration(3*time.Second), true
@@ -69,9 +72,10 @@
 	fmt.Printf("%d slot caches, %d routers, an origin and a directory on loopback; %v of load at %.2f of capacity, %s on the way\n",
 		c.Caches, c.Routers, c.For, c.Level, c.Fault)
 	fmt.Println("      s  asked  within aim  refused  fetches  caches up")
-	r, err := standin.Run(ctx, &day, standin.Options{Router: c.Router, Log: log, Progress: func(now time.Duration, w *model.World, t *tally.Tally) {
-		at := int((now-day.Warm.D())/time.Second) - 2 // what was asked two seconds ago has its answers
-		s, ok := t.Second(at)
+	r, err := standin.Run(ctx, &day, standin.Options{Router: c.Router, Log: log, Progress: func(now time.Duration, w *model.World,
+		t *tally.Tally) {
+		second := int((now-day.Warm.D())/time.Second) - 2 // requests sent two seconds ago have been answered
+		stats, ok := t.Second(second)
 		if !ok {
 			fmt.Println("   warming up")
 			return
@@ -82,7 +86,8 @@
 				up++
 			}
 		}
-		fmt.Printf("  %5d  %5d       %4.0f %%    %5d    %5d      %3d\n", at, s.Asked, 100*s.Service, s.Refused, s.Fetches, up)
+		fmt.Printf("  %5d  %5d       %4.0f %%    %5d    %5d      %3d\n",
+			second, stats.Asked, 100*stats.Service, stats.Refused, stats.Fetches, up)
 	}})
 	if errors.Is(err, context.Canceled) {
 		fmt.Println("stopped")
@@ -91,16 +96,20 @@
 	if err != nil {
 		return err
 	}
-	return experiment.WriteSummary(os.Stdout, []*experiment.Record{{Experiment: "demo", Policy: "hoptiller", Seed: c.Seed, Result: r}}, "")
+	return experiment.WriteSummary(os.Stdout, []*experiment.Record{{
+		Experiment: "demo", Policy: "hoptiller", Seed: c.Seed, Result: r,
+	}}, "")
 }
 
+// fleetCmd runs the stand-ins for routers that the user starts.
 type fleetCmd struct {
 	fleetFlags `embed:""`
 	Dir        string  `help:"Folder for the routers' configurations." default:"fleet" type:"path"`
-	Bytes      int     `help:"Length of a value in bytes; 0: that of the day." default:"0"`
-	Unsized    float64 `help:"Part of the origin's values that it gives without their length." default:"0"`
+	Bytes      int     `help:"Length of a value in bytes; 0 for the default." default:"0"`
+	Unsized    float64 `help:"Fraction of the origin's values that it sends without stating their length." default:"0"`
 }
 
+// Run runs the slot caches, the origin and the discovery service until interrupted, and prints how to start routers.
 func (c *fleetCmd) Run(ctx context.Context) error {
 	day := c.day()
 	day.Load.Level, day.Warm, day.Origin.Unsized = 0, 0, c.Unsized
@@ -121,33 +130,36 @@
 	return err
 }
 
+// loadCmd sends load to running routers.
 type loadCmd struct {
 	Addrs   []string      `arg:"" help:"Routers' addresses, on loopback."`
-	Rate    float64       `help:"Requests a second; 0: as many as the connections carry." default:"100"`
+	Rate    float64       `help:"Requests per second; 0 for as many as the connections can carry." default:"100"`
 	For     time.Duration `help:"How long to send." default:"10s"`
-	Conns   int           `help:"Connections at the most." default:"200"`
-	Keys    int           `help:"Different keys." default:"600"`
-	Zipf    float64       `help:"Exponent of the keys' popularity." default:"1"`
-	Retries int           `help:"Repeats of a request that is told to come back." default:"2"`
-	Seed    uint64        `help:"Seed of times and keys." default:"1"`
-	JSON    bool          `help:"Report as a line of JSON."`
+	Conns   int           `help:"Maximum number of connections." default:"200"`
+	Keys    int           `help:"Number of different keys." default:"600"`
+	Zipf    float64       `help:"Exponent of the Zipf distribution of key popularity." default:"1"`
+	Retries int           `help:"Retries of a request whose answer asks the client to come back later." default:"2"`
+	Seed    uint64        `help:"Seed of the arrival times and keys." default:"1"`
+	JSON    bool          `help:"Print the report as one line of JSON."`
 }
 
+// Run sends the load and prints a report; on a terminal it also shows progress.
 func (c *loadCmd) Run(ctx context.Context) error {
-	p := load.Plan{Addrs: c.Addrs, Rate: c.Rate, For: c.For, Conns: c.Conns, Keys: c.Keys, Zipf: c.Zipf, Offset: 3, Seed: c.Seed,
+	plan := load.Plan{Addrs: c.Addrs, Rate: c.Rate, For: c.For, Conns: c.Conns, Keys: c.Keys, Zipf: c.Zipf, Offset: 3, Seed: c.Seed,
 		Retries: c.Retries, Value: 2}
 	day := model.Prairie()
-	for _, k := range day.Classes {
-		p.Classes = append(p.Classes, load.Class{Name: k.Name, Share: k.Share, Aim: k.Aim.D(), Deadline: k.Deadline.D(), Worth: k.Worth,
-			Write: k.Write})
-	}
-	if terminal(os.Stderr) {
-		p.Progress = func(r *load.Report) {
-			fmt.Fprintf(os.Stderr, "\r%4.0f s  %6.0f/s  %.4f within aim, p99 %.1f ms ", r.Seconds, r.Rate, r.Classes[0].Service, r.Classes[0].P99)
+	for _, class := range day.Classes {
+		plan.Classes = append(plan.Classes, load.Class{Name: class.Name, Share: class.Share, Aim: class.Aim.D(),
+			Deadline: class.Deadline.D(), Worth: class.Worth, Write: class.Write})
+	}
+	if isTerminal(os.Stderr) {
+		plan.Progress = func(r *load.Report) {
+			fmt.Fprintf(os.Stderr, "\r%4.0f s  %6.0f/s  %.4f within aim, p99 %.1f ms ",
+				r.Seconds, r.Rate, r.Classes[0].Service, r.Classes[0].P99)
 		}
 		defer fmt.Fprintln(os.Stderr)
 	}
-	r, err := load.Run(ctx, p)
+	r, err := load.Run(ctx, plan)
 	if err != nil {
 		return err
 	}
@@ -157,30 +169,35 @@
 	return r.WriteText(os.Stdout)
 }
 
+// speedCmd measures the latency that the router adds.
 type speedCmd struct {
 	Router string        `help:"The router's program." default:"bin/hoptiller" type:"existingfile"`
-	For    time.Duration `help:"How long each of the six parts takes." default:"5s"`
-	Conns  int           `help:"Connections." default:"64"`
-	Caches int           `help:"Slot caches, which answer at once." default:"10"`
-	File   string        `help:"An operator's file, with which the router is measured once more, in turns with the one without." type:"existingfile"`
+	For    time.Duration `help:"Duration of each of the six measurements." default:"5s"`
+	Conns  int           `help:"Number of connections." default:"64"`
+	Caches int           `help:"Number of slot caches; they answer at once." default:"10"`
+	File   string        `help:"An operator's file; the router is measured with and without it in turns." type:"existingfile"`
 }
 
+// Run measures the router and the bare relay, which is this program's hidden relay command.
 func (c *speedCmd) Run(ctx context.Context) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	r, err := speed.Run(ctx, speed.Options{Router: c.Router, Relay: []string{self, "relay"}, For: c.For, Conns: c.Conns, Caches: c.Caches, File: c.File})
+	r, err := speed.Run(ctx, speed.Options{Router: c.Router, Relay: []string{self, "relay"},
+		For: c.For, Conns: c.Conns, Caches: c.Caches, File: c.File})
 	if err != nil {
 		return err
 	}
 	return r.Write(os.Stdout)
 }
 
+// relayCmd runs the bare relay that speedCmd compares the router with.
 type relayCmd struct {
 	To string `arg:"" help:"Address to relay to."`
 }
 
+// Run prints the address that it listens on to standard error and relays connections.
 func (c *relayCmd) Run() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/hoplab/view.go
+++ b/cmd/hoplab/view.go
@@ -16,16 +16,18 @@
 	"hoptiller/internal/lab/plot"
 )
 
+// viewCmd measures or searches the protocol by which routers agree on their fleet view.
 type viewCmd struct {
-	Routers []int         `help:"Sizes of fleets." default:"100,300,1000"`
-	Seeds   int           `help:"Plays of each." default:"3"`
-	Least   time.Duration `help:"The shortest time that a datagram takes." default:"2.5ms"`
-	Most    time.Duration `help:"The longest." default:"39ms"`
-	Short   bool          `help:"Leave out the ten minutes of pauses."`
-	Search  int           `help:"Go through all orders of events of three routers up to this depth instead." placeholder:"DEPTH"`
+	Routers []int         `help:"Numbers of routers in the measured fleets." default:"100,300,1000"`
+	Seeds   int           `help:"Number of runs of each size." default:"3"`
+	Least   time.Duration `help:"Shortest network delay of a datagram." default:"2.5ms"`
+	Most    time.Duration `help:"Longest network delay of a datagram." default:"39ms"`
+	Short   bool          `help:"Skip the ten minutes in which processes are paused."`
+	Search  int           `help:"Search all orders of events of three routers up to this depth instead." placeholder:"DEPTH"`
 	Out     string        `help:"Folder for the table and the plots." default:"found/view" type:"path"`
 }
 
+// Run measures all sizes and seeds and writes the table and the plots. The error is command.ErrFinding if a measurement fails.
 func (c *viewCmd) Run(ctx context.Context) error {
 	if c.Search > 0 {
 		return c.search()
@@ -41,13 +43,14 @@
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return err
 	}
-	all := make([]*membership.Measurements, len(c.Routers)*c.Seeds)
+	measurements := make([]*membership.Measurements, len(c.Routers)*c.Seeds)
 	var g errgroup.Group
 	g.SetLimit(4)
-	for i := range all {
+	for i := range measurements {
 		g.Go(func() error {
 			if ctx.Err() == nil {
-				all[i] = membership.Measure(c.Routers[i/c.Seeds], membership.Network{MinDelay: c.Least, MaxDelay: c.Most}, uint64(i%c.Seeds+1), c.Short)
+				measurements[i] = membership.Measure(c.Routers[i/c.Seeds], membership.Network{MinDelay: c.Least, MaxDelay: c.Most},
+					uint64(i%c.Seeds+1), c.Short)
 			}
 			return ctx.Err()
 		})
@@ -55,12 +58,12 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	text, broken := viewTable(all)
+	text, broken := viewTable(measurements)
 	fmt.Print(text)
 	if err := os.WriteFile(filepath.Join(c.Out, "view.md"), []byte(text), 0o644); err != nil {
 		return err
 	}
-	if err := c.plots(all); err != nil {
+	if err := c.plots(measurements); err != nil {
 		return err
 	}
 	if broken {
@@ -69,14 +72,17 @@
 	return nil
 }
 
-// viewTable writes the figures, times in seconds.
-func viewTable(all []*membership.Measurements) (text string, broken bool) {
+// viewTable formats the measurements as a Markdown table, times in seconds, and the failures below it. broken reports whether
+// there are any failures.
+func viewTable(measurements []*membership.Measurements) (text string, broken bool) {
 	var b strings.Builder
 	b.WriteString("| routers | seed | all start | join, worst of 20 | crash, mean and worst of 20 | living taken for dead / pauses | halves meet | thirds meet | a third joins | bytes/s calm | at 10% loss | in repair | datagrams/s calm | at 10% loss |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	for _, f := range all {
-		fmt.Fprintf(&b, "| %d | %d | %.1f | %.2f | %.1f, %.1f | %d / %d | %.1f | %.1f | %.1f | %.0f | %.0f | %.0f | %.1f | %.1f |\n", f.Routers, f.Seed, f.StartAll,
-			slices.Max(f.Joins), mean(f.Crashes), slices.Max(f.Crashes), f.FalsePositives, f.Pauses, f.HealHalves, f.HealThirds, f.JoinThird, f.LosslessBytes, f.LossyBytes, f.RepairBytes, f.LosslessDatagrams, f.LossyDatagrams)
+	for _, f := range measurements {
+		fmt.Fprintf(&b, "| %d | %d | %.1f | %.2f | %.1f, %.1f | %d / %d | %.1f | %.1f | %.1f | %.0f | %.0f | %.0f | %.1f | %.1f |\n",
+			f.Routers, f.Seed, f.StartAll,
+			slices.Max(f.Joins), mean(f.Crashes), slices.Max(f.Crashes), f.FalsePositives, f.Pauses,
+			f.HealHalves, f.HealThirds, f.JoinThird, f.LosslessBytes, f.LossyBytes, f.RepairBytes, f.LosslessDatagrams, f.LossyDatagrams)
 		for _, what := range f.Failures {
 			fmt.Fprintf(&b, "\n%d routers, seed %d: %s\n", f.Routers, f.Seed, what)
 			broken = true
@@ -85,6 +91,7 @@
 	return b.String(), broken
 }
 
+// mean returns the arithmetic mean.
 func mean(list []float64) (m float64) {
 	for _, x := range list {
 		m += x / float64(len(list))
@@ -92,42 +99,50 @@
 	return m
 }
 
-// plots draws the worst of all seeds over the size of the fleet.
-func (c *viewCmd) plots(all []*membership.Measurements) error {
-	times := []plot.Curve{{Name: "all start"}, {Name: "join"}, {Name: "crash"}, {Name: "halves meet"}, {Name: "thirds meet"}, {Name: "a third joins"}}
+// plots draws the worst value of all seeds against the size of the fleet.
+func (c *viewCmd) plots(measurements []*membership.Measurements) error {
+	times := []plot.Curve{{Name: "all start"}, {Name: "join"}, {Name: "crash"},
+		{Name: "halves meet"}, {Name: "thirds meet"}, {Name: "a third joins"}}
 	bytes := []plot.Curve{{Name: "calm"}, {Name: "10% loss"}, {Name: "in repair"}}
 	for i, n := range c.Routers {
-		worst := func(of func(f *membership.Measurements) float64) (x float64) {
-			for _, f := range all[i*c.Seeds : (i+1)*c.Seeds] {
-				x = max(x, of(f))
+		worstOf := func(value func(f *membership.Measurements) float64) (x float64) {
+			for _, f := range measurements[i*c.Seeds : (i+1)*c.Seeds] {
+				x = max(x, value(f))
 			}
 			return x
 		}
-		for k, of := range []func(f *membership.Measurements) float64{
-			func(f *membership.Measurements) float64 { return f.StartAll }, func(f *membership.Measurements) float64 { return slices.Max(f.Joins) },
-			func(f *membership.Measurements) float64 { return slices.Max(f.Crashes) }, func(f *membership.Measurements) float64 { return f.HealHalves },
-			func(f *membership.Measurements) float64 { return f.HealThirds }, func(f *membership.Measurements) float64 { return f.JoinThird },
+		for k, value := range []func(f *membership.Measurements) float64{
+			func(f *membership.Measurements) float64 { return f.StartAll },
+			func(f *membership.Measurements) float64 { return slices.Max(f.Joins) },
+			func(f *membership.Measurements) float64 { return slices.Max(f.Crashes) },
+			func(f *membership.Measurements) float64 { return f.HealHalves },
+			func(f *membership.Measurements) float64 { return f.HealThirds },
+			func(f *membership.Measurements) float64 { return f.JoinThird },
 		} {
-			times[k].X, times[k].Y = append(times[k].X, float64(n)), append(times[k].Y, worst(of))
+			times[k].X, times[k].Y = append(times[k].X, float64(n)), append(times[k].Y, worstOf(value))
 		}
-		for k, of := range []func(f *membership.Measurements) float64{
-			func(f *membership.Measurements) float64 { return f.LosslessBytes }, func(f *membership.Measurements) float64 { return f.LossyBytes },
+		for k, value := range []func(f *membership.Measurements) float64{
+			func(f *membership.Measurements) float64 { return f.LosslessBytes },
+			func(f *membership.Measurements) float64 { return f.LossyBytes },
 			func(f *membership.Measurements) float64 { return f.RepairBytes },
 		} {
-			bytes[k].X, bytes[k].Y = append(bytes[k].X, float64(n)), append(bytes[k].Y, worst(of))
+			bytes[k].X, bytes[k].Y = append(bytes[k].X, float64(n)), append(bytes[k].Y, worstOf(value))
 		}
 	}
-	if err := plot.Curves("A view of the fleet: until all know, worst of all seeds", "routers", "seconds", times, filepath.Join(c.Out, "times.svg")); err != nil {
+	if err := plot.Curves("A view of the fleet: until all know, worst of all seeds", "routers", "seconds", times,
+		filepath.Join(c.Out, "times.svg")); err != nil {
 		return err
 	}
 	return plot.Curves("What a router sends", "routers", "bytes a second", bytes, filepath.Join(c.Out, "bytes.svg"))
 }
 
+// search searches all orders of events, without and with clocks that are set back at a restart.
 func (c *viewCmd) search() error {
-	for _, back := range []bool{false, true} {
-		s := &membership.Search{Routers: 3, Depth: c.Search, MaxCrashes: 2, MaxInFlight: 4, ClockSetBack: back}
+	for _, setBack := range []bool{false, true} {
+		s := &membership.Search{Routers: 3, Depth: c.Search, MaxCrashes: 2, MaxInFlight: 4, ClockSetBack: setBack}
 		err := s.Run()
-		fmt.Printf("clocks of new lives set back %v: %d states to a depth of %d, from %d of them all views agreed, %v\n", back, s.States, s.Depth, s.Converged, s.Took.Round(time.Millisecond))
+		fmt.Printf("clocks of new lives set back %v: %d states to a depth of %d, from %d of them all views agreed, %v\n",
+			setBack, s.States, s.Depth, s.Converged, s.Took.Round(time.Millisecond))
 		if err != nil {
 			fmt.Println(err)
 			return command.ErrFinding
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,6 @@
-// Command wirehost hosts router instances behind the simulator's wire on
-// standard input and output. It translates and decides nothing.
+// Command wirehost runs router instances for a simulator that speaks the wire
+// protocol on standard input and output. It only translates between the protocol
+// and the decision module; it makes no decisions itself.
 package main
 
 import (
@@ -21,18 +22,19 @@
 	}
 }
 
-type host struct {
-	reader  *wire.Reader
-	reply   wire.Reply
-	routers map[uint32]*hoptiller.Router
-	lists   [16][]hoptiller.Server
-	current uint32
-	named   bool
+// routerHost holds the router instances of one simulator connection and the state of the batch that is being read.
+type routerHost struct {
+	reader     *wire.Reader
+	reply      wire.Reply
+	routers    map[uint32]*hoptiller.Router // by instance number
+	lists      [16][]hoptiller.Server       // by buffer number; nil until a List event fills the buffer
+	instance   uint32                       // set by the last Context event; the events that follow are for this instance
+	hasContext bool                         // whether the batch has had a Context event
 }
 
-// serve answers batches from in on out until in ends.
+// serve reads batches from in and writes one reply for each to out, until in ends.
 func serve(in io.Reader, out io.Writer) error {
-	h := &host{
+	h := &routerHost{
 		reader:  wire.NewReader(bufio.NewReaderSize(in, 1<<16)),
 		routers: make(map[uint32]*hoptiller.Router),
 	}
@@ -42,7 +44,7 @@
 			return nil
 		}
 		if err == nil {
-			err = h.batch()
+			err = h.handleBatch()
 		}
 		if err != nil {
 			return err
@@ -53,55 +55,58 @@
 	}
 }
 
-func (h *host) batch() error {
+// handleBatch handles the events of one batch and collects their actions in the reply.
+func (h *routerHost) handleBatch() error {
 	h.reply.Reset()
-	h.named = false
+	h.hasContext = false
 	var e wire.Event
 	for {
 		more, err := h.reader.Next(&e)
 		if err != nil || !more {
 			return err
 		}
-		if err := h.event(&e); err != nil {
+		if err := h.handleEvent(&e); err != nil {
 			return err
 		}
 	}
 }
 
-func (h *host) event(e *wire.Event) error {
+// handleEvent handles the events that concern the host itself and passes the others to the router of the current instance.
+func (h *routerHost) handleEvent(e *wire.Event) error {
 	switch e.Code {
 	case wire.Context:
-		h.current, h.named = e.Instance, true
+		h.instance, h.hasContext = e.Instance, true
 		return nil
 	case wire.List:
 		h.lists[e.Buffer] = e.Servers
 		return nil
 	}
-	if !h.named {
+	if !h.hasContext {
 		return fmt.Errorf("event code %d comes before any Context", e.Code)
 	}
 	if e.Code == wire.Provision {
-		set, _, err := config.ParseSettings(e.Conf)
+		settings, _, err := config.ParseSettings(e.Conf)
 		if err != nil {
-			return fmt.Errorf("instance %d: %w", h.current, err)
+			return fmt.Errorf("instance %d: %w", h.instance, err)
 		}
-		h.routers[h.current] = hoptiller.New(h.reader.Clock, set, e.Seed, h.reply.For(h.current))
+		h.routers[h.instance] = hoptiller.New(h.reader.Clock, settings, e.Seed, h.reply.For(h.instance))
 		return nil
 	}
-	router := h.routers[h.current]
+	router := h.routers[h.instance]
 	if router == nil {
-		return fmt.Errorf("event code %d is for instance %d, which is not running", e.Code, h.current)
+		return fmt.Errorf("event code %d is for instance %d, which is not running", e.Code, h.instance)
 	}
 	return h.deliver(router, e)
 }
 
-func (h *host) deliver(router *hoptiller.Router, e *wire.Event) error {
+// deliver passes an event to the router instance that it is for.
+func (h *routerHost) deliver(router *hoptiller.Router, e *wire.Event) error {
 	now := h.reader.Clock
 	switch e.Code {
 	case wire.Destroy:
-		delete(h.routers, h.current)
+		delete(h.routers, h.instance)
 	case wire.Endpoints:
-		return h.endpoints(router, e)
+		return h.deliverList(router, e)
 	case wire.Knock:
 		router.Request(now, e.Request)
 	case wire.ReportBack:
@@ -116,7 +121,8 @@
 	return nil
 }
 
-func (h *host) endpoints(router *hoptiller.Router, e *wire.Event) error {
+// deliverList passes a server list that an earlier List event has filled to the router.
+func (h *routerHost) deliverList(router *hoptiller.Router, e *wire.Event) error {
 	if e.Scope == hoptiller.ListFailed {
 		router.List(h.reader.Clock, e.Scope, nil)
 		return nil
