--- a/cmd/hoptiller/calls.go
+++ b/cmd/hoptiller/calls.go
@@ -22,26 +22,27 @@
 	"hoptiller/internal/unit"
 )
 
-// processMetrics are what operators read of this process.
+// processMetrics is the answer to /v1/metrics.
 type processMetrics struct {
 	metrics.Snapshot
-	Reasons reasonCounts   `json:"reasons"`         // why connections ended, and how attempts did
-	Fleet   *peers.Summary `json:"fleet,omitempty"` // as the routers see one another
+	Reasons reasonCounts   `json:"reasons"`         // why connections and attempts ended
+	Fleet   *peers.Summary `json:"fleet,omitempty"` // this router's view of the fleet
 }
 
-// calls are what operators can ask of this process.
-func calls(life *lifecycle.State, f *front.Front, counts *metrics.Counters, reasons *reasons, reports *loadreport.Table, r *relay.Relay, fleet *peers.Peers) map[string]admin.Call {
-	told := func(e lifecycle.Event) func() (bool, []byte) {
+// adminCalls returns the operators' calls by path. fleet is nil if the fleet view is off.
+func adminCalls(phases *lifecycle.State, clientFront *front.Front, counts *metrics.Counters, reasons *endReasons,
+	reports *loadreport.Table, router *relay.Relay, fleet *peers.Peers) map[string]admin.Call {
+	transitionCall := func(e lifecycle.Event) func() (bool, []byte) {
 		return func() (bool, []byte) {
-			yes := life.Tell(e)
-			return yes, state(life)
+			changed := phases.Tell(e)
+			return changed, phaseJSON(phases)
 		}
 	}
 	all := map[string]admin.Call{
-		"/v1/readyz": {Method: "GET", Do: func() (bool, []byte) { return f.Ready(), state(life) }},
+		"/v1/readyz": {Method: "GET", Do: func() (bool, []byte) { return clientFront.Ready(), phaseJSON(phases) }},
 		"/v1/metrics": {Method: "GET", Do: func() (bool, []byte) {
 			s := processMetrics{Snapshot: counts.Snapshot(), Reasons: reasons.counts()}
-			s.Members, s.Unavailable = r.Members()
+			s.Members, s.Unavailable = router.Members()
 			s.Reports = reports.Summary()
 			if fleet != nil {
 				s.Fleet = fleet.Summary()
@@ -49,33 +50,33 @@
 			body, err := json.Marshal(s)
 			return err == nil, append(body, '\n')
 		}},
-		"/v1/router/drain":    {Method: "POST", Do: told(lifecycle.Drain)},
-		"/v1/router/activate": {Method: "POST", Do: told(lifecycle.Activate)},
+		"/v1/router/drain":    {Method: "POST", Do: transitionCall(lifecycle.Drain)},
+		"/v1/router/activate": {Method: "POST", Do: transitionCall(lifecycle.Activate)},
 	}
 	if fleet != nil {
 		all["/v1/fleet"] = admin.Call{Method: "GET", Do: func() (bool, []byte) {
 			body, err := json.Marshal(fleet.Report())
 			return err == nil, append(body, '\n')
 		}}
-		out := func(do func() peers.Out) func() (bool, []byte) {
+		serviceCall := func(do func() peers.Out) func() (bool, []byte) {
 			return func() (bool, []byte) {
 				body, err := json.Marshal(do())
 				return err == nil, append(body, '\n')
 			}
 		}
-		asked(all, fleet)
-		all["/v1/fleet/drain"] = admin.Call{Method: "POST", Do: out(fleet.GoOut)}
-		all["/v1/fleet/activate"] = admin.Call{Method: "POST", Do: out(fleet.ComeBack)}
+		addParameterCalls(all, fleet)
+		all["/v1/fleet/drain"] = admin.Call{Method: "POST", Do: serviceCall(fleet.GoOut)}
+		all["/v1/fleet/activate"] = admin.Call{Method: "POST", Do: serviceCall(fleet.ComeBack)}
 	}
 	return all
 }
 
-// asked are the calls that name what they are about.
-func asked(all map[string]admin.Call, fleet *peers.Peers) {
-	call := func(path string, do func(q url.Values) error) {
+// addParameterCalls adds the calls that take query parameters.
+func addParameterCalls(all map[string]admin.Call, fleet *peers.Peers) {
+	addCall := func(path string, do func(q url.Values) error) {
 		all[path] = admin.Call{Method: "POST", Ask: func(q url.Values) (int, []byte) {
 			if err := do(q); err != nil {
-				return refusal(err), []byte(err.Error())
+				return errorStatus(err), []byte(err.Error())
 			}
 			body, err := json.Marshal(fleet.Report().Charges)
 			if err != nil {
@@ -84,71 +85,72 @@
 			return http.StatusOK, append(body, '\n')
 		}}
 	}
-	call("/v1/fleet/caches/drain", func(q url.Values) error {
-		last, err := duration(q, "for", time.Hour, peers.MostDrain)
+	addCall("/v1/fleet/caches/drain", func(q url.Values) error {
+		drainTime, err := durationParam(q, "for", time.Hour, peers.MostDrain)
 		if err != nil {
 			return err
 		}
-		over, err := duration(q, "over", 0, time.Hour)
+		rampTime, err := durationParam(q, "over", 0, time.Hour)
 		if err != nil {
 			return err
 		}
-		return fleet.DrainCache(q.Get("cache"), last, over)
+		return fleet.DrainCache(q.Get("cache"), drainTime, rampTime)
 	})
-	call("/v1/fleet/caches/activate", func(q url.Values) error { return fleet.ActivateCache(q.Get("cache")) })
-	call("/v1/fleet/release", func(q url.Values) error {
+	addCall("/v1/fleet/caches/activate", func(q url.Values) error { return fleet.ActivateCache(q.Get("cache")) })
+	addCall("/v1/fleet/release", func(q url.Values) error {
 		_, err := fleet.GoOnRelease(q.Get("id"), q.Get("by"), q.Get("stage"), q.Get("only") != "")
 		return err
 	})
-	call("/v1/fleet/release/end", func(q url.Values) error { return fleet.EndRelease(q.Get("id")) })
+	addCall("/v1/fleet/release/end", func(q url.Values) error { return fleet.EndRelease(q.Get("id")) })
 }
 
-// refusal is the status of an error.
-func refusal(err error) int {
-	var taken *notes.ErrTaken
-	var runs *peers.ErrRuns
+// errorStatus returns the HTTP status for an error.
+func errorStatus(err error) int {
+	var takenErr *notes.ErrTaken
+	var runsErr *peers.ErrRuns
 	switch {
 	case errors.Is(err, peers.ErrNoCache), errors.Is(err, notes.ErrNone):
 		return http.StatusNotFound
 	case errors.Is(err, peers.ErrEnded):
 		return http.StatusGone
-	case errors.As(err, &taken), errors.As(err, &runs), errors.Is(err, notes.ErrFull):
+	case errors.As(err, &takenErr), errors.As(err, &runsErr), errors.Is(err, notes.ErrFull):
 		return http.StatusConflict
 	}
 	return http.StatusBadRequest
 }
 
-// duration reads a time that a call names, from nothing to most.
-func duration(q url.Values, name string, otherwise, most time.Duration) (time.Duration, error) {
+// durationParam reads a duration from a query parameter. It must be from 0 to maxValue; without the parameter it is defaultValue.
+func durationParam(q url.Values, name string, defaultValue, maxValue time.Duration) (time.Duration, error) {
 	text := q.Get(name)
 	if text == "" {
-		return otherwise, nil
+		return defaultValue, nil
 	}
 	d, err := unit.ParseDuration(text)
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", name, err)
 	}
-	if d.D() < 0 || d.D() > most {
-		return 0, fmt.Errorf("%s: %v is not from 0 to %v", name, d, most)
+	if d.D() < 0 || d.D() > maxValue {
+		return 0, fmt.Errorf("%s: %v is not from 0 to %v", name, d, maxValue)
 	}
 	return d.D(), nil
 }
 
-func state(life *lifecycle.State) []byte {
-	return []byte(`{"phase":"` + life.Phase().String() + "\"}\n")
+// phaseJSON formats the phase of this process.
+func phaseJSON(phases *lifecycle.State) []byte {
+	return []byte(`{"phase":"` + phases.Phase().String() + "\"}\n")
 }
 
-// freshList tells when the directory has spoken for the first time.
-type freshList struct {
+// firstListNotifier passes on server lists and closes received at the first one that comes from discovery.
+type firstListNotifier struct {
 	discovery.Listener
-	once sync.Once
-	told chan struct{}
+	once     sync.Once
+	received chan struct{}
 }
 
-// Told passes on what the directory says.
-func (l *freshList) Told(kind hoptiller.ListKind, servers []relay.Server) {
+// Told passes on a server list.
+func (l *firstListNotifier) Told(kind hoptiller.ListKind, servers []relay.Server) {
 	l.Listener.Told(kind, servers)
 	if kind == hoptiller.ListFull || kind == hoptiller.ListDelta {
-		l.once.Do(func() { close(l.told) })
+		l.once.Do(func() { close(l.received) })
 	}
 }
--- a/cmd/hoptiller/complete.go
+++ b/cmd/hoptiller/complete.go
@@ -7,11 +7,12 @@
 	"github.com/alecthomas/kong"
 )
 
+// completionCmd writes a shell completion script.
 type completionCmd struct {
 	Shell string `arg:"" enum:"bash,zsh,fish" help:"bash, zsh or fish."`
 }
 
-// Run writes the script. It is made from the commands as they are, so that it can't fall behind them.
+// Run writes the script. It is generated from the command definitions, so that it is always up to date.
 func (c *completionCmd) Run(k *kong.Context) error {
 	name := k.Model.Name
 	var commands []string
--- a/cmd/hoptiller/early_reload_test.go
+++ b/cmd/hoptiller/early_reload_test.go
@@ -14,12 +14,12 @@
 	"hoptiller/internal/testprog"
 )
 
-// Crossing: SIGHUP comes while the program that was just started still reads its configuration. It goes on, and takes what the
-// configuration says by then.
+// TestReloadBeforeReady sends SIGHUP while a program that was just started still reads its configuration. The program must
+// continue, and then use the configuration as it was changed in the meantime.
 func TestReloadBeforeReady(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
-	reader := pipe(t, path)
+	reader := replaceWithPipe(t, path)
 	before, after := testprog.Listen(t), testprog.Listen(t)
 	asked := make(chan string, 100)
 	testprog.Accept(after, func(conn net.Conn) {
@@ -30,7 +30,7 @@
 		return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"known":{"version":7,"full":true,"servers":[]},"settings":%s}`,
 			discovery.Addr().String(), settings)
 	}
-	cmd := exec.Command(binary)
+	cmd := exec.Command(programPath)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path)
 	log, err := cmd.StderrPipe()
 	if err != nil {
@@ -39,10 +39,10 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	said, ended := make(chan string, 1000), make(chan error, 1)
+	logLines, ended := make(chan string, 1000), make(chan error, 1)
 	go func() {
 		for lines := bufio.NewScanner(log); lines.Scan(); {
-			said <- lines.Text()
+			logLines <- lines.Text()
 		}
 		ended <- cmd.Wait()
 	}()
@@ -52,10 +52,10 @@
 		t.Fatal(err)
 	}
 	write(config(before))
-	testprog.Await(t, said, "line that it listens") // so the first configuration has been read to its end
+	testprog.Await(t, logLines, "log line about the listener") // the first configuration has been read completely
 	reader()(config(after))
 	if line := testprog.Await(t, asked, "call to the discovery of the new configuration"); !strings.HasPrefix(line, "GET /registry/instances?watch=1&after=0 ") {
-		t.Errorf("it is asked %q", line)
+		t.Errorf("the new discovery service received %q", line)
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/hoptiller/fleet.go
+++ b/cmd/hoptiller/fleet.go
@@ -20,14 +20,15 @@
 	"hoptiller/internal/fleet/peers"
 )
 
+// fleetCmd shows how routers see their fleet.
 type fleetCmd struct {
 	Addrs []string      `arg:"" help:"Operators' addresses of one or more routers."`
-	JSON  bool          `help:"Write all that was answered as JSON."`
-	Watch bool          `short:"w" help:"Ask again and again until interrupted."`
-	Every time.Duration `help:"How often with --watch." default:"2s"`
+	JSON  bool          `help:"Print all answers as JSON."`
+	Watch bool          `short:"w" help:"Repeat the query until interrupted."`
+	Every time.Duration `help:"Interval of the queries with --watch." default:"2s"`
 }
 
-// Run asks all at once. What one of them does not answer in 3 s is told, and the others count.
+// Run queries all routers at once. A router that does not answer within 3 s is reported, and the others are shown.
 func (c *fleetCmd) Run() error {
 	for _, a := range c.Addrs {
 		if _, _, err := net.SplitHostPort(a); err != nil {
@@ -35,12 +36,12 @@
 		}
 	}
 	if c.Every < 100*time.Millisecond {
-		return errors.New("--every wants 100ms at least")
+		return errors.New("--every must be at least 100ms")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	for {
-		err := c.once(ctx, os.Stdout)
+		err := c.queryOnce(ctx, os.Stdout)
 		if !c.Watch {
 			return err
 		}
@@ -55,34 +56,36 @@
 	}
 }
 
-func (c *fleetCmd) once(ctx context.Context, w io.Writer) error {
-	all := make([]peers.Asked, len(c.Addrs))
+// queryOnce queries all routers and writes the first view and the differences of the others to w. The error is
+// command.ErrFinding if views differ.
+func (c *fleetCmd) queryOnce(ctx context.Context, w io.Writer) error {
+	answers := make([]peers.Asked, len(c.Addrs))
 	var g errgroup.Group
 	for i, addr := range c.Addrs {
 		g.Go(func() error {
-			all[i] = peers.Ask(ctx, addr)
+			answers[i] = peers.Ask(ctx, addr)
 			return nil
 		})
 	}
 	g.Wait()
-	differences := peers.Differences(all)
+	differences := peers.Differences(answers)
 	var failed []string
-	for _, a := range all {
+	for _, a := range answers {
 		if a.Err != "" {
 			failed = append(failed, a.Addr+": "+a.Err)
 		}
 	}
 	if c.JSON {
-		text, err := json.Marshal(map[string]any{"routers": all, "differences": append([]string{}, differences...)})
+		text, err := json.Marshal(map[string]any{"routers": answers, "differences": append([]string{}, differences...)})
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(w, "%s\n", text)
 	} else {
-		for _, a := range all {
+		for _, a := range answers {
 			if a.View != nil {
-				table(w, &a)
-				break // the others say the same, or stand among the differences
+				writeView(w, &a)
+				break // the other views are equal, or listed among the differences
 			}
 		}
 		for _, d := range differences {
@@ -90,7 +93,7 @@
 		}
 	}
 	switch {
-	case len(failed) == len(all):
+	case len(failed) == len(answers):
 		return errors.New(strings.Join(failed, "; "))
 	case len(failed) > 0:
 		fmt.Fprintln(os.Stderr, "not answered:", strings.Join(failed, "; "))
@@ -101,27 +104,27 @@
 	return nil
 }
 
-// table writes one router's view.
-func table(w io.Writer, a *peers.Asked) {
+// writeView writes the view of one router.
+func writeView(w io.Writer, a *peers.Asked) {
 	v := a.View
 	fmt.Fprintf(w, "as router %d at %s sees it (sum %s): %d alive, %d suspect, %d dead, %d left, %d never heard of; own health %d\n",
 		v.Self, a.Addr, v.Sum, v.Alive, v.Suspect, v.Dead, v.Left, v.Unknown, v.Health)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "router\tstate\tfor\tphase\tstart\tprogram\tsettings\trequests/s\t")
+	columns := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(columns, "router\tstate\tfor\tphase\tstart\tprogram\tsettings\trequests/s\t")
 	for i := range v.Members {
 		m := &v.Members[i]
 		if m.State == "unknown" {
-			fmt.Fprintf(t, "%d\tunknown\t\t\t\t\t\t\t\n", m.Number)
+			fmt.Fprintf(columns, "%d\tunknown\t\t\t\t\t\t\t\n", m.Number)
 			continue
 		}
-		note := ""
+		remark := ""
 		if m.Twice {
-			note = "another router has this number"
+			remark = "another router has this number"
 		}
-		fmt.Fprintf(t, "%d\t%s\t%v\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Number, m.State, time.Duration(m.Since*1e9).Round(time.Second), m.Phase,
-			m.Start, m.Version, m.Settings, m.Rate, note)
+		fmt.Fprintf(columns, "%d\t%s\t%v\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Number, m.State, time.Duration(m.Since*1e9).Round(time.Second),
+			m.Phase, m.Start, m.Version, m.Settings, m.Rate, remark)
 	}
-	t.Flush()
+	columns.Flush()
 	if o := v.Out; o != nil {
 		if o.State != "none" {
 			fmt.Fprintf(w, "router %d's permit: %s\n", v.Self, strings.TrimSpace(o.State+" "+o.Why))
@@ -131,7 +134,8 @@
 		}
 	}
 	for _, d := range v.Drains {
-		fmt.Fprintf(w, "slot cache %s: %s, kept by router %d, ends in %v %s\n", d.Cache, d.State, d.Router, time.Duration(d.Ends*1e9).Round(time.Second), d.Why)
+		fmt.Fprintf(w, "slot cache %s: %s, kept by router %d, ends in %v %s\n",
+			d.Cache, d.State, d.Router, time.Duration(d.Ends*1e9).Round(time.Second), d.Why)
 	}
 	if r := v.Release; r != nil {
 		fmt.Fprintf(w, "release %s: %s, run by %s (%s), kept by router %d %s\n", r.ID, r.State, r.By, r.Stage, r.Router, r.Why)
--- a/cmd/hoptiller/together_test.go
+++ b/cmd/hoptiller/fleet_member_test.go
@@ -19,8 +19,9 @@
 	"hoptiller/internal/plan"
 )
 
-// The view is on where the platform allows it and nothing speaks against it; a price on datagrams does, a file goes before that.
-func TestNewFleet(t *testing.T) {
+// TestNewFleetMember checks that the fleet view is on if the platform allows it, unless datagrams have a price or the
+// operator's file turns it off. The file takes precedence over the price.
+func TestNewFleetMember(t *testing.T) {
 	for name, c := range map[string]struct {
 		config string
 		file   string
@@ -39,12 +40,13 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if f := newFleet(conf, plan.Fleet{View: c.file}, metrics.New(conf.Classes), lifecycle.New(), nil, nil); (f.peers != nil) != c.on {
+		if f := newFleetMember(conf, plan.Fleet{View: c.file}, metrics.New(conf.Classes), lifecycle.New(),
+			nil, nil); (f.peers != nil) != c.on {
 			t.Errorf("%s: on %v", name, f.peers != nil)
 		}
 		other, err := config.Parse([]byte(strings.Replace(text, `"selfIndex":0`, `"selfIndex":1`, 1)))
 		if err != nil || other.Digest != conf.Digest || other.Settings.Self != 1 {
-			t.Errorf("%s: another router has other settings: %v", name, err)
+			t.Errorf("%s: the settings of another router differ: %v", name, err)
 		}
 		if more, err := config.Parse([]byte(strings.Replace(text, `"worth":1`, `"worth":2`, 1))); err != nil || more.Digest == conf.Digest {
 			t.Errorf("%s: other settings have the same digest: %v", name, err)
@@ -52,21 +54,22 @@
 	}
 }
 
-// Others see a router serving only while clients may come.
-func TestPhase(t *testing.T) {
+// TestMemberPhase checks that a router announces that it is serving only while it accepts clients.
+func TestMemberPhase(t *testing.T) {
 	for _, c := range []struct {
 		phase lifecycle.Phase
 		ready bool
 		want  view.Phase
 	}{{lifecycle.Serving, false, view.Starting}, {lifecycle.Serving, true, view.Serving}, {lifecycle.Draining, false, view.Draining},
 		{lifecycle.Stopping, true, view.Stopping}, {lifecycle.Leaving, false, view.Stopping}} {
-		if got := phase(c.phase, c.ready); got != c.want {
+		if got := memberPhase(c.phase, c.ready); got != c.want {
 			t.Errorf("%v, ready %v: %v", c.phase, c.ready, got)
 		}
 	}
 }
 
-// The command writes one router's view and where others differ, and goes on without those that don't answer.
+// TestFleetCommand checks that the command prints the view of one router and the differences of the others, and tolerates routers
+// that do not answer.
 func TestFleetCommand(t *testing.T) {
 	serve := func(r *peers.Report) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -84,7 +87,7 @@
 	var out bytes.Buffer
 	ask := func(c *fleetCmd) (string, error) {
 		out.Reset()
-		err := c.once(context.Background(), &out)
+		err := c.queryOnce(context.Background(), &out)
 		return out.String(), err
 	}
 	if text, err := ask(&fleetCmd{Addrs: []string{a, serve(nil)}}); err != nil || !strings.Contains(text, "0       alive") || !strings.Contains(text, "1       unknown") {
@@ -101,14 +104,14 @@
 	}
 }
 
-// New bounds are taken by a reload; to switch the view wants a restart.
+// TestFleetReload checks that a reload applies new bounds, and that turning the view on needs a restart.
 func TestFleetReload(t *testing.T) {
 	conf, err := config.Parse([]byte(`{"settings":{"classes":[{"name":"read","effect":"idempotent","onTime":1,"deadline":1,"worth":1}]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	load := func(text string) *plan.Plan {
-		p, report := plan.Load("x.hop", func(string) ([]byte, error) { return []byte(text), nil }, facts(conf))
+		p, report := plan.Load("x.hop", func(string) ([]byte, error) { return []byte(text), nil }, planPlatform(conf))
 		if p == nil {
 			t.Fatal(report)
 		}
@@ -121,11 +124,11 @@
 		restart  string
 	}{{empty, bounds, 1, ""}, {bounds, empty, 1, ""}, {empty, on, 1, "fleet view"}, {bounds, bounds, 0, ""}} {
 		changes := plan.Diff(c.from, c.to)
-		if got := restart(changes); len(changes) != c.changes || got != c.restart {
+		if got := restartNeededFor(changes); len(changes) != c.changes || got != c.restart {
 			t.Errorf("%v: restart for %q, want %q", changes, got, c.restart)
 		}
 	}
-	if b := bound(bounds.Fleet.Out, 1); b.Of(10) != 2 || b.Of(3) != 1 {
+	if b := boundOrDefault(bounds.Fleet.Out, 1); b.Of(10) != 2 || b.Of(3) != 1 {
 		t.Errorf("20%% of 10 and 3 are %d and %d", b.Of(10), b.Of(3))
 	}
 }
--- a/cmd/hoptiller/crossing_descriptors_test.go
+++ b/cmd/hoptiller/idle_clients_test.go
@@ -10,7 +10,7 @@
 	"unsafe"
 )
 
-// limitDescriptors sets how many descriptors a process may have open.
+// limitDescriptors sets the number of descriptors that a process may have open.
 func limitDescriptors(t *testing.T, pid int, n uint64) {
 	t.Helper()
 	limit := syscall.Rlimit{Cur: n, Max: n}
@@ -20,14 +20,15 @@
 	}
 }
 
-// Clients that ask nothing, or asked once and rest, come in numbers far beyond the descriptors while discovery says nothing.
-// Discovery, operators, slot caches, the origin and a client that asks get theirs all the same.
+// TestIdleClientsFillTheDescriptors connects far more clients than the program has descriptors, while discovery is silent. The
+// clients send nothing, or one command and then idle. Discovery, operators, slot caches, the origin and a client with a
+// request must still get descriptors.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	t.Parallel()
 	const descriptors = 96
-	w := startWith(t, []string{"p1"}, "", `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptors))
+	w := startProgramWith(t, []string{"p1"}, "", `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptors))
 	limitDescriptors(t, w.program.Process.Pid, descriptors)
-	play := func(text string) { w.play(t, t.Name(), strings.Split(text, "\n")) }
+	play := func(text string) { w.runScenario(t, t.Name(), strings.Split(text, "\n")) }
 	play(`
 		d expect GET /registry/instances?watch=1&after=1 HTTP/1.1`)
 	for i := range 2 * descriptors {
@@ -39,7 +40,7 @@
 		if i%2 == 0 {
 			continue
 		}
-		fmt.Fprint(conn, "mn\r\n") // who asks gets an answer in the crowd
+		fmt.Fprint(conn, "mn\r\n") // a client with a command is answered although there are too many clients
 		if line, err := bufio.NewReader(conn).ReadString('\n'); line != "MN\r\n" {
 			t.Fatalf("client %d got %q, %v", i, line, err)
 		}
@@ -71,7 +72,7 @@
 		c2 expect y`)
 	for len(w.actors["program"].lines) > 0 {
 		if l := <-w.actors["program"].lines; strings.Contains(l.text, "accept failed") || strings.Contains(l.text, "too many open files") {
-			t.Errorf("the program said %s", l.text)
+			t.Errorf("the program logged %s", l.text)
 		}
 	}
 }
--- a/cmd/hoptiller/crossing_settings_test.go
+++ b/cmd/hoptiller/invalid_settings_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Settings of which a part can't be right: the program starts, says so in one line, and sends nothing twice of which it does not
-// know that it may.
-func TestDoubtfulSettings(t *testing.T) {
+// TestInvalidSettingsAreConservative starts the program with settings of which a part is invalid. It must start, log one line
+// about that, and retry no request unless it is certain that a retry is allowed.
+func TestInvalidSettingsAreConservative(t *testing.T) {
 	t.Parallel()
 	read := settings[strings.Index(settings, `{"name":"read"`):strings.Index(settings, `{"name":"book"`)]
 	for name, c := range map[string]struct{ from, to, says string }{
@@ -19,8 +19,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := startWith(t, []string{"p1"}, "", c.from, c.to)
-			play := func(text string) { w.play(t, name, strings.Split(text, "\n")) }
+			w := startProgramWith(t, []string{"p1"}, "", c.from, c.to)
+			play := func(text string) { w.runScenario(t, name, strings.Split(text, "\n")) }
 			play(`
 				program wait *settings in doubt*` + c.says + `*
 				c1 send mg k1 v O01 Pc=book,d=9000
@@ -38,13 +38,13 @@
 	}
 }
 
-// Without any class all requests are of one that must not run twice.
+// TestNoClasses checks that, if the settings have no classes, all requests belong to one class that must not run twice.
 func TestNoClasses(t *testing.T) {
 	t.Parallel()
 	from := settings[strings.Index(settings, `[
 	{"name":"read"`):strings.Index(settings, `,
 	"familyInfo"`)]
-	startWith(t, []string{"p1"}, "", from, `[]`).play(t, t.Name(), strings.Split(`
+	startProgramWith(t, []string{"p1"}, "", from, `[]`).runScenario(t, t.Name(), strings.Split(`
 		program wait *settings in doubt*no classes*
 		c1 send mg k1 v O01 Pc=slot-view,d=9000
 		p1 expect mg k1 *
--- a/cmd/hoptiller/large_fleet_test.go
+++ b/cmd/hoptiller/large_fleet_test.go
@@ -22,14 +22,15 @@
 	"hoptiller/internal/testprog"
 )
 
-// largeFleet is a router in a fleet of many routers and slot caches, which the test plays.
+// largeFleet is a router in a fleet of many routers and slot caches, which the test simulates.
 type largeFleet struct {
-	program *exec.Cmd
-	clients string // address
-	admin   string // address
+	program    *exec.Cmd
+	clientAddr string // address for clients
+	adminAddr  string // address for operators
 }
 
-// startLargeFleet starts the router as number 0 of the routers at the addresses, with so many slot caches in its list.
+// startLargeFleet starts the router as number 0 of the routers at the addresses, with the given number of slot caches in its
+// list.
 func startLargeFleet(t testing.TB, routers []string, caches int) *largeFleet {
 	list := registryList(t, caches)
 	directory := testprog.Listen(t)
@@ -46,12 +47,12 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	program, log, addrs := launch(t, []string{"RELAY_CONFIG=" + path})
+	program, log, addrs := launchProgram(t, []string{"RELAY_CONFIG=" + path})
 	go io.Copy(io.Discard, log)
 	return &largeFleet{program, addrs[0], addrs[1]}
 }
 
-// registryList is a whole list of one origin and of slot caches, each of which has an address of its own and answers reads.
+// registryList starts slot caches that answer reads, each at its own address, and returns a full list of them and of one origin.
 func registryList(t testing.TB, caches int) string {
 	const entry = `{"id":"s-%08x","addr":%q,"zone":"x","kind":%q,"cell":0,"state":"active","weight":1}`
 	origin := testprog.Listen(t)
@@ -64,7 +65,7 @@
 	return fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, strings.Join(entries, ","))
 }
 
-// answerReads is a slot cache that has one byte under each key.
+// answerReads serves a connection as a slot cache that holds a value of one byte for each key.
 func answerReads(conn net.Conn) {
 	defer conn.Close()
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
@@ -74,7 +75,7 @@
 	}
 }
 
-// answerOneCall is a registry that gives its whole list.
+// answerOneCall answers one call for the list as a discovery service that returns its full list.
 func answerOneCall(conn net.Conn, list string) {
 	defer conn.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
@@ -82,10 +83,10 @@
 	}
 }
 
-// metrics asks the router's operators' address.
+// metrics reads the metrics from the router's address for operators.
 func (f *largeFleet) metrics(t testing.TB) (m processMetrics) {
-	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
-	r, err := client.Get("http://" + f.admin + "/v1/metrics")
+	client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	r, err := client.Get("http://" + f.adminAddr + "/v1/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +97,8 @@
 	return m
 }
 
-// bindRouters gives addresses of routers, of which the first so many are free again, and nobody speaks or reads at the others.
+// bindRouters returns n UDP addresses for routers. The first free of them are unused; the others are bound by sockets that send
+// and read nothing.
 func bindRouters(t testing.TB, n, free int) (addrs []string) {
 	for i := range n {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -105,7 +107,7 @@
 		}
 		addrs = append(addrs, c.LocalAddr().String())
 		if i < free {
-			defer c.Close() // once all are bound, so that no two have one address
+			defer c.Close() // only after all are bound, so that no address is given out twice
 		} else {
 			t.Cleanup(func() { c.Close() })
 		}
@@ -113,11 +115,12 @@
 	return addrs
 }
 
-// A router that is told of 1,024 routers and 1,024 slot caches is ready, knows them all, and serves.
+// TestLargeFleet checks that a router in a fleet of 1,024 routers and 1,024 slot caches becomes ready, knows them all, and
+// serves.
 func TestLargeFleet(t *testing.T) {
 	const routers, caches = 1024, 1024
 	f := startLargeFleet(t, bindRouters(t, routers, 1), caches)
-	conn := dial(t, f.clients)
+	conn := dial(t, f.clientAddr)
 	fmt.Fprint(conn, "mg k v O1 Pc=read,d=9000\r\n")
 	r := bufio.NewReader(conn)
 	for _, want := range []string{"VA 1 O1\r\n", "x\r\n"} {
@@ -134,16 +137,16 @@
 	}
 }
 
-// settled is how long the news of a fleet's start is spread and told again.
-const settled = 20 * time.Second
+// settleTime is how long the changes of the start of a fleet spread by gossip, repetitions included.
+const settleTime = 20 * time.Second
 
-// BenchmarkIdleRouter tells what a router of 350 with 300 slot caches holds while no client asks it anything. The other routers'
-// views run here.
+// BenchmarkIdleRouter measures the memory, threads and descriptors of a router in a fleet of 350 routers and 300 slot caches
+// without requests. The fleet views of the other routers run in the process of the benchmark.
 func BenchmarkIdleRouter(b *testing.B) {
 	const routers, caches = 350, 300
-	was := slog.Default()
+	oldLogger := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	b.Cleanup(func() { slog.SetDefault(was) })
+	b.Cleanup(func() { slog.SetDefault(oldLogger) })
 	for range b.N {
 		addrs := bindRouters(b, routers, routers)
 		for self := 1; self < routers; self++ {
@@ -154,15 +157,15 @@
 			m := f.metrics(b)
 			return m.Members == caches && m.Fleet != nil && m.Fleet.Alive == routers
 		})
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		if m := f.metrics(b); m.Fleet.Alive != routers {
 			b.Fatalf("the fleet is seen as %+v", m.Fleet)
 		}
-		f.report(b)
+		f.reportUsage(b)
 	}
 }
 
-// runView runs the view of another router until the benchmark ends.
+// runView runs the fleet view of another router until the benchmark ends.
 func runView(b *testing.B, self int, addrs []string) {
 	p, err := peers.New(peers.Settings{Self: self, Listen: addrs[self], Addrs: addrs, Seed: uint64(self),
 		Phase: func() view.Phase { return view.Serving }, Tell: func() view.Details { return view.Details{Version: 1} }})
@@ -178,40 +181,40 @@
 	})
 }
 
-// report tells what the program holds.
-func (f *largeFleet) report(b *testing.B) {
+// reportUsage reports the memory, threads and descriptors of the program.
+func (f *largeFleet) reportUsage(b *testing.B) {
 	process := fmt.Sprintf("/proc/%d/", f.program.Process.Pid)
-	read := func(name string) string {
+	readProcFile := func(name string) string {
 		text, err := os.ReadFile(process + name)
 		if err != nil {
-			b.Skip("no account of the process here:", err)
+			b.Skip("the system does not describe processes:", err)
 		}
 		return string(text)
 	}
-	status := read("status")
+	status := readProcFile("status")
 	files, err := os.ReadDir(process + "fd")
 	if err != nil {
-		b.Skip("no account of descriptors here:", err)
+		b.Skip("the system does not list descriptors:", err)
 	}
-	b.ReportMetric(number(status, "VmRSS:"), "RSS-kB")
-	b.ReportMetric(number(status, "RssAnon:"), "anonymous-kB")
-	if kB := goHeap(read("smaps")); kB > 0 {
+	b.ReportMetric(numberAfter(status, "VmRSS:"), "RSS-kB")
+	b.ReportMetric(numberAfter(status, "RssAnon:"), "anonymous-kB")
+	if kB := goHeapKB(readProcFile("smaps")); kB > 0 {
 		b.ReportMetric(kB, "Go-heap-kB")
 	}
-	b.ReportMetric(number(status, "Threads:"), "threads")
+	b.ReportMetric(numberAfter(status, "Threads:"), "threads")
 	b.ReportMetric(float64(len(files)), "descriptors")
 }
 
-// number is the first number behind a name.
-func number(text, name string) float64 {
+// numberAfter returns the first number after a name.
+func numberAfter(text, name string) float64 {
 	_, rest, _ := strings.Cut(text, name)
 	x, _ := strconv.ParseFloat(strings.Fields(rest + " 0")[0], 64)
 	return x
 }
 
-// goHeap is how much of Go's heap is in memory, in kB. It is known where it lies in a program that was built with
+// goHeapKB returns the resident size of the Go heap in kB. The address of the heap is only known in a program that was built with
 // GOEXPERIMENT=norandomizedheapbase64.
-func goHeap(smaps string) (kB float64) {
+func goHeapKB(smaps string) (kB float64) {
 	const arenas = "c0"
 	within := false
 	for line := range strings.Lines(smaps) {
@@ -220,7 +223,7 @@
 		case strings.Contains(addresses, "-"):
 			within = strings.HasPrefix(addresses, arenas) && len(addresses) == len("c000000000-c000400000")
 		case within && addresses == "Rss:":
-			kB += number(line, "Rss:")
+			kB += numberAfter(line, "Rss:")
 		}
 	}
 	return kB
--- a/cmd/hoptiller/listen.go
+++ b/cmd/hoptiller/listen.go
@@ -15,8 +15,8 @@
 	"hoptiller/internal/plan"
 )
 
-// listen opens the platform's listener and those of the operator's file.
-func listen(c *config.Config, p *plan.Plan) (all []net.Listener, err error) {
+// openListeners opens the platform's listener and those that the operator's file names.
+func openListeners(c *config.Config, p *plan.Plan) (all []net.Listener, err error) {
 	open := func(name string, l net.Listener, err error) error {
 		if err != nil {
 			return err
@@ -25,18 +25,18 @@
 		all = append(all, l)
 		return nil
 	}
-	var main net.Listener
+	var primary net.Listener
 	if c.SocketFD != "" {
-		main, err = inherited(c.SocketFD)
+		primary, err = inheritedListener(c.SocketFD)
 	} else {
-		main, err = listenTCP(c.Listen)
+		primary, err = listenTCP(c.Listen)
 	}
-	if err := open("main", main, err); err != nil {
+	if err := open("main", primary, err); err != nil {
 		return nil, err
 	}
 	for _, l := range p.Listeners {
-		more, err := listenTCP(l.Addr)
-		if err := open(l.Name, more, err); err != nil {
+		additional, err := listenTCP(l.Addr)
+		if err := open(l.Name, additional, err); err != nil {
 			return nil, err
 		}
 	}
@@ -44,29 +44,29 @@
 }
 
 const (
-	listenPatience = 5 * time.Second       // for which the system may lack what a listener needs before the program gives up
-	listenPause    = 10 * time.Millisecond // between two tries
+	listenRetryTime     = 5 * time.Second       // how long the system may lack resources for a listener before the program gives up
+	listenRetryInterval = 10 * time.Millisecond // between two attempts
 )
 
-// listenTCP opens a listener. A moment in which the system lacks what it needs for that does not end the program.
+// listenTCP opens a TCP listener. It waits if the system lacks the resources for a moment.
 func listenTCP(addr string) (net.Listener, error) {
-	return patiently(listenPatience, func() (net.Listener, error) { return net.Listen("tcp", addr) })
+	return openWithRetries(listenRetryTime, func() (net.Listener, error) { return net.Listen("tcp", addr) })
 }
 
-// patiently tries to open something until it does, fails for good, or has failed for want of resources for as long as may be.
-func patiently[T any](patience time.Duration, open func() (T, error)) (T, error) {
-	late := time.Now().Add(patience)
+// openWithRetries calls open until it succeeds, fails for another reason than a lack of resources, or retryTime is over.
+func openWithRetries[T any](retryTime time.Duration, open func() (T, error)) (T, error) {
+	deadline := time.Now().Add(retryTime)
 	for {
 		opened, err := open()
-		if err == nil || !lacksResources(err) || time.Now().After(late) {
+		if err == nil || !lacksResources(err) || time.Now().After(deadline) {
 			return opened, err
 		}
-		slog.Warn("the system lacks resources for a moment", "err", err)
-		time.Sleep(listenPause)
+		slog.Warn("the system lacks resources, retrying", "err", err)
+		time.Sleep(listenRetryInterval)
 	}
 }
 
-// lacksResources tells whether a system call failed for want of what the system may have again in a moment.
+// lacksResources reports whether a system call failed for lack of a resource that may soon be available again.
 func lacksResources(err error) bool {
 	for _, transient := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, transient) {
@@ -76,40 +76,40 @@
 	return false
 }
 
-// acceptTime is how long an accept may block, where others have made the socket so.
-const acceptTime = 100 * time.Millisecond
+// maxAcceptBlock is how long an accept call may block on a socket that another process has made blocking.
+const maxAcceptBlock = 100 * time.Millisecond
 
-// inherited gives the listener that the platform holds and this process was started with.
-func inherited(number string) (net.Listener, error) {
-	bad := func(why string) error { return fmt.Errorf("RELAY_SOCKET_FD %q %s", number, why) }
+// inheritedListener returns the listener of the platform's socket, whose descriptor this process inherited.
+func inheritedListener(number string) (net.Listener, error) {
+	socketError := func(why string) error { return fmt.Errorf("RELAY_SOCKET_FD %q %s", number, why) }
 	fd, err := strconv.ParseUint(number, 10, 16)
 	if err != nil {
-		return nil, bad("is no number of a descriptor")
+		return nil, socketError("is no number of a descriptor")
 	}
 	if on, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
-		return nil, bad("is no listening socket")
+		return nil, socketError("is no listening socket")
 	}
-	// Who holds the socket too may make it blocking again at any time, as some do to pass it on; an accept that finds
-	// nothing then, since the other process took it, must not keep this one from ending.
-	atMost := syscall.NsecToTimeval(int64(acceptTime))
-	if err := syscall.SetsockoptTimeval(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &atMost); err != nil {
-		return nil, bad("can't be used: " + err.Error())
+	// Another process that shares the socket may make it blocking again at any time, for example to pass it on. An accept
+	// call then blocks if the other process took the connection, which must not keep this process from ending.
+	blockLimit := syscall.NsecToTimeval(int64(maxAcceptBlock))
+	if err := syscall.SetsockoptTimeval(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &blockLimit); err != nil {
+		return nil, socketError("can't be used: " + err.Error())
 	}
 	f := os.NewFile(uintptr(fd), "RELAY_SOCKET_FD")
-	defer f.Close() // the listener has its own
+	defer f.Close() // the listener uses a duplicate of the descriptor
 	l, err := net.FileListener(f)
 	if err != nil {
-		return nil, bad("can't be listened on: " + err.Error())
+		return nil, socketError("can't be listened on: " + err.Error())
 	}
 	shared, ok := l.(*net.TCPListener)
 	if !ok {
 		l.Close()
-		return nil, bad("is no TCP socket")
+		return nil, socketError("is no TCP socket")
 	}
 	return front.SharedListener{TCPListener: shared}, nil
 }
 
-// listenAdmin opens the listener for operators, where there is an address for it.
+// listenAdmin opens the listener for operators, or returns nil if no address is configured.
 func listenAdmin(c *config.Config) (net.Listener, error) {
 	if c.Admin == "" {
 		return nil, nil
--- a/cmd/hoptiller/listen_test.go
+++ b/cmd/hoptiller/listen_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A system that lacks what a listener needs has it again in a moment; what is wrong for good ends the program at once, and a lack that
-// lasts does after a while.
+// TestListeningWaitsForResources checks that opening a listener is retried if the system lacks a resource for a moment, fails
+// at once for any other error, and fails in the end if the lack lasts.
 func TestListeningWaitsForResources(t *testing.T) {
 	failure := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("socket", errno)}
@@ -32,7 +32,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			tries := 0
-			_, err := patiently(c.patience, func() (struct{}, error) {
+			_, err := openWithRetries(c.patience, func() (struct{}, error) {
 				if tries++; tries <= c.failures {
 					return struct{}{}, failure(c.errno)
 				}
--- a/cmd/hoptiller/load_test.go
+++ b/cmd/hoptiller/load_test.go
@@ -14,13 +14,13 @@
 	"hoptiller/internal/metrics"
 )
 
-// serveReads has p1 answer whatever it is asked.
-func (w *world) serveReads(value string) {
+// serveReads makes p1 answer every read with the value.
+func (w *environment) serveReads(value string) {
 	go func() {
 		for l := range w.actors["p1"].lines {
 			if part := strings.Fields(l.text); len(part) > 3 {
 				answer := fmt.Sprintf("VA %d %s\r\n%s\r\n", len(value), part[3], value)
-				if len(value) < 1<<16 { // answers come in order; long ones each have a connection, which may block
+				if len(value) < 1<<16 { // short answers are written in order; a long one has its own connection, and the write may block
 					io.WriteString(l.conn, answer)
 				} else {
 					go io.WriteString(l.conn, answer)
@@ -30,21 +30,21 @@
 	}()
 }
 
-// While clients ask all the time, and other callers connect and finish nothing, each call of an operator is answered
-// within a second, and when all have had their answers the figures are what was asked.
-func TestCallsUnderLoad(t *testing.T) {
-	const clients, each, stalled, calls = 32, 150, 40, 25
-	w := start(t, []string{"p1"}, "")
+// TestAdminCallsUnderLoad checks that each operator call is answered within a second while clients send requests all the time and
+// other callers connect and send incomplete calls. After the last answer the metrics must equal the requests.
+func TestAdminCallsUnderLoad(t *testing.T) {
+	const clients, requestsEach, stalled, calls = 32, 150, 40, 25
+	w := startProgram(t, []string{"p1"}, "")
 	w.serveReads("x")
 	for range stalled {
-		fmt.Fprint(dial(t, w.admin), "GET /v1/met")
+		fmt.Fprint(dial(t, w.adminAddr), "GET /v1/met")
 	}
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range clients {
-		all.Go(func() {
+		running.Go(func() {
 			conn := dial(t, w.actors["program"].addr)
 			r := bufio.NewReader(conn)
-			for j := range each {
+			for j := range requestsEach {
 				fmt.Fprintf(conn, "mg k%d v O%d-%d Pc=read,d=9000\r\n", j, i, j)
 				head, _ := r.ReadString('\n')
 				if _, err := r.ReadString('\n'); head != fmt.Sprintf("VA 1 O%d-%d\r\n", i, j) {
@@ -56,7 +56,7 @@
 	}
 	operator := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	readMetrics := func() (s metrics.Snapshot) {
-		r, err := operator.Get("http://" + w.admin + "/v1/metrics")
+		r, err := operator.Get("http://" + w.adminAddr + "/v1/metrics")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,14 +71,14 @@
 			t.Errorf("%+v with %d clients", s, clients)
 		}
 	}
-	all.Wait()
-	for late := time.Now().Add(patience); ; { // the last is counted once it is written
+	running.Wait()
+	for deadline := time.Now().Add(testTimeout); ; { // the last answer is counted after it is written
 		s := readMetrics()
-		if s.Downstream["read"] == (metrics.Downstream{Completed: clients * each}) && s.Pending == 0 && s.Upstream == clients*each {
+		if s.Downstream["read"] == (metrics.Downstream{Completed: clients * requestsEach}) && s.Pending == 0 && s.Upstream == clients*requestsEach {
 			return
 		}
-		if time.Now().After(late) {
-			t.Fatalf("%+v after %d requests", s, clients*each)
+		if time.Now().After(deadline) {
+			t.Fatalf("%+v after %d requests", s, clients*requestsEach)
 		}
 	}
 }
--- a/cmd/hoptiller/memory_test.go
+++ b/cmd/hoptiller/memory_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// peak is the most memory that the program has held, in MB.
-func (w *world) peak(t *testing.T) int {
+// peakMemoryMB returns the peak memory of the program in MB.
+func (w *environment) peakMemoryMB(t *testing.T) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", w.program.Process.Pid))
 	if err != nil {
-		t.Skip("no account of memory here:", err)
+		t.Skip("the system does not report memory:", err)
 	}
 	_, rest, _ := strings.Cut(string(text), "VmHWM:")
 	kb, err := strconv.Atoi(strings.Fields(rest + " x")[0])
@@ -26,12 +26,13 @@
 	return kb >> 10
 }
 
-// Long values are asked for and sent, more at once than the memory holds, by clients of which none reads on, or goes
-// on sending, before all have begun. All come whole, and the memory that the program was given is not exceeded.
+// TestMemoryOfLongValues reads and writes long values, at once more than fit into the memory of the program. No client
+// continues to read or write before all have begun. All values must arrive complete, and the program must stay within its
+// memory.
 func TestMemoryOfLongValues(t *testing.T) {
-	const clients, size, most = 28, 4 << 20, 32
-	w := startWith(t, []string{"p1"}, "", `"memory_mb":192`, `"memory_mb":32`)
-	const row = 4096 // the origin is told by whole lines that a value has come
+	const clients, size, maxMB = 28, 4 << 20, 32
+	w := startProgramWith(t, []string{"p1"}, "", `"memory_mb":192`, `"memory_mb":32`)
+	const row = 4096 // the origin counts complete lines to know that it has received a whole value
 	value := strings.Repeat(strings.Repeat("a", row-1)+"\n", size/row)
 	w.serveReads(value)
 	go func() {
@@ -46,11 +47,11 @@
 			}
 		}
 	}()
-	var begun, all sync.WaitGroup
-	first := make(chan bool) // a long value has been seen: from then on no two calls share a connection
+	var begun, running sync.WaitGroup
+	first := make(chan bool) // closed once the program has received a long value; from then on calls share no connection
 	begun.Add(clients)
 	for i := range clients {
-		all.Go(func() {
+		running.Go(func() {
 			if i > 0 {
 				<-first
 			}
@@ -80,9 +81,9 @@
 			}
 		})
 	}
-	all.Wait()
-	peak := w.peak(t)
-	if t.Logf("%d MB of %d, for %d MB at once", peak, most, clients*size>>20); peak >= most {
+	running.Wait()
+	peak := w.peakMemoryMB(t)
+	if t.Logf("%d MB of %d, for %d MB at once", peak, maxMB, clients*size>>20); peak >= maxMB {
 		t.Fail()
 	}
 }
--- a/cmd/hoptiller/operator.go
+++ b/cmd/hoptiller/operator.go
@@ -17,26 +17,28 @@
 	"hoptiller/internal/plan"
 )
 
-// readWhole reads a file that may be written meanwhile: what it gives was all there at one time.
-func readWhole(name string) ([]byte, error) {
-	return readSteady(func() (fs.File, error) { return os.Open(name) })
+// readConsistent reads a file that may be written at the same time. The content that it returns was the complete file at one
+// moment.
+func readConsistent(name string) ([]byte, error) {
+	return readUntilUnchanged(func() (fs.File, error) { return os.Open(name) })
 }
 
-// readSteady reads until a file was the same before and after.
-func readSteady(open func() (fs.File, error)) ([]byte, error) {
+// readUntilUnchanged reads a file up to three times, until its size and modification time are the same before and after.
+func readUntilUnchanged(open func() (fs.File, error)) ([]byte, error) {
 	for range 3 {
-		text, steady, err := readOnce(open)
-		if err != nil || steady {
+		text, unchanged, err := readOnce(open)
+		if err != nil || unchanged {
 			return text, err
 		}
 	}
-	return nil, errors.New("it is being written")
+	return nil, errors.New("the file changes while it is read")
 }
 
-func readOnce(open func() (fs.File, error)) (text []byte, steady bool, err error) {
+// readOnce reads a file. unchanged reports whether its size and modification time were the same before and after.
+func readOnce(open func() (fs.File, error)) (text []byte, unchanged bool, err error) {
 	f, err := open()
 	if err != nil {
-		return nil, false, errors.Unwrap(err) // the finding says which file
+		return nil, false, errors.Unwrap(err) // without the file name, which the finding states
 	}
 	defer f.Close()
 	before, err := f.Stat()
@@ -53,13 +55,14 @@
 	return text, err == nil && after.ModTime().Equal(before.ModTime()) && after.Size() == before.Size(), nil
 }
 
-// loadPlan checks a file for a command; what is wrong goes to standard error.
-func (p *platform) loadPlan(name string) (*plan.Plan, error) {
+// loadPlan loads an operator's file for a command. It prints what is wrong with the file to standard error and then returns
+// command.ErrFinding.
+func (p *platformFlags) loadPlan(name string) (*plan.Plan, error) {
 	c, err := p.load(nil)
 	if err != nil {
-		return nil, fmt.Errorf("files are checked against the platform's configuration: %w", err)
+		return nil, fmt.Errorf("the platform's configuration, which files are checked against: %w", err)
 	}
-	loaded, report := plan.Load(name, readWhole, facts(c))
+	loaded, report := plan.Load(name, readConsistent, planPlatform(c))
 	if loaded == nil {
 		fmt.Fprint(os.Stderr, report)
 		return nil, command.ErrFinding
@@ -67,37 +70,41 @@
 	return loaded, nil
 }
 
+// checkCmd checks operator's files.
 type checkCmd struct {
-	platform
+	platformFlags
 	Files []string `arg:"" help:"Operator's files."`
 }
 
+// Run checks all files and prints a line for each correct one.
 func (c *checkCmd) Run() error {
-	var all error
+	var result error
 	for _, name := range c.Files {
 		p, err := c.loadPlan(name)
 		if err != nil && !errors.Is(err, command.ErrFinding) {
 			return err
 		}
 		if err != nil {
-			all = err
+			result = err
 			continue
 		}
 		fmt.Printf("%s: %d routes, %d pools, %d policies\n", name, len(p.Routes), len(p.Pools), len(p.Policies))
 	}
-	return all
+	return result
 }
 
+// fmtCmd formats operator's files.
 type fmtCmd struct {
 	Files []string `arg:"" help:"Operator's files."`
-	Write bool     `short:"w" help:"Write each file back instead of to standard output."`
-	Diff  bool     `short:"d" help:"Tell which lines would change; exit code 3 if any would."`
+	Write bool     `short:"w" help:"Rewrite the files in place instead of printing them."`
+	Diff  bool     `short:"d" help:"Show the lines that would change; exit code 3 if there are any."`
 }
 
+// Run formats all files. A file that has errors is not changed, and the error is command.ErrFinding.
 func (c *fmtCmd) Run() error {
-	var found error
+	var result error
 	for _, name := range c.Files {
-		text, err := readWhole(name)
+		text, err := readConsistent(name)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -106,30 +113,30 @@
 			for _, x := range findings {
 				fmt.Fprintln(os.Stderr, x)
 			}
-			found = command.ErrFinding // and the file is left as it is
+			result = command.ErrFinding // the file stays unchanged
 			continue
 		}
-		out := f.Format()
+		formatted := f.Format()
 		switch {
 		case c.Diff:
-			if lines := changed(string(text), string(out)); len(lines) > 0 {
+			if lines := changedLines(string(text), string(formatted)); len(lines) > 0 {
 				fmt.Printf("%s:\n%s\n", name, strings.Join(lines, "\n"))
-				found = command.ErrFinding
+				result = command.ErrFinding
 			}
 		case !c.Write:
-			os.Stdout.Write(out)
+			os.Stdout.Write(formatted)
 		}
-		if c.Write && !bytes.Equal(text, out) {
-			if err := replace(name, out); err != nil {
+		if c.Write && !bytes.Equal(text, formatted) {
+			if err := replaceFile(name, formatted); err != nil {
 				return err
 			}
 		}
 	}
-	return found
+	return result
 }
 
-// replace puts a file in the place of another, which is there whole until then.
-func replace(name string, text []byte) error {
+// replaceFile replaces the content of a file atomically and keeps its mode.
+func replaceFile(name string, text []byte) error {
 	info, err := os.Stat(name)
 	if err != nil {
 		return err
@@ -147,8 +154,9 @@
 	return os.Rename(f.Name(), name)
 }
 
-// changed gives the lines between the first and the last that differ, the old ones before the new ones.
-func changed(before, after string) []string {
+// changedLines returns the lines from the first to the last difference of two texts: the old ones with "- ", then the new ones
+// with "+ ".
+func changedLines(before, after string) []string {
 	a, b := strings.Split(before, "\n"), strings.Split(after, "\n")
 	for len(a) > 0 && len(b) > 0 && a[0] == b[0] {
 		a, b = a[1:], b[1:]
@@ -166,12 +174,14 @@
 	return lines
 }
 
+// diffCmd compares the effects of two operator's files.
 type diffCmd struct {
-	platform
+	platformFlags
 	Before string `arg:"" help:"An operator's file."`
-	After  string `arg:"" help:"Another one."`
+	After  string `arg:"" help:"Another operator's file."`
 }
 
+// Run prints the changes. The error is command.ErrFinding if there are any.
 func (c *diffCmd) Run() error {
 	before, err := c.loadPlan(c.Before)
 	if err != nil {
@@ -191,15 +201,17 @@
 	return nil
 }
 
+// explainCmd shows what an operator's file does with a request.
 type explainCmd struct {
-	platform
+	platformFlags
 	File   string `arg:"" help:"An operator's file."`
 	Class  string `required:"" help:"Class of the request."`
-	Key    string `help:"Its key."`
-	Tenant string `help:"Its tenant, as the customer in its facts."`
-	Client string `help:"Address of its client."`
+	Key    string `help:"Key of the request."`
+	Tenant string `help:"Tenant of the request, which is the customer in its facts."`
+	Client string `help:"Address of the client."`
 }
 
+// Run prints the route of the request, its settings and the reasons for the choice.
 func (c *explainCmd) Run() error {
 	p, err := c.loadPlan(c.File)
 	if err != nil {
@@ -215,9 +227,9 @@
 			return err
 		}
 	}
-	e, fields, why := p.Explain(class, c.Key, c.Tenant, client)
-	if e.Route != nil {
-		fmt.Println("route", e.Route.Name)
+	explanation, fields, reasons := p.Explain(class, c.Key, c.Tenant, client)
+	if explanation.Route != nil {
+		fmt.Println("route", explanation.Route.Name)
 	} else {
 		fmt.Println("no route")
 	}
@@ -225,7 +237,7 @@
 		fmt.Printf("    %s: %s\n", f.Name, f.Value)
 	}
 	fmt.Println("because")
-	for _, w := range why {
+	for _, w := range reasons {
 		fmt.Println("   ", w)
 	}
 	return nil
--- a/cmd/hoptiller/operator_test.go
+++ b/cmd/hoptiller/operator_test.go
@@ -11,7 +11,7 @@
 	"testing/fstest"
 )
 
-// Each command by its exit code and its words.
+// TestCommands runs each command and checks its exit code and parts of its output.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	put := func(name, text string) string {
@@ -28,7 +28,7 @@
 	for _, c := range []struct {
 		args string
 		code int
-		says []string
+		want []string
 	}{
 		{"check " + good, 0, []string{"1 routes, 0 pools, 1 policies"}},
 		{"check " + bad + " " + good, 3, []string{"bad.hop:2:8: there is no class \"reed\" (class)", "\tclass reed\n", "^~~~\n", "accepted: read, book, cancel", "bad.hop:5:7: there is no pool", "1 routes"}},
@@ -54,32 +54,32 @@
 		{"serve --file " + bad, 1, []string{"bad.hop:2:8", "bad.hop:5:7", "the operator's file can't be used"}},
 		{"serve --log-level loud", 1, []string{"log level"}},
 	} {
-		cmd := exec.Command(binary, strings.Fields(c.args)...)
+		cmd := exec.Command(programPath, strings.Fields(c.args)...)
 		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+config)
 		out, _ := cmd.CombinedOutput()
 		if code := cmd.ProcessState.ExitCode(); code != c.code {
 			t.Errorf("%s: exit code %d, not %d: %s", c.args, code, c.code, out)
 		}
-		for _, s := range c.says {
+		for _, s := range c.want {
 			if !strings.Contains(string(out), s) {
 				t.Errorf("%s: no %q in:\n%s", c.args, s, out)
 			}
 		}
 	}
 	if info, err := os.Stat(ugly); err != nil || info.Mode().Perm() != 0o640 {
-		t.Errorf("a file that was written has another mode: %v", info.Mode())
+		t.Errorf("a rewritten file has another mode: %v", info.Mode())
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, ".hoptiller-*")); len(left) > 0 {
-		t.Errorf("%v is left behind", left)
+		t.Errorf("temporary files were not removed: %v", left)
 	}
-	cmd := exec.Command(binary, "check", good)
+	cmd := exec.Command(programPath, "check", good)
 	cmd.Env = []string{}
 	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), "RELAY_CONFIG is not set") {
 		t.Errorf("without a configuration: %s", out)
 	}
 }
 
-// The file that is shipped is good, and in the one form.
+// TestShippedFile checks that the operator's file in deploy has no errors and is formatted.
 func TestShippedFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/prairie.hop")
 	if err != nil {
@@ -88,20 +88,21 @@
 	booking := strings.Replace(settings, `"name":"read"`, `"name":"slot-view"`, 1)
 	config := filepath.Join(t.TempDir(), "config.json")
 	os.WriteFile(config, []byte(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":`+booking+`}`), 0o600)
-	cmd := exec.Command(binary, "check", "--config", config, "../../deploy/prairie.hop")
+	cmd := exec.Command(programPath, "check", "--config", config, "../../deploy/prairie.hop")
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Errorf("%s", out)
 	}
-	out, err := exec.Command(binary, "fmt", "../../deploy/prairie.hop").Output()
+	out, err := exec.Command(programPath, "fmt", "../../deploy/prairie.hop").Output()
 	if err != nil || string(out) != string(text) {
 		t.Errorf("%v\n%s", err, out)
 	}
 }
 
-// A file that is no file, or is not there, is told; one that is replaced under the hand of the reader is read whole.
-func TestReadWhole(t *testing.T) {
+// TestReadConsistent checks that reading a file that does not exist fails, and that a file which is replaced during reads is
+// always read completely, in its old or its new version.
+func TestReadConsistent(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.hop")
-	if _, err := readWhole(path); !errors.Is(err, os.ErrNotExist) {
+	if _, err := readConsistent(path); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
 	a, b := strings.Repeat("a b\n", 50_000), strings.Repeat("c d\n", 40_000)
@@ -110,8 +111,8 @@
 	go func() {
 		defer close(done)
 		for range 200 {
-			if replace(path, []byte(b)) != nil || replace(path, []byte(a)) != nil {
-				t.Error("not replaced")
+			if replaceFile(path, []byte(b)) != nil || replaceFile(path, []byte(a)) != nil {
+				t.Error("the file could not be replaced")
 			}
 		}
 	}()
@@ -121,35 +122,36 @@
 			reading = false
 		default:
 		}
-		if text, err := readWhole(path); err != nil || string(text) != a && string(text) != b {
+		if text, err := readConsistent(path); err != nil || string(text) != a && string(text) != b {
 			t.Fatalf("%v, %d bytes", err, len(text))
 		}
 	}
 }
 
-// growing is a file that another one writes to, so many times while it is read.
-type growing struct {
+// changingFile simulates a file that is written during remainingWrites more reads: the second Stat then returns another size.
+type changingFile struct {
 	fs.File
-	writes *int
-	stats  int
+	remainingWrites *int
+	stats           int
 }
 
-func (g *growing) Stat() (fs.FileInfo, error) {
-	if g.stats++; g.stats == 2 && *g.writes > 0 {
-		*g.writes--
+func (g *changingFile) Stat() (fs.FileInfo, error) {
+	if g.stats++; g.stats == 2 && *g.remainingWrites > 0 {
+		*g.remainingWrites--
 		return fs.Stat(fstest.MapFS{"x": {Data: make([]byte, 99)}}, "x")
 	}
 	return g.File.Stat()
 }
 
-// A file that is written in place while it is read is read again, and given up if that goes on.
-func TestReadSteady(t *testing.T) {
+// TestReadUntilUnchanged checks that a file that is written while it is read is read again, and that reading fails if the file
+// changes each time.
+func TestReadUntilUnchanged(t *testing.T) {
 	dir := fstest.MapFS{"x": {Data: []byte("a b\n"), Mode: 0o600}}
 	for writes, want := range map[int]string{0: "a b\n", 2: "a b\n", 3: ""} {
 		left := writes
-		text, err := readSteady(func() (fs.File, error) {
+		text, err := readUntilUnchanged(func() (fs.File, error) {
 			f, err := dir.Open("x")
-			return &growing{File: f, writes: &left}, err
+			return &changingFile{File: f, remainingWrites: &left}, err
 		})
 		if string(text) != want || (err == nil) != (want != "") {
 			t.Errorf("written %d times: %q, %v", writes, text, err)
--- a/cmd/hoptiller/crossing_start_test.go
+++ b/cmd/hoptiller/outage_start_test.go
@@ -12,14 +12,14 @@
 	"hoptiller/internal/testprog"
 )
 
-// readyIn is in what time a program that was started has to serve.
-const readyIn = 10 * time.Second
+// maxStartTime is the maximum time from the start of the program until it serves clients.
+const maxStartTime = 10 * time.Second
 
-// Seven programs start at once while discovery is down, says nothing, has too many callers or can't be reached, and the origin has
-// stopped. Each serves in time.
-func TestReadyWhateverIsDown(t *testing.T) {
+// TestReadyDespiteOutages starts seven programs at once while discovery is down, silent, overloaded or unreachable and the
+// origin is down. Each program must serve clients within maxStartTime.
+func TestReadyDespiteOutages(t *testing.T) {
 	t.Parallel()
-	closed := func() string { // an address where nobody listens
+	closed := func() string { // an address without a listener
 		l := testprog.Listen(t)
 		l.Close()
 		return l.Addr().String()
@@ -34,8 +34,8 @@
 		})
 		return l.Addr().String()
 	}
-	late, _ := testprog.Late(t)
-	for name, discovery := range map[string]string{"down": closed(), "silent": answering(""), "unreachable": late,
+	unconnected, _ := testprog.Late(t)
+	for name, discovery := range map[string]string{"down": closed(), "silent": answering(""), "unreachable": unconnected,
 		"too many callers": answering("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -50,10 +50,10 @@
 			for i := range 7 {
 				t.Run(fmt.Sprint(i), func(t *testing.T) {
 					t.Parallel()
-					_, _, addrs := launch(t, []string{"RELAY_CONFIG=" + path})
+					_, _, addrs := launchProgram(t, []string{"RELAY_CONFIG=" + path})
 					conn := dial(t, addrs[0])
 					fmt.Fprint(conn, "mn\r\n")
-					if line, err := bufio.NewReader(conn).ReadString('\n'); line != "MN\r\n" || time.Since(began) > readyIn {
+					if line, err := bufio.NewReader(conn).ReadString('\n'); line != "MN\r\n" || time.Since(began) > maxStartTime {
 						t.Errorf("got %q after %v, %v", line, time.Since(began), err)
 					}
 				})
--- a/cmd/hoptiller/reasons.go
+++ b/cmd/hoptiller/reasons.go
@@ -7,30 +7,32 @@
 	"hoptiller/internal/upstream"
 )
 
-// reasons counts why connections ended and how attempts did.
-type reasons struct {
+// endReasons counts why attempts, client connections and server connections ended.
+type endReasons struct {
 	attempts, clients, servers *metrics.Reasons
 }
 
-func newReasons() *reasons {
-	return &reasons{
+// newEndReasons returns counters for all known reasons.
+func newEndReasons() *endReasons {
+	return &endReasons{
 		attempts: metrics.NewReasons(hoptiller.StatusNames()),
 		clients:  metrics.NewReasons(front.CloseReasons()),
 		servers:  metrics.NewReasons(upstream.CloseReasons()),
 	}
 }
 
-func (r *reasons) attemptEnded(status hoptiller.Status)     { r.attempts.Add(int(status)) }
-func (r *reasons) clientClosed(reason front.CloseReason)    { r.clients.Add(int(reason)) }
-func (r *reasons) serverClosed(reason upstream.CloseReason) { r.servers.Add(int(reason)) }
+func (r *endReasons) attemptEnded(status hoptiller.Status)     { r.attempts.Add(int(status)) }
+func (r *endReasons) clientClosed(reason front.CloseReason)    { r.clients.Add(int(reason)) }
+func (r *endReasons) serverClosed(reason upstream.CloseReason) { r.servers.Add(int(reason)) }
 
-// reasonCounts are the reasons as operators read them.
+// reasonCounts holds the counts as /v1/metrics shows them.
 type reasonCounts struct {
 	Attempts map[string]int64 `json:"attempts_ended,omitempty"`            // by status
 	Clients  map[string]int64 `json:"client_connections_closed,omitempty"` // by reason
 	Servers  map[string]int64 `json:"server_connections_closed,omitempty"` // by reason
 }
 
-func (r *reasons) counts() reasonCounts {
+// counts returns the present counts.
+func (r *endReasons) counts() reasonCounts {
 	return reasonCounts{Attempts: r.attempts.Counts(), Clients: r.clients.Counts(), Servers: r.servers.Counts()}
 }
--- a/cmd/hoptiller/release.go
+++ b/cmd/hoptiller/release.go
@@ -14,24 +14,25 @@
 	"hoptiller/internal/plan"
 )
 
+// releaseCmd groups the commands that drive a release.
 type releaseCmd struct {
-	Plan   releasePlanCmd   `cmd:"" help:"Hold a plan against the fleet, and tell in which waves it would go; exit code 3 if it can't be kept."`
-	Shows  releaseShowsCmd  `cmd:"" help:"Tell what a router of this program and a configuration would show in the view."`
-	Start  releaseStartCmd  `cmd:"" help:"Begin a release, and see it through."`
-	Status releaseStatusCmd `cmd:"" help:"Tell how a release stands."`
-	Halt   releaseHaltCmd   `cmd:"" help:"Have a release halt, from any machine, and free the fleet of it."`
-	Resume releaseResumeCmd `cmd:"" help:"Go on with a release that has halted, or whose driver is gone."`
-	Back   releaseBackCmd   `cmd:"" help:"Bring back what a release has changed, in reverse order."`
+	Plan   releasePlanCmd   `cmd:"" help:"Check a plan against the fleet, and show its waves; exit code 3 if the check fails."`
+	Shows  releaseShowsCmd  `cmd:"" help:"Show the identifiers of program and settings that a router announces in the fleet view."`
+	Start  releaseStartCmd  `cmd:"" help:"Start a release and drive it to its end."`
+	Status releaseStatusCmd `cmd:"" help:"Show the status of a release."`
+	Halt   releaseHaltCmd   `cmd:"" help:"Halt a release, from any machine, and remove its lease from the fleet."`
+	Resume releaseResumeCmd `cmd:"" help:"Resume a release that has halted or whose driver has ended."`
+	Back   releaseBackCmd   `cmd:"" help:"Roll back what a release has changed, in reverse order."`
 }
 
-// planFile is a release's plan.
+// planFile is the argument that names the plan of a release.
 type planFile struct {
 	File string `arg:"" help:"The release's plan."`
 }
 
-// load reads the plan; what is wrong goes to standard error.
+// load reads the plan. It prints what is wrong with it to standard error and then returns command.ErrFinding.
 func (f *planFile) load() (*plan.Release, error) {
-	p, report := plan.LoadRelease(f.File, readWhole)
+	p, report := plan.LoadRelease(f.File, readConsistent)
 	if p == nil {
 		fmt.Fprint(os.Stderr, report)
 		return nil, command.ErrFinding
@@ -39,8 +40,9 @@
 	return p, nil
 }
 
-// examined is a plan that the fleet can keep.
-func (f *planFile) examined(ctx context.Context) (*plan.Release, [][]int, error) {
+// loadFeasible reads the plan, checks it against the fleet and returns it with its waves of router numbers. It prints what speaks
+// against the plan to standard error and then returns command.ErrFinding.
+func (f *planFile) loadFeasible(ctx context.Context) (*plan.Release, [][]int, error) {
 	p, err := f.load()
 	if err != nil {
 		return nil, nil, err
@@ -53,16 +55,19 @@
 	return p, waves, nil
 }
 
-func interrupted() (context.Context, context.CancelFunc) {
+// interruptContext returns a context that ends at an interrupt or SIGTERM.
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
+// releasePlanCmd checks a plan against the fleet.
 type releasePlanCmd struct{ planFile }
 
+// Run prints the waves of the plan.
 func (c *releasePlanCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
-	p, waves, err := c.examined(ctx)
+	p, waves, err := c.loadFeasible(ctx)
 	if err != nil {
 		return err
 	}
@@ -77,49 +82,59 @@
 	return nil
 }
 
-type releaseShowsCmd struct{ platform }
+// releaseShowsCmd prints the identifiers by which the fleet view tells programs and settings apart.
+type releaseShowsCmd struct{ platformFlags }
 
+// Run prints the identifiers in hexadecimal.
 func (c *releaseShowsCmd) Run() error {
 	conf, err := c.load(nil)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Printf("program %08x\nsettings %08x\n", build(), conf.Digest)
+	_, err = fmt.Printf("program %08x\nsettings %08x\n", programID(), conf.Digest)
 	return err
 }
 
+// releaseStartCmd starts a release.
 type releaseStartCmd struct{ planFile }
 
+// Run checks the plan against the fleet and drives the release.
 func (c *releaseStartCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
-	p, _, err := c.examined(ctx)
+	p, _, err := c.loadFeasible(ctx)
 	if err != nil {
 		return err
 	}
-	return driven(ctx, p, rollout.Start)
+	return drive(ctx, p, rollout.Start)
 }
 
+// releaseResumeCmd resumes a release.
 type releaseResumeCmd struct{ planFile }
 
-func (c *releaseResumeCmd) Run() error { return c.goOn(rollout.Resume) }
+// Run resumes the release and drives it to its end.
+func (c *releaseResumeCmd) Run() error { return c.continueRelease(rollout.Resume) }
 
+// releaseBackCmd rolls a release back.
 type releaseBackCmd struct{ planFile }
 
-func (c *releaseBackCmd) Run() error { return c.goOn(rollout.Back) }
+// Run drives the rollback to its end.
+func (c *releaseBackCmd) Run() error { return c.continueRelease(rollout.Back) }
 
-// goOn does not hold the plan against the fleet: what is amiss with that is why one goes back.
-func (f *planFile) goOn(mode rollout.Mode) error {
-	ctx, stop := interrupted()
+// continueRelease drives a release that has begun. It does not check the plan against the fleet, since a fault of the fleet may
+// be the reason for a rollback.
+func (f *planFile) continueRelease(mode rollout.Mode) error {
+	ctx, stop := interruptContext()
 	defer stop()
 	p, err := f.load()
 	if err != nil {
 		return err
 	}
-	return driven(ctx, p, mode)
+	return drive(ctx, p, mode)
 }
 
-func driven(ctx context.Context, p *plan.Release, mode rollout.Mode) error {
+// drive drives a release. The error is command.ErrFinding if it halts, and nil if the driver is interrupted.
+func drive(ctx context.Context, p *plan.Release, mode rollout.Mode) error {
 	err := rollout.New(p, os.Stdout).Drive(ctx, mode)
 	switch {
 	case errors.Is(err, rollout.ErrHalted):
@@ -131,10 +146,12 @@
 	return err
 }
 
+// releaseStatusCmd shows the status of a release.
 type releaseStatusCmd struct{ planFile }
 
+// Run prints the status.
 func (c *releaseStatusCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	p, err := c.load()
 	if err != nil {
@@ -143,10 +160,12 @@
 	return rollout.Status(ctx, os.Stdout, p)
 }
 
+// releaseHaltCmd halts a release.
 type releaseHaltCmd struct{ planFile }
 
+// Run ends the release in the fleet, so that its driver halts.
 func (c *releaseHaltCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	p, err := c.load()
 	if err != nil {
--- a/cmd/hoptiller/reload.go
+++ b/cmd/hoptiller/reload.go
@@ -15,64 +15,67 @@
 	"hoptiller/internal/plan"
 )
 
-// reloader reads the configuration and the operator's file again on each SIGHUP. A router under load keeps its
-// clients, providers and all that it has learned. It takes all of both files that can be taken without a restart,
-// or, where anything is wrong with one of them, nothing of either.
+// reloader reads the configuration and the operator's file again on each SIGHUP. The router keeps its clients, its
+// connections and all that it has learned. It applies every change of both files that needs no restart. If anything
+// is wrong with one of the files, it applies neither.
 type reloader struct {
-	serve     *serveCmd
-	config    *config.Config
-	plan      *plan.Plan
-	dir       *discovery.Client
-	admission *middleware.Handler // nil without an operator's file
-	log       *logs.Log
-	fleet     *fleet
+	serve           *serveCmd
+	config          *config.Config
+	plan            *plan.Plan
+	discoveryClient *discovery.Client
+	admission       *middleware.Handler // nil without an operator's file
+	log             *logs.Log
+	fleet           *fleetMember
 }
 
-func (l *reloader) run(ctx context.Context, hup <-chan os.Signal) {
+// run reloads on each signal until ctx ends.
+func (r *reloader) run(ctx context.Context, hup <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
-			l.reload()
+			r.reload()
 		}
 	}
 }
 
-func (l *reloader) reload() {
-	// The environment still names the directory of the start, so here the file goes before it.
-	c, p, err := l.serve.load("")
+// reload reads both files and applies their changes.
+func (r *reloader) reload() {
+	// The environment still names the discovery service of the start, so here the file takes precedence.
+	c, p, err := r.serve.load("")
 	var options logs.Options
 	if err == nil {
-		options, err = l.serve.logging(p)
+		options, err = r.serve.logOptions(p)
 	}
 	var report *plan.Report
 	if errors.As(err, &report) {
-		err = report.Err() // one line
+		err = report.Err() // in one line
 	}
 	if err != nil {
 		slog.Error("reload refused", "err", err, "kept", "all as it was")
 		return
 	}
-	changes := plan.Diff(l.plan, p)
-	if later := restart(changes); later != "" {
-		slog.Warn("reload needs a restart for a part", "part", later)
+	changes := plan.Diff(r.plan, p)
+	if needRestart := restartNeededFor(changes); needRestart != "" {
+		slog.Warn("reload needs a restart for a part", "part", needRestart)
 	}
-	if l.admission != nil {
-		l.admission.SetPlan(p)
+	if r.admission != nil {
+		r.admission.SetPlan(p)
 	}
-	l.plan = p
-	l.fleet.adopt(p.Fleet)
-	l.log.Set(options)
-	if c.Discovery != l.config.Discovery {
-		l.dir.Move(registry(c))
+	r.plan = p
+	r.fleet.setBounds(p.Fleet)
+	r.log.Set(options)
+	if c.Discovery != r.config.Discovery {
+		r.discoveryClient.Move(registry(c))
 	}
-	l.config = c
+	r.config = c
 	slog.Info("reload", "discovery", c.Discovery, "changes", len(changes))
 }
 
-// restart names what of some changes is taken only at the start: what is open then stays as it is.
-func restart(changes []plan.Change) string {
+// restartNeededFor lists the changes that take effect only at a restart, separated by commas. Listeners and limits that are in
+// use stay as they are until then.
+func restartNeededFor(changes []plan.Change) string {
 	var parts []string
 	for _, c := range changes {
 		if strings.HasPrefix(c.Thing, "listener ") {
--- a/cmd/hoptiller/replace_test.go
+++ b/cmd/hoptiller/replace_test.go
@@ -18,7 +18,8 @@
 	"hoptiller/internal/testprog"
 )
 
-// A descriptor or an address that can't be listened on ends the program with one line that names it.
+// TestBadListeners checks that the program ends with a one-line error that names the descriptor or address on which it can't
+// listen.
 func TestBadListeners(t *testing.T) {
 	plain, err := os.Open(os.DevNull)
 	if err != nil {
@@ -30,7 +31,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	w := start(t, []string{"p1"}, "")
+	w := startProgram(t, []string{"p1"}, "")
 	for env, says := range map[string]string{
 		"RELAY_SOCKET_FD=four":             `RELAY_SOCKET_FD "four" is no number`,
 		"RELAY_SOCKET_FD=-1":               `RELAY_SOCKET_FD "-1" is no number`,
@@ -40,20 +41,22 @@
 		"RELAY_ADMIN=192.0.2.1:1":          `admin (RELAY_ADMIN) "192.0.2.1:1" can't be listened on`,
 		"RELAY_ADMIN=nowhere":              `admin (RELAY_ADMIN) "nowhere"`,
 	} {
-		cmd := exec.Command(binary)
-		cmd.Env = []string{"RELAY_CONFIG=" + w.path, env}
+		cmd := exec.Command(programPath)
+		cmd.Env = []string{"RELAY_CONFIG=" + w.configPath, env}
 		cmd.ExtraFiles = []*os.File{plain}
 		out, err := cmd.CombinedOutput()
 		lines := strings.Split(strings.TrimRight(string(out), "\n"), "\n")
 		if cmd.ProcessState.ExitCode() != 1 || !strings.Contains(lines[len(lines)-1], says) {
-			t.Errorf("%s: %v, said %q, want %q", env, err, out, says)
+			t.Errorf("%s: %v, output %q, want %q", env, err, out, says)
 		}
 	}
 }
 
-// second starts the program once more on the socket that all processes share, and tells its operators' address.
-func second(t *testing.T, w *world, socket *os.File) (cmd *exec.Cmd, admin string, exit chan error) {
-	cmd, log, addrs := launch(t, []string{"RELAY_CONFIG=" + w.path, "RELAY_SOCKET_FD=3", "RELAY_ADMIN=127.0.0.1:0"}, socket)
+// startOnSocket starts another process of the program on a listening socket that processes share. It returns its address for
+// operators and a channel with its exit.
+func startOnSocket(t *testing.T, w *environment, socket *os.File) (cmd *exec.Cmd, admin string, exit chan error) {
+	cmd, log, addrs := launchProgram(t,
+		[]string{"RELAY_CONFIG=" + w.configPath, "RELAY_SOCKET_FD=3", "RELAY_ADMIN=127.0.0.1:0"}, socket)
 	exit = make(chan error, 1)
 	go func() {
 		io.Copy(io.Discard, log)
@@ -62,17 +65,18 @@
 	return cmd, addrs[1], exit
 }
 
-// ready waits until a process says yes: once the directory has spoken to it.
-func ready(t *testing.T, w *world, admin string) {
-	list := fmt.Sprintf(`{"version":1,"full":true,"servers":[%s,%s]}`, w.expand("{o active 0}"), w.expand("{p1 active 0}"))
+// awaitReady sends a list to a process as its discovery service and waits until the process reports that it is ready.
+func awaitReady(t *testing.T, w *environment, admin string) {
+	list := fmt.Sprintf(`{"version":1,"full":true,"servers":[%s,%s]}`,
+		w.expandMacros("{o active 0}"), w.expandMacros("{p1 active 0}"))
 	for _, step := range [][2]string{{"wait", "GET /registry/instances?watch=1&after=1 HTTP/1.1"}, {"wait", ""},
 		{"send", "HTTP/1.1 200 OK"}, {"send", "Transfer-Encoding: chunked"}, {"send", ""}, {"chunk", list}} {
-		if err := w.do("d", step[0], step[1]); err != nil {
+		if err := w.runStep("d", step[0], step[1]); err != nil {
 			t.Fatal(step, err)
 		}
 	}
-	operator := http.Client{Timeout: patience}
-	for late := time.Now().Add(patience); time.Now().Before(late); {
+	operator := http.Client{Timeout: testTimeout}
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
 		r, err := operator.Get("http://" + admin + "/v1/readyz")
 		if err != nil {
 			t.Fatal(err)
@@ -81,15 +85,16 @@
 			return
 		}
 	}
-	t.Fatal("never ready")
+	t.Fatal("the process did not become ready")
 }
 
-// askOn asks on ever new connections until stop, and once more: none is refused, and none ends without an answer.
-func askOn(t *testing.T, addr string, stop chan bool) {
-	for on := true; on; {
+// connectUntilStopped sends a command on one new connection after the other until stop is closed, and then on one more. No
+// connection may be refused or end without an answer.
+func connectUntilStopped(t *testing.T, addr string, stop chan bool) {
+	for again := true; again; {
 		select {
 		case <-stop:
-			on = false
+			again = false
 		default:
 		}
 		conn, err := net.Dial("tcp", addr)
@@ -97,7 +102,7 @@
 			t.Error(err)
 			return
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(conn, "mn\r\n")
 		if text, err := bufio.NewReader(conn).ReadString('\n'); text != "MN\r\n" {
 			t.Errorf("a new client is answered %q, %v", text, err)
@@ -106,37 +111,39 @@
 	}
 }
 
-// The process is replaced on a socket that both share, drained or not, while clients go on asking: no connection
-// is refused or ended unanswered, and the old one answers what it has taken and ends well.
+// TestReplace replaces a process, drained or not, by a new one on the same listening socket while clients connect. No
+// connection may be refused or end without an answer, and the old process must answer what it has accepted and end with exit
+// code 0.
 func TestReplace(t *testing.T) {
 	for _, drained := range []bool{false, true} {
 		t.Run(fmt.Sprint("drained=", drained), func(t *testing.T) {
 			t.Parallel()
-			w := start(t, []string{"p1"}, "") // its directory, providers and configuration; the program itself has another socket
-			ready(t, w, w.admin)
+			// Only the discovery service, the cache servers and the configuration of w are used; its process has another socket.
+			w := startProgram(t, []string{"p1"}, "")
+			awaitReady(t, w, w.adminAddr)
 			plain := &net.ListenConfig{}
-			plain.SetMultipathTCP(false) // as platforms open it
-			l, err := plain.Listen(context.Background(), "tcp", "127.0.0.1:0")
+			plain.SetMultipathTCP(false) // platforms open it in this way
+			listener, err := plain.Listen(context.Background(), "tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
-			socket, err := l.(*net.TCPListener).File()
+			defer listener.Close()
+			socket, err := listener.(*net.TCPListener).File()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer socket.Close()
-			old, oldAdmin, oldExit := second(t, w, socket)
-			ready(t, w, oldAdmin)
-			held := dial(t, l.Addr().String()) // by the old one: there is no other yet
-			fmt.Fprint(held, "mg k1 v O01 Pc=read,d=9000\r\n")
-			p := w.actors["p1"]
-			if err := p.expect("mg k1 *", false); err != nil {
+			old, oldAdmin, oldExit := startOnSocket(t, w, socket)
+			awaitReady(t, w, oldAdmin)
+			waiting := dial(t, listener.Addr().String()) // accepted by the old process, since there is no other yet
+			fmt.Fprint(waiting, "mg k1 v O01 Pc=read,d=9000\r\n")
+			cache := w.actors["p1"]
+			if err := cache.expect("mg k1 *", false); err != nil {
 				t.Fatal(err)
 			}
-			socket.Fd()                        // makes it blocking again, for all that share it, and so does who passes it on
-			late := dial(t, l.Addr().String()) // and one that has said half of what it wants
-			fmt.Fprint(late, "m")
+			socket.Fd()                                  // makes the socket blocking again for all processes that share it, as passing it on does
+			partial := dial(t, listener.Addr().String()) // a client that has sent half of a command
+			fmt.Fprint(partial, "m")
 			if drained {
 				r, err := http.Post("http://"+oldAdmin+"/v1/router/drain", "", nil)
 				if err != nil || r.StatusCode != 200 {
@@ -146,29 +153,30 @@
 			}
 			stop := make(chan bool)
 			var clients sync.WaitGroup
-			for range map[bool]int{false: 4}[drained] { // not both times: new clients wake an accept that blocks
-				clients.Go(func() { askOn(t, l.Addr().String(), stop) })
+			// There are no clients in the drained case, since new clients would wake an accept call that blocks.
+			for range map[bool]int{false: 4}[drained] {
+				clients.Go(func() { connectUntilStopped(t, listener.Addr().String(), stop) })
 			}
-			_, newAdmin, _ := second(t, w, socket)
-			ready(t, w, newAdmin)
+			_, newAdmin, _ := startOnSocket(t, w, socket)
+			awaitReady(t, w, newAdmin)
 			old.Process.Signal(syscall.SIGTERM)
-			fmt.Fprint(late, "n\r\n")
+			fmt.Fprint(partial, "n\r\n")
 			want := map[bool]string{false: "MN\r\n", true: "SERVER_ERROR draining\r\n"}[drained]
-			if text, err := bufio.NewReader(late).ReadString('\n'); text != want {
-				t.Errorf("what was half said before is answered %q, %v", text, err)
+			if text, err := bufio.NewReader(partial).ReadString('\n'); text != want {
+				t.Errorf("the command that was half sent before SIGTERM is answered %q, %v", text, err)
 			}
-			fmt.Fprint(p.conn, "VA 1 O01\r\nx\r\n")
-			r := bufio.NewReader(held)
+			fmt.Fprint(cache.conn, "VA 1 O01\r\nx\r\n")
+			r := bufio.NewReader(waiting)
 			head, _ := r.ReadString('\n')
 			if value, err := r.ReadString('\n'); head != "VA 1 O01\r\n" || value != "x\r\n" {
-				t.Errorf("what was taken before is answered %q %q, %v", head, value, err)
+				t.Errorf("the request that the old process had accepted is answered %q %q, %v", head, value, err)
 			}
 			if err := testprog.Await(t, oldExit, "end of the old process"); err != nil {
 				t.Errorf("the old process: %v", err)
 			}
 			close(stop)
 			clients.Wait()
-			askOn(t, l.Addr().String(), stop) // only the new one is left
+			connectUntilStopped(t, listener.Addr().String(), stop) // only the new process is left
 		})
 	}
 }
--- a/cmd/hoptiller/scenario_test.go
+++ b/cmd/hoptiller/scenario_test.go
@@ -27,62 +27,71 @@
 //	send TEXT     writes a line
 //	chunk TEXT    writes a line as a chunk of an HTTP answer
 //	expect TEXT   reads the next line, which must be TEXT; * stands for any characters
-//	wait TEXT     reads on until a line is TEXT
-//	until PATH TEXT   an operator asks a path, each time on another connection, until a line of the answer is TEXT
-//	close         ends the connection
+//	wait TEXT     reads lines until one is TEXT
+//	until PATH TEXT   requests an operators' path, each time on a new connection, until a line of the answer is TEXT
+//	close         closes the connection
 //
-// Actors are clients (c1, c2 ...) and operators' calls (a1, a2 ...), each with one connection of its own; the providers p1 and p2, the origin
-// o and the directories d and d2, which speak on the connection of the line last read; and the program. To it
-// "close" is SIGTERM, "send" puts d2 into its configuration, or else TEXT in its place, and is SIGHUP; "wait"
-// reads its log and "expect" its exit code. The end of a connection reads as <closed>.
-// An answer of several lines is sent as one, with \r\n between them: one that stops halfway is held for spoilt.
-// In TEXT, {a*9} is nine a's and {p1 active 5} the list entry of p1, active, started at 5 ms.
-// A first line "# list p1 p2" names the providers that the program knows when it starts, or "# operator FILE" the
-// operator's file that it is given, in testdata/operator; "operator send FILE" puts another one in its place, and is SIGHUP.
+// The actors are:
+//   - clients (c1, c2 ...) and operators (a1, a2 ...), each with one connection of its own;
+//   - the cache servers p1 and p2, the origin o and the discovery services d and d2, which write to the connection of the line
+//     that they read last;
+//   - the program. "close" sends it SIGTERM. "send d2" writes the address of d2 into its configuration, "send TEXT" replaces
+//     the configuration by TEXT, and both then send SIGHUP. "wait" reads its log, and "expect" compares its exit code;
+//   - the operator. "operator send FILE" replaces the operator's file by FILE in testdata/operator and sends SIGHUP.
+//
+// The end of a connection reads as <closed>. An answer of several lines is sent at once, with \r\n between the lines, since the
+// program takes an answer that stops halfway for corrupt.
+// In TEXT, {a*9} is nine a's and {p1 active 5} is the list entry of p1 in state active, started at 5 ms.
+// A first line "# list p1 p2" names the cache servers that the program knows when it starts. A first line "# operator FILE"
+// names the operator's file in testdata/operator that the program starts with.
 
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for what must happen.
+const testTimeout = 20 * time.Second
 
-type line struct {
+// receivedLine is a line that an actor has received, and the connection that it came on.
+type receivedLine struct {
 	conn net.Conn
 	text string
 }
 
-// actor is one party of a scenario.
+// actor is one participant of a scenario.
 type actor struct {
 	addr  string
-	lines chan line
-	conn  net.Conn // spoken on
+	lines chan receivedLine
+	conn  net.Conn // what the actor sends goes to this connection
 }
 
+// read passes on the lines of a connection until it ends.
 func (a *actor) read(conn net.Conn) {
 	r := bufio.NewReader(conn)
 	for {
 		text, err := r.ReadString('\n')
 		if text != "" {
-			a.lines <- line{conn, strings.TrimRight(text, "\r\n")}
+			a.lines <- receivedLine{conn, strings.TrimRight(text, "\r\n")}
 		}
 		if err != nil {
-			a.lines <- line{conn, "<closed>"}
+			a.lines <- receivedLine{conn, "<closed>"}
 			return
 		}
 	}
 }
 
-// world is the program and all around it.
-type world struct {
-	actors  map[string]*actor
-	program *exec.Cmd
-	exit    chan error
-	path    string // of the configuration
-	text    string // and what it says
-	file    string // the operator's
-	admin   string // the operators' address
+// environment holds the program under test and the actors around it.
+type environment struct {
+	actors       map[string]*actor
+	program      *exec.Cmd
+	exited       chan error
+	configPath   string // of the configuration file
+	configText   string // content of the configuration file
+	operatorFile string // path of the operator's file; empty without one
+	adminAddr    string // address for operators' calls
 }
 
-var binary string // of the program, built once
+var programPath string // of the hoptiller program that TestMain builds
 
-func TestMain(m *testing.M) { testprog.Main(m, ".", &binary) }
+func TestMain(m *testing.M) { testprog.Main(m, ".", &programPath) }
 
+// settings are the settings of all configurations in these tests, unless a test replaces parts of them.
 const settings = `{"balancers":1,"bounds":{"connIdle":60000000,"connectTimeout":250000,"maxRetryAfter":2000000,
 	"mayCancel":true,"mostTries":3,"retryAfter":true,"streamsPerConn":100},"classes":[
 	{"name":"read","effect":"idempotent","onTime":9000000,"deadline":9000000,"worth":1},
@@ -92,20 +101,20 @@
 	"membershipMode":"on_request","period":5000,"fees":{"connection":0.04},"rules":{"askWithin":1000000,"cold":24000000,"coldFrom":0.12,
 	"fall":1500000,"overloadFactor":2.5,"stopSendingWithin":500000}}`
 
-// start starts the program in a world where it knows the named providers.
-func start(t *testing.T, providers []string, operator string) *world {
-	return startWith(t, providers, operator)
+// startProgram starts the program in a new environment. Its configuration lists the named cache servers.
+func startProgram(t *testing.T, providers []string, operator string) *environment {
+	return startProgramWith(t, providers, operator)
 }
 
-// startWith does the same with other texts in the place of parts of the configuration.
-func startWith(t *testing.T, providers []string, operator string, fromTo ...string) *world {
-	w := &world{actors: map[string]*actor{}, exit: make(chan error, 1)}
+// startProgramWith does the same and replaces parts of the configuration: replacements holds pairs of an old and a new text.
+func startProgramWith(t *testing.T, providers []string, operator string, replacements ...string) *environment {
+	w := &environment{actors: map[string]*actor{}, exited: make(chan error, 1)}
 	for _, name := range []string{"p1", "p2", "o", "d", "d2"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		a := &actor{addr: l.Addr().String(), lines: make(chan line, 1000)}
+		a := &actor{addr: l.Addr().String(), lines: make(chan receivedLine, 1000)}
 		w.actors[name] = a
 		t.Cleanup(func() { l.Close() })
 		go func() {
@@ -118,45 +127,45 @@
 			}
 		}()
 	}
-	known := w.expand("{o active 0}")
+	known := w.expandMacros("{o active 0}")
 	for _, p := range providers {
-		known += "," + w.expand("{"+p+" active 0}")
+		known += "," + w.expandMacros("{"+p+" active 0}")
 	}
-	w.path = filepath.Join(t.TempDir(), "config.json")
-	w.text = fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","admin":"127.0.0.1:0","discovery":%q,"seed":"5f","limits":{"memory_mb":192,
+	w.configPath = filepath.Join(t.TempDir(), "config.json")
+	w.configText = fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","admin":"127.0.0.1:0","discovery":%q,"seed":"5f","limits":{"memory_mb":192,
 		"sockets":1024},"known":{"version":1,"full":true,"servers":[%s]},"settings":%s}`,
 		w.actors["d"].addr, known, settings)
-	for i := 0; i < len(fromTo); i += 2 {
-		w.text = strings.Replace(w.text, w.expand(fromTo[i]), fromTo[i+1], 1)
+	for i := 0; i < len(replacements); i += 2 {
+		w.configText = strings.Replace(w.configText, w.expandMacros(replacements[i]), replacements[i+1], 1)
 	}
-	if err := os.WriteFile(w.path, []byte(w.text), 0o600); err != nil {
+	if err := os.WriteFile(w.configPath, []byte(w.configText), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	env := []string{"RELAY_CONFIG=" + w.path, "RELAY_DISCOVERY=" + w.actors["d"].addr}
+	env := []string{"RELAY_CONFIG=" + w.configPath, "RELAY_DISCOVERY=" + w.actors["d"].addr}
 	if operator != "" {
-		w.file = filepath.Join(t.TempDir(), "operator.hop")
-		env = append(env, "HOPTILLER_FILE="+w.file)
-		if err := w.put(operator); err != nil {
+		w.operatorFile = filepath.Join(t.TempDir(), "operator.hop")
+		env = append(env, "HOPTILLER_FILE="+w.operatorFile)
+		if err := w.installOperatorFile(operator); err != nil {
 			t.Fatal(err)
 		}
 	}
-	program, log, addrs := launch(t, env)
+	program, log, addrs := launchProgram(t, env)
 	w.program = program
-	a := &actor{addr: addrs[0], lines: make(chan line, 1000)}
-	w.admin = addrs[1]
+	programActor := &actor{addr: addrs[0], lines: make(chan receivedLine, 1000)}
+	w.adminAddr = addrs[1]
 	go func() {
 		for text, err := log.ReadString('\n'); err == nil; text, err = log.ReadString('\n') {
-			a.lines <- line{text: strings.TrimRight(text, "\n")}
+			programActor.lines <- receivedLine{text: strings.TrimRight(text, "\n")}
 		}
-		w.exit <- w.program.Wait()
+		w.exited <- w.program.Wait()
 	}()
-	w.actors["program"] = a
+	w.actors["program"] = programActor
 	return w
 }
 
-// launch starts the program and reads in its log where it listens: for clients, and for operators.
-func launch(t testing.TB, env []string, files ...*os.File) (cmd *exec.Cmd, log *bufio.Reader, addrs [2]string) {
-	cmd = exec.Command(binary)
+// launchProgram starts the program and reads from its log the addresses where it listens for clients and for operators.
+func launchProgram(t testing.TB, env []string, files ...*os.File) (cmd *exec.Cmd, log *bufio.Reader, addrs [2]string) {
+	cmd = exec.Command(programPath)
 	cmd.Env, cmd.ExtraFiles = append(os.Environ(), env...), files
 	stderr, err := cmd.StderrPipe()
 	if err == nil {
@@ -166,8 +175,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cmd.Process.Kill() })
-	pipe := stderr.(*os.File) // as os/exec has it
-	if err := pipe.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	pipe := stderr.(*os.File) // os/exec returns an *os.File here
+	if err := pipe.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	log = bufio.NewReader(stderr)
@@ -175,32 +184,33 @@
 		text, _ := log.ReadString('\n')
 		var ok bool
 		if addrs[i], ok = logs.Field(text, "addr"); !ok {
-			t.Fatalf("the program begins with %q", text)
+			t.Fatalf("the first log lines of the program name no address: %q", text)
 		}
 	}
 	pipe.SetReadDeadline(time.Time{})
 	return cmd, log, addrs
 }
 
-var macro = regexp.MustCompile(`\{(.)\*(\d+)\}|\{(p1|p2|o) (\w+) (\d+)\}`)
+var macroPattern = regexp.MustCompile(`\{(.)\*(\d+)\}|\{(p1|p2|o) (\w+) (\d+)\}`)
 
-func (w *world) expand(text string) string {
-	return macro.ReplaceAllStringFunc(text, func(m string) string {
-		part := macro.FindStringSubmatch(m)
-		if n, err := strconv.Atoi(part[2]); err == nil {
-			return strings.Repeat(part[1], n)
+// expandMacros replaces the macros of a scenario text.
+func (w *environment) expandMacros(text string) string {
+	return macroPattern.ReplaceAllStringFunc(text, func(m string) string {
+		match := macroPattern.FindStringSubmatch(m)
+		if n, err := strconv.Atoi(match[2]); err == nil {
+			return strings.Repeat(match[1], n)
 		}
-		id, kind := "s-0000000"+strings.TrimPrefix(part[3], "p"), "cache"
-		if part[3] == "o" {
+		id, kind := "s-0000000"+strings.TrimPrefix(match[3], "p"), "cache"
+		if match[3] == "o" {
 			id, kind = "s-0000000f", "origin"
 		}
 		return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"x","kind":%q,"cell":0,"state":%q,"weight":1,"started_ms":%s}`,
-			id, w.actors[part[3]].addr, kind, part[4], part[5])
+			id, w.actors[match[3]].addr, kind, match[4], match[5])
 	})
 }
 
-// actor finds an actor; a client or an operator connects when it is first named.
-func (w *world) actor(name string) (*actor, error) {
+// actor returns the actor of that name. A client or an operator connects when it is first named.
+func (w *environment) actor(name string) (*actor, error) {
 	a := w.actors[name]
 	if a != nil {
 		return a, nil
@@ -210,7 +220,7 @@
 	case 'c':
 		addr = w.actors["program"].addr
 	case 'a':
-		addr = w.admin
+		addr = w.adminAddr
 	default:
 		return nil, errors.New("no such actor")
 	}
@@ -218,44 +228,45 @@
 	if err != nil {
 		return nil, err
 	}
-	a = &actor{lines: make(chan line, 1000), conn: conn}
+	a = &actor{lines: make(chan receivedLine, 1000), conn: conn}
 	w.actors[name] = a
 	go a.read(conn)
 	return a, nil
 }
 
-// dial connects until the test ends. What has not come in twice its patience does not come.
+// dial returns a connection that stays open until the test ends. Reads and writes fail after twice testTimeout.
 func dial(t testing.TB, addr string) net.Conn {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Error(err)
 		return nil
 	}
-	conn.SetDeadline(time.Now().Add(2 * patience))
+	conn.SetDeadline(time.Now().Add(2 * testTimeout))
 	t.Cleanup(func() { conn.Close() })
 	return conn
 }
 
-func (w *world) do(name, verb, text string) error {
+// runStep executes one line of a scenario.
+func (w *environment) runStep(name, verb, text string) error {
 	if name == "operator" {
-		if err := w.put(text); err != nil {
+		if err := w.installOperatorFile(text); err != nil {
 			return err
 		}
 		return w.program.Process.Signal(syscall.SIGHUP)
 	}
 	if verb == "until" {
-		return w.until(text)
+		return w.pollAdmin(text)
 	}
 	a, err := w.actor(name)
 	switch {
 	case err != nil:
 		return err
 	case name == "program" && verb != "wait":
-		return w.onProgram(verb, text)
+		return w.runProgramStep(verb, text)
 	case verb == "expect" || verb == "wait":
 		return a.expect(text, verb == "wait")
 	case a.conn == nil:
-		return errors.New("no connection to speak on")
+		return errors.New("the actor has no connection to write to")
 	case verb == "send":
 		_, err = a.conn.Write([]byte(strings.ReplaceAll(text, `\r\n`, "\r\n") + "\r\n"))
 	case verb == "chunk":
@@ -268,33 +279,34 @@
 	return err
 }
 
+// expect reads lines until one matches want. Without skip the next line must match.
 func (a *actor) expect(want string, skip bool) error {
-	late, last := time.After(patience), ""
+	timeout, lastText := time.After(testTimeout), ""
 	for {
 		select {
-		case <-late:
-			return fmt.Errorf("nothing came after %.300q", last)
+		case <-timeout:
+			return fmt.Errorf("nothing was received after %.300q", lastText)
 		case l := <-a.lines:
 			if l.text != "<closed>" {
-				last = l.text
+				lastText = l.text
 			}
 			switch {
-			case like(want, l.text):
+			case matchesPattern(want, l.text):
 				a.conn = l.conn
 				return nil
-			case !skip && l.text != "<closed>": // other connections may end meanwhile
+			case !skip && l.text != "<closed>": // other connections may end at the same time
 				return fmt.Errorf("got %.200q", l.text)
 			}
 		}
 	}
 }
 
-// until asks the operators' address for a path until a line of the answer is as wanted.
-func (w *world) until(text string) error {
+// pollAdmin requests a path from the operators' address until a line of the answer matches. text is the path and the pattern.
+func (w *environment) pollAdmin(text string) error {
 	path, want, _ := strings.Cut(text, " ")
-	client := http.Client{Timeout: patience}
-	for late := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		r, err := client.Get("http://" + w.admin + path)
+	client := http.Client{Timeout: testTimeout}
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		r, err := client.Get("http://" + w.adminAddr + path)
 		if err != nil {
 			return err
 		}
@@ -304,49 +316,50 @@
 			return err
 		}
 		for l := range strings.Lines(string(body)) {
-			if like(want, strings.TrimRight(l, "\r\n")) {
+			if matchesPattern(want, strings.TrimRight(l, "\r\n")) {
 				return nil
 			}
 		}
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("the last answer was %.900q", body)
 		}
 	}
 }
 
-// like compares a line with a text in which * stands for any characters.
-func like(want, line string) bool {
+// matchesPattern reports whether a line equals a pattern in which * stands for any characters.
+func matchesPattern(want, line string) bool {
 	return regexp.MustCompile("^" + strings.ReplaceAll(regexp.QuoteMeta(want), `\*`, ".*") + "$").MatchString(line)
 }
 
-// put puts a file of testdata in the place of the operator's file.
-func (w *world) put(name string) error {
+// installOperatorFile replaces the operator's file by a file of testdata.
+func (w *environment) installOperatorFile(name string) error {
 	text, err := os.ReadFile(filepath.Join("testdata/operator", name))
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(w.file, []byte(w.expand(string(text))), 0o600)
+	return os.WriteFile(w.operatorFile, []byte(w.expandMacros(string(text))), 0o600)
 }
 
-func (w *world) onProgram(verb, text string) error {
+// runProgramStep executes a scenario line whose actor is the program.
+func (w *environment) runProgramStep(verb, text string) error {
 	switch verb {
 	case "close":
 		return w.program.Process.Signal(syscall.SIGTERM)
 	case "send":
 		if a := w.actors[text]; a != nil {
-			text = strings.Replace(w.text, w.actors["d"].addr, a.addr, 1)
+			text = strings.Replace(w.configText, w.actors["d"].addr, a.addr, 1)
 		}
-		if err := os.WriteFile(w.path, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(w.configPath, []byte(text), 0o600); err != nil {
 			return err
 		}
 		return w.program.Process.Signal(syscall.SIGHUP)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	select {
 	case <-ctx.Done():
 		return errors.New("still running")
-	case <-w.exit:
+	case <-w.exited:
 		if code := strconv.Itoa(w.program.ProcessState.ExitCode()); code != text {
 			return fmt.Errorf("exit code %s", code)
 		}
@@ -354,6 +367,7 @@
 	}
 }
 
+// TestScenarios runs the scenarios in testdata.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -378,26 +392,26 @@
 			if list == "" {
 				list = "p1"
 			}
-			start(t, strings.Fields(list), operator).play(t, file, lines)
+			startProgram(t, strings.Fields(list), operator).runScenario(t, file, lines)
 		})
 	}
 }
 
-// play takes the lines of a scenario in turn.
-func (w *world) play(t *testing.T, name string, lines []string) {
+// runScenario executes the lines of a scenario in order.
+func (w *environment) runScenario(t *testing.T, name string, lines []string) {
 	t.Helper()
 	for i, l := range lines {
 		if l = strings.TrimSpace(l); l == "" || l[0] == '#' {
 			continue
 		}
-		part := append(strings.SplitN(l, " ", 3), "", "")
-		if err := w.do(part[0], part[1], w.expand(part[2])); err != nil {
+		words := append(strings.SplitN(l, " ", 3), "", "")
+		if err := w.runStep(words[0], words[1], w.expandMacros(words[2])); err != nil {
 			t.Fatalf("%s:%d: %s: %v", name, i+1, l, err)
 		}
 	}
 }
 
-// A configuration that can't be used ends the program with one line that says why.
+// TestBadConfiguration checks that the program ends with a one-line error if it can't use its configuration.
 func TestBadConfiguration(t *testing.T) {
 	for text, says := range map[string]string{
 		``:                              "not JSON",
@@ -409,7 +423,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cmd := exec.Command(binary)
+		cmd := exec.Command(programPath)
 		cmd.Env = []string{"RELAY_CONFIG=" + path}
 		out, err := cmd.CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), says) {
--- a/cmd/hoptiller/serve.go
+++ b/cmd/hoptiller/serve.go
@@ -35,47 +35,48 @@
 )
 
 const (
-	sharedBy    = 4                       // calls on a provider connection before another is opened, where these cost something
-	linger      = 700 * time.Millisecond  // for which clients still come after SIGTERM
-	spare       = 300 * time.Millisecond  // between the last answer and SIGKILL
-	replaceTime = 300 * time.Millisecond  // for which clients are served after SIGTERM where another process accepts them
-	closeTime   = 500 * time.Millisecond  // after that, for the rest of a command
-	restTime    = 2100 * time.Millisecond // the same where there is time for a whole command before SIGKILL
-	originRest  = 20 * time.Millisecond   // the origin's answers name no request, and a second one comes some milliseconds late
-	freshTime   = 2 * time.Second         // that a new process waits for a fresh list before it takes clients from the old one
+	callsPerSharedConn = 4                       // calls on a cache connection before another is opened, if connections have a price
+	lingerTime         = 700 * time.Millisecond  // how long new clients are accepted after SIGTERM
+	killMargin         = 300 * time.Millisecond  // between the last answer and SIGKILL
+	handoverKeepTime   = 300 * time.Millisecond  // how long clients are served after SIGTERM where another process accepts new ones
+	commandGrace       = 500 * time.Millisecond  // how long after the keep time a client may still send the rest of a command
+	maxCommandGrace    = 2100 * time.Millisecond // commandGrace where there is time for a complete command before SIGKILL
+	originReuseDelay   = 20 * time.Millisecond   // before a connection is reused: a surplus origin answer names no request and comes some ms late
+	firstListTimeout   = 2 * time.Second         // for which a new process waits for an up-to-date list before it takes over clients
 )
 
+// serveCmd runs the router.
 type serveCmd struct {
-	platform
+	platformFlags
 	Name      string `env:"RELAY_NAME" help:"Name of this router."`
 	Listen    string `env:"RELAY_LISTEN" placeholder:"ADDR" help:"Address for clients."`
-	Discovery string `env:"RELAY_DISCOVERY" placeholder:"ADDR" help:"Address of the directory."`
-	Admin     string `env:"RELAY_ADMIN" placeholder:"ADDR" help:"Address for operators' calls."`
-	SocketFD  string `env:"RELAY_SOCKET_FD" name:"socket-fd" placeholder:"NUMBER" help:"Descriptor of the clients' listening socket, where another process holds it."`
+	Discovery string `env:"RELAY_DISCOVERY" placeholder:"ADDR" help:"Address of the discovery service."`
+	Admin     string `env:"RELAY_ADMIN" placeholder:"ADDR" help:"Address for operators' HTTP calls."`
+	SocketFD  string `env:"RELAY_SOCKET_FD" name:"socket-fd" placeholder:"NUMBER" help:"Descriptor of an inherited listening socket for clients."`
 	File      string `env:"HOPTILLER_FILE" placeholder:"FILE" help:"The operator's file."`
-	LogLevel  string `env:"HOPTILLER_LOG_LEVEL" help:"debug, info, warn or error; goes before the operator's file."`
-	LogFormat string `env:"HOPTILLER_LOG_FORMAT" help:"text or json; goes before the operator's file."`
+	LogLevel  string `env:"HOPTILLER_LOG_LEVEL" help:"debug, info, warn or error; overrides the operator's file."`
+	LogFormat string `env:"HOPTILLER_LOG_FORMAT" help:"text or json; overrides the operator's file."`
 }
 
-// load reads all that the router is told. Whatever is wrong, nothing of it is used.
+// load reads the platform's configuration and the operator's file. If either is wrong it returns an error and neither is used.
 func (s *serveCmd) load(discovery string) (*config.Config, *plan.Plan, error) {
-	c, err := s.platform.load(map[string]string{"RELAY_NAME": s.Name, "RELAY_LISTEN": s.Listen, "RELAY_DISCOVERY": discovery,
+	c, err := s.platformFlags.load(map[string]string{"RELAY_NAME": s.Name, "RELAY_LISTEN": s.Listen, "RELAY_DISCOVERY": discovery,
 		"RELAY_ADMIN": s.Admin, "RELAY_SOCKET_FD": s.SocketFD})
 	if err != nil {
 		return nil, nil, err
 	}
 	if s.File == "" {
-		return c, plan.Empty(facts(c)), nil
+		return c, plan.Empty(planPlatform(c)), nil
 	}
-	p, report := plan.Load(s.File, readWhole, facts(c))
+	p, report := plan.Load(s.File, readConsistent, planPlatform(c))
 	if p == nil {
 		return nil, nil, report
 	}
 	return c, p, nil
 }
 
-// logging are the options of the log: flags and environment go before the file.
-func (s *serveCmd) logging(p *plan.Plan) (logs.Options, error) {
+// logOptions returns the options of the log. Flags and environment take precedence over the operator's file.
+func (s *serveCmd) logOptions(p *plan.Plan) (logs.Options, error) {
 	o := logs.Options{Level: p.Log.Level, Format: p.Log.Format, Rate: p.Log.Rate}
 	if s.LogLevel != "" {
 		o.Level = s.LogLevel
@@ -86,30 +87,30 @@
 	return o, o.Check()
 }
 
-// keep is how long clients are served after SIGTERM on the connections that they have: SIGKILL comes when the
-// longest deadline, counted as 3 s at the most, and linger are over, and till then all must be answered.
-func keep(classes []hoptiller.Class) time.Duration {
+// keepServingTime returns how long clients are served on their open connections after SIGTERM. SIGKILL follows SIGTERM after the
+// longest deadline, counted as 3 s at most, plus lingerTime; all requests must be answered before that.
+func keepServingTime(classes []hoptiller.Class) time.Duration {
 	var aim time.Duration
 	for _, c := range classes {
 		aim = max(aim, c.Aim)
 	}
-	return max(linger, last(classes)-aim)
+	return max(lingerTime, answerTimeLimit(classes)-aim)
 }
 
-// last is how long after SIGTERM all must be answered.
-func last(classes []hoptiller.Class) time.Duration {
+// answerTimeLimit returns how long after SIGTERM all requests must have been answered.
+func answerTimeLimit(classes []hoptiller.Class) time.Duration {
 	var deadline time.Duration
 	for _, c := range classes {
 		deadline = max(deadline, c.Deadline)
 	}
-	return linger + min(deadline, 3*time.Second) - spare
+	return lingerTime + min(deadline, 3*time.Second) - killMargin
 }
 
-// Run serves until SIGTERM.
+// Run serves clients until SIGTERM or an interrupt.
 func (s *serveCmd) Run(hup chan os.Signal) error {
-	// First of all: a SIGTERM that comes before the rest is ready ends the program as well as any other.
-	stop, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer release()
+	// This comes first, so that a SIGTERM during the start also ends the program in the normal way.
+	stopSignal, stopNotify := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stopNotify()
 	c, p, err := s.load(s.Discovery)
 	var report *plan.Report
 	if errors.As(err, &report) {
@@ -119,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	options, err := s.logging(p)
+	options, err := s.logOptions(p)
 	if err != nil {
 		return err
 	}
@@ -127,11 +128,11 @@
 	defer events.Close()
 	log := logs.New(events, options)
 	slog.SetDefault(slog.New(log))
-	listeners, err := listen(c, p)
+	listeners, err := openListeners(c, p)
 	if err != nil {
 		return err
 	}
-	operators, err := listenAdmin(c)
+	operatorListener, err := listenAdmin(c)
 	if err != nil {
 		return err
 	}
@@ -145,91 +146,93 @@
 		slog.Info("fleet assumed", "what", what)
 	}
 	reports := loadreport.New(c.Reports)
-	counts, life := metrics.New(c.Classes), lifecycle.New()
-	reasons := newReasons()
+	counts, phases := metrics.New(c.Classes), lifecycle.New()
+	reasons := newEndReasons()
 	c.Settings.Places = p.Limits.Places
-	shares := divide(c, &p.Limits)
-	if shares.heap > 0 {
-		debug.SetMemoryLimit(int64(shares.heap))
+	limits := divideResources(c, &p.Limits)
+	if limits.heapBytes > 0 {
+		debug.SetMemoryLimit(int64(limits.heapBytes))
 	}
-	var fleet *fleet
-	room := semaphore.NewWeighted(int64(max(shares.long, meta.MaxLong)))
+	var fleet *fleetMember
+	longValueBudget := semaphore.NewWeighted(int64(max(limits.longValueBytes, meta.MaxLong)))
 	providers := upstream.New(upstream.Settings{
-		Share: sharing(c), MostConns: shares.provider, MostTotal: shares.providers, MostCalls: max(1, c.MostCalls),
+		Share: callsPerConn(c), MostConns: limits.connsPerCache, MostTotal: limits.cacheConns, MostCalls: max(1, c.MostCalls),
 		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnTimeout,
 		Kept: connlimit.Kept(c.Settings.Balancers, p.Limits.Places), Places: p.Limits.Places, Called: counts.AttemptSent, Reports: reports,
-		Seen: func(id uint32, up bool) { fleet.saw(id, up) }, Closed: reasons.serverClosed,
+		Seen: func(id uint32, up bool) { fleet.observeCache(id, up) }, Closed: reasons.serverClosed,
 		LookedAgain: counts.LookedAgain,
 	}, upstream.Meta{})
 	origins := upstream.New(upstream.Settings{
-		Share: 1, MostConns: shares.origins, MostCalls: 1, Kept: shares.origins,
+		Share: 1, MostConns: limits.originConns, MostCalls: 1, Kept: limits.originConns,
 		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnTimeout,
-		Room: room, Called: counts.AttemptSent, Rest: originRest, Closed: reasons.serverClosed,
+		Room: longValueBudget, Called: counts.AttemptSent, Rest: originReuseDelay, Closed: reasons.serverClosed,
 		LookedAgain: counts.LookedAgain,
 	}, origin.Protocol{})
-	r := relay.New(c.Settings, c.Seed, providers, origins)
-	r.AttemptEnded = reasons.attemptEnded
-	var server front.Server = r
-	var listener discovery.Listener = r
-	var g *middleware.Handler
+	router := relay.New(c.Settings, c.Seed, providers, origins)
+	router.AttemptEnded = reasons.attemptEnded
+	var server front.Server = router
+	var listener discovery.Listener = router
+	var admission *middleware.Handler
 	if s.File != "" {
-		g = middleware.New(r, r, p, func(limit string) { slog.Info("limit hit", "limit", limit) })
-		server, listener = g, g
+		admission = middleware.New(router, router, p, func(limit string) { slog.Info("limit hit", "limit", limit) })
+		server, listener = admission, admission
 	}
 	caches := drains.New(listener)
-	if fleet = newFleet(c, p.Fleet, counts, life, r, caches); fleet.peers != nil {
+	if fleet = newFleetMember(c, p.Fleet, counts, phases, router, caches); fleet.peers != nil {
 		listener = caches
 	}
 	names := &discovery.Names{Zones: c.Zones, Kinds: c.Kinds, OriginKind: c.Settings.OriginKind}
-	fresh := &freshList{Listener: listener, told: make(chan struct{})}
-	dir := discovery.NewClient(registry(c), names, fresh, c.Known)
-	f := &front.Front{
-		Classes: c.Classes, AnyClass: c.AnyClass, Tenants: c.Tenants, MostConns: shares.clients, MostKept: shares.kept, MostHeld: shares.held,
-		MostOpen: shares.open, Room: room,
-		Linger: linger, Keep: keep(c.Settings.Classes), Rest: closeTime, Last: last(c.Settings.Classes),
-		Life: life, Counts: counts, Server: server, Closed: reasons.clientClosed,
+	firstList := &firstListNotifier{Listener: listener, received: make(chan struct{})}
+	discoveryClient := discovery.NewClient(registry(c), names, firstList, c.Known)
+	clientFront := &front.Front{
+		Classes: c.Classes, AnyClass: c.AnyClass, Tenants: c.Tenants, MostConns: limits.clientConns,
+		MostKept: limits.idleClientConns, MostHeld: limits.busyClientConns,
+		MostOpen: limits.extraInvocations, Room: longValueBudget,
+		Linger: lingerTime, Keep: keepServingTime(c.Settings.Classes), Rest: commandGrace, Last: answerTimeLimit(c.Settings.Classes),
+		Life: phases, Counts: counts, Server: server, Closed: reasons.clientClosed,
 	}
 	if c.SocketFD != "" { // another process accepts from the same socket
-		f.Linger, f.Keep = 0, replaceTime
-		f.Rest = min(restTime, max(closeTime, keep(c.Settings.Classes)-replaceTime))
+		clientFront.Linger, clientFront.Keep = 0, handoverKeepTime
+		clientFront.Rest = min(maxCommandGrace, max(commandGrace, keepServingTime(c.Settings.Classes)-handoverKeepTime))
 	}
 	for _, class := range c.Settings.Classes {
-		f.Deadlines = append(f.Deadlines, class.Deadline)
-		f.Aims = append(f.Aims, class.Aim)
+		clientFront.Deadlines = append(clientFront.Deadlines, class.Deadline)
+		clientFront.Aims = append(clientFront.Aims, class.Aim)
 	}
 
-	fleet.phase = func() view.Phase { return phase(life.Phase(), f.Ready()) }
-	defer context.AfterFunc(stop, func() {
-		life.Tell(lifecycle.Stop)
+	fleet.phase = func() view.Phase { return memberPhase(phases.Phase(), clientFront.Ready()) }
+	defer context.AfterFunc(stopSignal, func() {
+		phases.Tell(lifecycle.Stop)
 		slog.Info("stopping")
 	})()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return r.Run(ctx, dir) })
-	group.Go(func() error { return dir.Run(ctx) })
+	group.Go(func() error { return router.Run(ctx, discoveryClient) })
+	group.Go(func() error { return discoveryClient.Run(ctx) })
 	if fleet.peers != nil {
 		group.Go(func() error { return fleet.peers.Run(ctx) })
 	}
 	group.Go(func() error {
-		l := &reloader{serve: s, config: c, plan: p, dir: dir, admission: g, log: log, fleet: fleet}
-		l.run(ctx, hup)
+		reloads := &reloader{serve: s, config: c, plan: p, discoveryClient: discoveryClient, admission: admission, log: log, fleet: fleet}
+		reloads.run(ctx, hup)
 		return nil
 	})
 	group.Go(func() error {
-		defer cancel()        // the clients are served: all else ends
-		if c.SocketFD != "" { // whom this takes from the other process must not meet a drained cache
+		defer cancel()        // once all clients are served, everything else ends
+		if c.SocketFD != "" { // clients that this process takes over must not be sent to a cache that has been drained since
 			select {
-			case <-fresh.told:
-			case <-stop.Done():
-			case <-time.After(freshTime):
+			case <-firstList.received:
+			case <-stopSignal.Done():
+			case <-time.After(firstListTimeout):
 			}
 		}
-		return f.Serve(ctx, listeners...)
+		return clientFront.Serve(ctx, listeners...)
 	})
-	if operators != nil {
-		a := &admin.Server{Places: shares.operators, Calls: calls(life, f, counts, reasons, reports, r, fleet.peers)}
-		group.Go(func() error { return a.Serve(ctx, operators) })
+	if operatorListener != nil {
+		a := &admin.Server{Places: limits.operatorConns,
+			Calls: adminCalls(phases, clientFront, counts, reasons, reports, router, fleet.peers)}
+		group.Go(func() error { return a.Serve(ctx, operatorListener) })
 	}
 	err = group.Wait()
 	providers.Close()
@@ -237,6 +240,7 @@
 	return err
 }
 
+// registry returns the discovery service that the configuration names.
 func registry(c *config.Config) *discovery.Registry {
 	return &discovery.Registry{Addr: c.Discovery, Times: discovery.PlatformTimes}
 }
--- a/cmd/hoptiller/crossing_lists_test.go
+++ b/cmd/hoptiller/server_list_test.go
@@ -12,17 +12,17 @@
 	"hoptiller/internal/testprog"
 )
 
-// play plays the lines of a scenario in this program's world, whatever stands in the place of a part of its configuration.
-func play(t *testing.T, from, to, scenario string) {
+// runScenarioWith starts the program with one part of its configuration replaced and runs a scenario.
+func runScenarioWith(t *testing.T, from, to, scenario string) {
 	t.Helper()
-	startWith(t, []string{"p1"}, "", from, to).play(t, t.Name(), strings.Split(scenario, "\n"))
+	startProgramWith(t, []string{"p1"}, "", from, to).runScenario(t, t.Name(), strings.Split(scenario, "\n"))
 }
 
-// Where the settings say that lists are pushed, they come on a watch all the same: without one the program would never
-// hear of a drain.
+// TestPushedListIsWatched checks that the program opens a watch even if the settings say that lists are pushed. Without a watch
+// it would never learn that a server is draining.
 func TestPushedListIsWatched(t *testing.T) {
 	t.Parallel()
-	play(t, `"membershipMode":"on_request"`, `"membershipMode":"pushed"`, `
+	runScenarioWith(t, `"membershipMode":"on_request"`, `"membershipMode":"pushed"`, `
 		d expect GET /registry/instances?watch=1&after=1 HTTP/1.1
 		d wait
 		c1 send mg k1 v O01 Pc=read,d=9000
@@ -44,12 +44,12 @@
 		d wait GET /registry/instances?watch=1&after=4 HTTP/1.1`)
 }
 
-// toldIn is in what time a change has to be known that discovery has and could be asked for.
-const toldIn = 6 * time.Second
+// maxListDelay is the maximum time until the program knows of a change that discovery has and would return to a call.
+const maxListDelay = 6 * time.Second
 
-// However many calls for the list have failed, the longest that comes to nothing and the longest wait before the next leave
-// time for its answer.
-func TestWaitsForTheListAddUp(t *testing.T) {
+// TestListRetriesWithinLimit checks that after any number of failed calls for the list, the longest failing call and the longest
+// wait before the next call leave time for an answer within maxListDelay.
+func TestListRetriesWithinLimit(t *testing.T) {
 	var longest time.Duration
 	for seed := range uint64(500) {
 		now := time.Hour
@@ -64,14 +64,14 @@
 	}
 	call := discovery.PlatformTimes.Longest()
 	t.Logf("longest call %v, longest wait %v", call, longest)
-	if call+longest > toldIn-250*time.Millisecond {
-		t.Errorf("%v for a call and %v until the next leave no time for its answer in %v", call, longest, toldIn)
+	if call+longest > maxListDelay-250*time.Millisecond {
+		t.Errorf("a call of %v and a wait of %v leave no time for an answer within %v", call, longest, maxListDelay)
 	}
 }
 
-// Crossing: a change comes when the watch that was to tell it has just fallen silent, was never answered, or stopped after its
-// head, and the call after that is refused. It is known in 6 s all the same.
-func TestToldThoughCallsFail(t *testing.T) {
+// TestListArrivesDespiteFailedCalls covers a change of the list that comes when the open watch has just become silent, was never
+// answered, or stopped after its head, and when the next calls are refused. The program must know of the change within 6 s.
+func TestListArrivesDespiteFailedCalls(t *testing.T) {
 	t.Parallel()
 	refuse := `
 		d wait GET /registry/instances?watch=1&after=* HTTP/1.1
@@ -86,14 +86,14 @@
 	for name, fails := range map[string]string{
 		"silent from the start, then refused": head + "\n" + `d chunk {"version":2,"full":false,"servers":[]}` + refuse,
 		"never answered":                      "",
-		"no word after the head":              head,
+		"nothing after the head":              head,
 		"reset, then refused, then refused":   "\nd close" + refuse + refuse,
 		"half a message":                      head + "\n" + `d chunk {"version":2,`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := start(t, []string{"p1"}, "")
-			play := func(text string) { w.play(t, name, strings.Split(text, "\n")) }
+			w := startProgram(t, []string{"p1"}, "")
+			play := func(text string) { w.runScenario(t, name, strings.Split(text, "\n")) }
 			play(`
 				d expect GET /registry/instances?watch=1&after=1 HTTP/1.1
 				d wait
@@ -109,17 +109,17 @@
 				d wait` + head + `
 				d chunk {"version":4,"full":false,"servers":[{p1 leaving 0},{p2 active 0}]}
 				p1 expect <closed>`)
-			if took := time.Since(began); took > toldIn {
-				t.Errorf("told after %v", took)
+			if took := time.Since(began); took > maxListDelay {
+				t.Errorf("the change was known after %v", took)
 			}
 		})
 	}
 }
 
-// An indented list is read whole, whatever its strings hold.
+// TestIndentedList checks that a list in indented JSON is read completely, whatever its strings contain.
 func TestIndentedList(t *testing.T) {
 	t.Parallel()
-	start(t, []string{"p1"}, "").play(t, t.Name(), strings.Split(`
+	startProgram(t, []string{"p1"}, "").runScenario(t, t.Name(), strings.Split(`
 		d expect GET /registry/instances?watch=1&after=1 HTTP/1.1
 		d wait
 		c1 send mg k1 v O01 Pc=read,d=9000
@@ -142,35 +142,36 @@
 		p2 expect mg k1 *`, "\n"))
 }
 
-// Crossing: three reloads at once, which move discovery, move it back, and move it again. Whatever of the first two is seen, the last one
-// holds: each watch that the new service is asked for is answered, since the first may belong to a reload that is over by then.
-func TestTwoReloadsAtOnce(t *testing.T) {
+// TestConcurrentReloads sends three reloads at once: they change the discovery service, change it back, and change it again.
+// The last one must take effect, whichever of the first two are noticed. The test answers every watch at the new service, since
+// the first watch may belong to an earlier reload.
+func TestConcurrentReloads(t *testing.T) {
 	t.Parallel()
-	w := start(t, []string{"p1"}, "")
-	w.play(t, t.Name(), strings.Split(`
+	w := startProgram(t, []string{"p1"}, "")
+	w.runScenario(t, t.Name(), strings.Split(`
 		d expect GET /registry/instances?watch=1&after=1 HTTP/1.1
 		d wait
 		program send d2
 		program send d
 		program send d2
 		d2 wait GET /registry/instances?watch=1&after=0 HTTP/1.1`, "\n"))
-	moved := w.actors["d2"]
+	newDiscovery := w.actors["d2"]
 	answer := func(conn net.Conn) {
-		list := w.expand(`{"version":1,"full":true,"servers":[{p2 active 0},{o active 0}]}`)
+		list := w.expandMacros(`{"version":1,"full":true,"servers":[{p2 active 0},{o active 0}]}`)
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\n\r\n", len(list)+1, list)
 	}
-	answer(moved.conn)
+	answer(newDiscovery.conn)
 	go func() {
-		for l := range moved.lines {
+		for l := range newDiscovery.lines {
 			if strings.HasPrefix(l.text, "GET ") {
 				answer(l.conn)
 			}
 		}
 	}()
-	w.play(t, t.Name(), strings.Split(`
+	w.runScenario(t, t.Name(), strings.Split(`
 		d wait <closed>`, "\n"))
 	asked := 0
-	testprog.Until(t, "the list of the last service holds", func() bool {
+	testprog.Until(t, "the list of the last service is in use", func() bool {
 		asked++
 		fmt.Fprintf(dial(t, w.actors["program"].addr), "mg k1 v O%d Pc=read,d=9000\r\n", asked)
 		return len(w.actors["p2"].lines) > 0
--- a/cmd/hoptiller/crossing_shutdown_test.go
+++ b/cmd/hoptiller/shutdown_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// pipe puts a named pipe in the place of a file. The function that it gives waits until somebody reads it, and then again until
-// it is given what to write.
-func pipe(t *testing.T, path string) (reader func() (write func(text []byte))) {
+// replaceWithPipe replaces a file by a named pipe. The function that it returns waits until a process opens the pipe for
+// reading, and returns a function that writes text to the pipe and closes it.
+func replaceWithPipe(t *testing.T, path string) (reader func() (write func(text []byte))) {
 	t.Helper()
 	os.Remove(path)
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -37,24 +37,25 @@
 				f.Write(text)
 				f.Close()
 			}
-		case <-time.After(patience):
-			t.Fatal("nobody reads the configuration")
+		case <-time.After(testTimeout):
+			t.Fatal("no process reads the configuration")
 			return nil
 		}
 	}
 }
 
-// Crossing: SIGTERM, once or twice, comes while the program still reads its configuration. It ends well.
+// TestStopBeforeReady sends SIGTERM, once or twice, while the program still reads its configuration. Its exit code
+// must be 0.
 func TestStopBeforeReady(t *testing.T) {
 	t.Parallel()
 	for name, times := range map[string]int{"once": 1, "twice": 2} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			path := filepath.Join(t.TempDir(), "config.json")
-			reader := pipe(t, path)
-			ctx, cancel := context.WithTimeout(t.Context(), 2*patience)
+			reader := replaceWithPipe(t, path)
+			ctx, cancel := context.WithTimeout(t.Context(), 2*testTimeout)
 			defer cancel()
-			cmd := exec.CommandContext(ctx, binary)
+			cmd := exec.CommandContext(ctx, programPath)
 			cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path)
 			var log strings.Builder
 			cmd.Stderr = &log
@@ -76,15 +77,16 @@
 	}
 }
 
-// Crossing: SIGTERM comes while SIGHUP is being taken, and again. What is in flight is answered, and the program ends well.
+// TestStopWhileReloading sends SIGTERM twice while the program handles a SIGHUP. The request in flight must be answered, and the
+// program must end with exit code 0.
 func TestStopWhileReloading(t *testing.T) {
 	t.Parallel()
-	w := start(t, []string{"p1"}, "")
-	play := func(text string) { w.play(t, t.Name(), strings.Split(text, "\n")) }
+	w := startProgram(t, []string{"p1"}, "")
+	play := func(text string) { w.runScenario(t, t.Name(), strings.Split(text, "\n")) }
 	play(`
 		c1 send mg k1 v O01 Pc=read,d=9000
 		p1 expect mg k1 *`)
-	reader := pipe(t, w.path)
+	reader := replaceWithPipe(t, w.configPath)
 	if err := w.program.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
@@ -96,17 +98,18 @@
 		p1 send VA 1 O01\r\nx
 		c1 expect VA 1 O01
 		c1 expect x`)
-	write([]byte(w.text))
+	write([]byte(w.configText))
 	play(`
 		c1 expect <closed>
 		program expect 0`)
 }
 
-// Crossings with SIGTERM: a client that has connected and said nothing, one in the middle of a command, one that rests and asks just
-// then, and one that rests until it is ended. Those who ask are answered, and each connection ends behind its last answer.
-func TestStopMeetsClients(t *testing.T) {
+// TestStopWithClientsInEveryState sends SIGTERM while one client has connected and sent nothing, one has sent half a command,
+// one is idle and sends a command just after the signal, and one stays idle. All commands must be answered, and each connection
+// must end after its last answer.
+func TestStopWithClientsInEveryState(t *testing.T) {
 	t.Parallel()
-	w := start(t, []string{"p1"}, "")
+	w := startProgram(t, []string{"p1"}, "")
 	w.serveReads("x")
 	addr := w.actors["program"].addr
 	silent, half, asks, rests := dial(t, addr), dial(t, addr), dial(t, addr), dial(t, addr)
@@ -122,7 +125,7 @@
 		fmt.Fprint(conn, "mn\r\n")
 		read(conn, "MN\r\n")
 	}
-	w.play(t, t.Name(), []string{"program close", "program wait * msg=stopping*"})
+	w.runScenario(t, t.Name(), []string{"program close", "program wait * msg=stopping*"})
 	fmt.Fprint(silent, "mg k1 v O01 Pc=read,d=9000\r\n")
 	fmt.Fprint(half, "ad,d=9000\r\n")
 	fmt.Fprint(asks, "mg k3 v O03 Pc=read,d=9000\r\n")
@@ -131,8 +134,8 @@
 	read(asks, "VA 1 O03\r\nx\r\n")
 	for _, conn := range []net.Conn{silent, half, asks, rests} {
 		if n, err := conn.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-			t.Errorf("behind the last answer: %d bytes, %v", n, err)
+			t.Errorf("after the last answer: %d bytes, %v", n, err)
 		}
 	}
-	w.play(t, t.Name(), []string{"program expect 0"})
+	w.runScenario(t, t.Name(), []string{"program expect 0"})
 }
