--- a/cmd/hoplab/view.go
+++ b/cmd/hoplab/view.go
@@ -16,7 +16,7 @@
 	"hoptiller/internal/lab/plot"
 )
 
-// viewCmd measures or searches the protocol by which routers agree on their fleet view.
+// viewCmd measures the protocol by which routers agree on their fleet view, or searches its orders of events.
 type viewCmd struct {
 	Routers []int         `help:"Numbers of routers in the measured fleets." default:"100,300,1000"`
 	Seeds   int           `help:"Number of runs of each size." default:"3"`
--- a/cmd/hoptiller/fleet_member.go
+++ b/cmd/hoptiller/fleet_member.go
@@ -51,9 +51,9 @@
 	case c.PeerListen == "" || len(c.Peers) < 2:
 		reason = "no peers are told"
 	case operatorFleet.View == "off":
-		reason = "the operator's file says so"
+		reason = "the operator's file turns it off"
 	case c.PeerFee > 0 && operatorFleet.View != "on":
-		reason = "the settings put a price on datagrams, which the view does not earn; fleet { view on } in the operator's file has it on"
+		reason = "the settings put a price on datagrams, which the view does not earn; fleet { view on } turns it on"
 	}
 	if reason == "" {
 		p, err := peers.New(peers.Settings{Self: c.Settings.Self, Listen: c.PeerListen, Addrs: c.Peers, Seed: c.Seed,
--- a/cmd/hoptiller/fleet_member_test.go
+++ b/cmd/hoptiller/fleet_member_test.go
@@ -48,7 +48,8 @@
 		if err != nil || other.Digest != conf.Digest || other.Settings.Self != 1 {
 			t.Errorf("%s: the settings of another router differ: %v", name, err)
 		}
-		if more, err := config.Parse([]byte(strings.Replace(text, `"worth":1`, `"worth":2`, 1))); err != nil || more.Digest == conf.Digest {
+		if more, err := config.Parse([]byte(strings.Replace(text, `"worth":1`, `"worth":2`, 1))); err != nil ||
+			more.Digest == conf.Digest {
 			t.Errorf("%s: other settings have the same digest: %v", name, err)
 		}
 	}
@@ -90,13 +91,16 @@
 		err := c.queryOnce(context.Background(), &out)
 		return out.String(), err
 	}
-	if text, err := ask(&fleetCmd{Addrs: []string{a, serve(nil)}}); err != nil || !strings.Contains(text, "0       alive") || !strings.Contains(text, "1       unknown") {
+	if text, err := ask(&fleetCmd{Addrs: []string{a, serve(nil)}}); err != nil ||
+		!strings.Contains(text, "0       alive") || !strings.Contains(text, "1       unknown") {
 		t.Errorf("%v\n%s", err, text)
 	}
-	if text, err := ask(&fleetCmd{Addrs: []string{a, b}}); !errors.Is(err, command.ErrFinding) || !strings.Contains(text, "differs: router 1: not in the list") {
+	if text, err := ask(&fleetCmd{Addrs: []string{a, b}}); !errors.Is(err, command.ErrFinding) ||
+		!strings.Contains(text, "differs: router 1: not in the list") {
 		t.Errorf("%v\n%s", err, text)
 	}
-	if text, err := ask(&fleetCmd{Addrs: []string{a, b}, JSON: true}); !errors.Is(err, command.ErrFinding) || !json.Valid([]byte(text)) {
+	if text, err := ask(&fleetCmd{Addrs: []string{a, b}, JSON: true}); !errors.Is(err, command.ErrFinding) ||
+		!json.Valid([]byte(text)) {
 		t.Errorf("%v\n%s", err, text)
 	}
 	if _, err := ask(&fleetCmd{Addrs: []string{serve(nil)}}); err == nil || !strings.Contains(err.Error(), "keeps no view") {
--- a/cmd/hoptiller/idle_clients_test.go
+++ b/cmd/hoptiller/idle_clients_test.go
@@ -71,7 +71,8 @@
 		c2 expect VA 1 O02
 		c2 expect y`)
 	for len(w.actors["program"].lines) > 0 {
-		if l := <-w.actors["program"].lines; strings.Contains(l.text, "accept failed") || strings.Contains(l.text, "too many open files") {
+		if l := <-w.actors["program"].lines; strings.Contains(l.text, "accept failed") ||
+			strings.Contains(l.text, "too many open files") {
 			t.Errorf("the program logged %s", l.text)
 		}
 	}
--- a/cmd/hoptiller/load_test.go
+++ b/cmd/hoptiller/load_test.go
@@ -74,7 +74,8 @@
 	running.Wait()
 	for deadline := time.Now().Add(testTimeout); ; { // the last answer is counted after it is written
 		s := readMetrics()
-		if s.Downstream["read"] == (metrics.Downstream{Completed: clients * requestsEach}) && s.Pending == 0 && s.Upstream == clients*requestsEach {
+		if s.Downstream["read"] == (metrics.Downstream{Completed: clients * requestsEach}) &&
+			s.Pending == 0 && s.Upstream == clients*requestsEach {
 			return
 		}
 		if time.Now().After(deadline) {
--- a/cmd/hoptiller/main.go
+++ b/cmd/hoptiller/main.go
@@ -26,7 +26,7 @@
 	Diff       diffCmd       `cmd:"" help:"Show how the effects of two operator's files differ; exit code 3 if they do."`
 	Explain    explainCmd    `cmd:"" help:"Show which route, pool and policy a request gets, and why."`
 	Fleet      fleetCmd      `cmd:"" help:"Show how routers see the fleet, and where their views differ; exit code 3 if they do."`
-	Release    releaseCmd    `cmd:"" help:"Roll a release out by its plan: plan, start, status, halt, resume, back; exit code 3 if it halts."`
+	Release    releaseCmd    `cmd:"" help:"Check, start, watch, halt, resume or roll back a release; exit code 3 if it halts."`
 	Version    versionCmd    `cmd:"" help:"Print the version and the commit that the program was built from."`
 	Completion completionCmd `cmd:"" help:"Write a completion script for a shell."`
 }
--- a/cmd/hoptiller/operator_test.go
+++ b/cmd/hoptiller/operator_test.go
@@ -31,7 +31,8 @@
 		want []string
 	}{
 		{"check " + good, 0, []string{"1 routes, 0 pools, 1 policies"}},
-		{"check " + bad + " " + good, 3, []string{"bad.hop:2:8: there is no class \"reed\" (class)", "\tclass reed\n", "^~~~\n", "accepted: read, book, cancel", "bad.hop:5:7: there is no pool", "1 routes"}},
+		{"check " + bad + " " + good, 3, []string{"bad.hop:2:8: there is no class \"reed\" (class)", "\tclass reed\n",
+			"^~~~\n", "accepted: read, book, cancel", "bad.hop:5:7: there is no pool", "1 routes"}},
 		{"check nothing.hop", 3, []string{"can't be read: no such file"}},
 		{"check " + dir, 3, []string{"no regular file"}},
 		{"fmt " + ugly, 0, []string{"# kept\npolicy p {\n\trate 6/s\n}\n"}},
--- a/cmd/hoptiller/resource_limits_test.go
+++ b/cmd/hoptiller/resource_limits_test.go
@@ -14,7 +14,8 @@
 // that share a socket, and that each part has a share.
 func TestDivideResources(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := &config.Config{Sockets: rapid.IntRange(128, 4096).Draw(t, "sockets"), MemoryMB: rapid.Int64Range(16, 2048).Draw(t, "memory")}
+		c := &config.Config{Sockets: rapid.IntRange(128, 4096).Draw(t, "sockets"),
+			MemoryMB: rapid.Int64Range(16, 2048).Draw(t, "memory")}
 		processes := 1
 		if rapid.Bool().Draw(t, "admin") {
 			c.Admin = "127.0.0.1:1"
--- a/cmd/hoptiller/serve.go
+++ b/cmd/hoptiller/serve.go
@@ -41,8 +41,10 @@
 	handoverKeepTime   = 300 * time.Millisecond  // how long clients are served after SIGTERM where another process accepts new ones
 	commandGrace       = 500 * time.Millisecond  // how long after the keep time a client may still send the rest of a command
 	maxCommandGrace    = 2100 * time.Millisecond // commandGrace where there is time for a complete command before SIGKILL
-	originReuseDelay   = 20 * time.Millisecond   // before a connection is reused: a surplus origin answer names no request and comes some ms late
-	firstListTimeout   = 2 * time.Second         // for which a new process waits for an up-to-date list before it takes over clients
+	// originReuseDelay is how long an origin connection rests before it is reused. An origin answer names no request, and a
+	// surplus one comes some milliseconds late.
+	originReuseDelay = 20 * time.Millisecond
+	firstListTimeout = 2 * time.Second // for which a new process waits for an up-to-date list before it takes over clients
 )
 
 // serveCmd runs the router.
@@ -158,7 +160,8 @@
 	providers := upstream.New(upstream.Settings{
 		Share: callsPerConn(c), MostConns: limits.connsPerCache, MostTotal: limits.cacheConns, MostCalls: max(1, c.MostCalls),
 		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnTimeout,
-		Kept: connlimit.Kept(c.Settings.Balancers, p.Limits.Places), Places: p.Limits.Places, Called: counts.AttemptSent, Reports: reports,
+		Kept: connlimit.Kept(c.Settings.Balancers, p.Limits.Places), Places: p.Limits.Places,
+		Called: counts.AttemptSent, Reports: reports,
 		Seen: func(id uint32, up bool) { fleet.observeCache(id, up) }, Closed: reasons.serverClosed,
 		LookedAgain: counts.LookedAgain,
 	}, upstream.Meta{})
@@ -214,7 +217,8 @@
 		group.Go(func() error { return fleet.peers.Run(ctx) })
 	}
 	group.Go(func() error {
-		reloads := &reloader{serve: s, config: c, plan: p, discoveryClient: discoveryClient, admission: admission, log: log, fleet: fleet}
+		reloads := &reloader{serve: s, config: c, plan: p, discoveryClient: discoveryClient,
+			admission: admission, log: log, fleet: fleet}
 		reloads.run(ctx, hup)
 		return nil
 	})
