--- a/cmd/hoplab/drill.go
+++ b/cmd/hoplab/drill.go
@@ -22,14 +22,14 @@
 
 // drillCmd runs drills from files, or random ones, against real router processes.
 type drillCmd struct {
-	Files   []string `arg:"" optional:"" help:"Drill files." type:"existingfile"`
-	Random  bool     `help:"Generate random drills instead."`
-	Permits bool     `help:"Generate random drills in which all routers request a permit to go out of service."`
-	Seeds   int      `help:"Number of random drills." default:"10"`
-	Seed    uint64   `help:"Seed of the first random drill; for files, replaces the seed that they state."`
-	AtOnce  int      `help:"Number of drills that run at the same time." default:"1"`
+	Files   []string `arg:"" optional:"" help:"Drills." type:"existingfile"`
+	Random  bool     `help:"Draw drills instead."`
+	Permits bool     `help:"Draw drills in which all routers ask to go out."`
+	Seeds   int      `help:"How many are drawn." default:"10"`
+	Seed    uint64   `help:"The first one's seed; of files, in place of their own."`
+	AtOnce  int      `help:"How many are played at once." default:"1"`
 	Router  string   `help:"The router's program." default:"bin/hoptiller" type:"existingfile"`
-	Out     string   `help:"Folder for timelines, plots and random drills that violate a claim." default:"found/drills" type:"path"`
+	Out     string   `help:"Folder for timelines and pictures, and for drawn drills that break a claim." default:"found/drills" type:"path"`
 }
 
 // Run runs all drills and prints their verdicts. The error is command.ErrFinding if a claim is broken.
--- a/cmd/hoplab/lab.go
+++ b/cmd/hoplab/lab.go
@@ -27,13 +27,13 @@
 // runCmd runs an experiment.
 type runCmd struct {
 	File  string `arg:"" help:"Experiment file (TOML)." type:"existingfile"`
-	Out   string `help:"File for the results, as JSON lines; next to the experiment file if not given, - for none." short:"o"`
+	Out   string `help:"File for the results, as JSON lines; beside the experiment file if not stated, - for none." short:"o"`
 	Cores int    `help:"Cores to use; 0 for all." default:"0"`
-	Seeds int    `help:"Number of seeds to run instead of the number in the file." default:"0"`
-	Plots string `help:"Folder for the plots that the file defines, as SVG." type:"path"`
-	Quiet bool   `help:"Print no progress and no table." short:"q"`
+	Seeds int    `help:"Seeds to play instead of the file's." default:"0"`
+	Plots string `help:"Folder for the plots that the file asks for, as SVG." type:"path"`
+	Quiet bool   `help:"No progress and no table." short:"q"`
 
-	Sockets bool   `help:"Run in real time on loopback sockets with the router's program; only policy hoptiller, one run at a time."`
+	Sockets bool   `help:"Play the days in real time on loopback sockets, with the router's program; hoptiller alone, one run after the other."`
 	Router  string `help:"The router's program, for --sockets." default:"bin/hoptiller"`
 }
 
@@ -173,9 +173,9 @@
 type compareCmd struct {
 	Before  string   `arg:"" help:"Results of hoplab run." type:"existingfile"`
 	After   string   `arg:"" help:"Results of a later run." type:"existingfile"`
-	Figures []string `help:"Metrics to compare." default:"score,service,worst,fetches,fetch_peak,calls,tries,waste,broken" short:"f"`
-	Against string   `help:"Policy of BEFORE to compare all policies of AFTER with, instead of each with itself."`
-	Fall    float64  `help:"Exit with 3 if a policy's score has certainly fallen by more than this." default:"0.03"`
+	Figures []string `help:"Figures to compare." default:"score,service,worst,fetches,fetch_peak,calls,tries,waste,broken" short:"f"`
+	Against string   `help:"Policy of BEFORE to hold all of AFTER against, instead of each against itself."`
+	Fall    float64  `help:"Exit with 3 if a policy's score is sure to have fallen by more than this." default:"0.03"`
 }
 
 // Run prints the comparison. The error is command.ErrFinding if a score has fallen by more than the --fall flag allows.
@@ -225,11 +225,11 @@
 // plotCmd plots results.
 type plotCmd struct {
 	Results string `arg:"" help:"Results of hoplab run." type:"existingfile"`
-	X       string `help:"Swept setting on the x axis, with bars if it is no number; \"time\" for one run over time." short:"x"`
-	Y       string `help:"Metric to plot." short:"y" default:"score"`
+	X       string `help:"Figure of the sweep to plot over, as bars where it is no number; \"time\" for the course of one run." short:"x"`
+	Y       string `help:"Figure to plot." short:"y" default:"score"`
 	Out     string `help:"File to write, .svg or .png." short:"o" required:""`
-	Policy  string `help:"Policy whose run is plotted over time." default:"hoptiller"`
-	Nth     int    `name:"run" help:"Number of the run that is plotted over time, from 1." default:"1"`
+	Policy  string `help:"Policy whose course is plotted." default:"hoptiller"`
+	Nth     int    `name:"run" help:"Run of the policy whose course is plotted, from 1." default:"1"`
 }
 
 // Run writes the plot.
@@ -244,8 +244,8 @@
 // tableCmd prints results as a Markdown table.
 type tableCmd struct {
 	Results string `arg:"" help:"Results of hoplab run." type:"existingfile"`
-	X       string `help:"Swept setting; the table has a row for each value." short:"x"`
-	Y       string `help:"Metric in the table." short:"y" default:"score"`
+	X       string `help:"Figure of the sweep, a row for each value." short:"x"`
+	Y       string `help:"Figure in the table." short:"y" default:"score"`
 }
 
 // Run prints the table.
@@ -259,15 +259,15 @@
 
 // huntCmd searches random days for faults of a policy.
 type huntCmd struct {
-	For    time.Duration `help:"How long to search." default:"1m"`
-	Days   int           `help:"Maximum number of days to run." default:"1000000"`
-	Seed   uint64        `help:"Seed of the random days: the same seed gives the same days." default:"1"`
-	Policy string        `help:"Policy under test." default:"hoptiller"`
-	Rivals []string      `help:"Policies that it is compared with." default:"ring,rendezvous"`
-	Margin float64       `help:"Margin by which a rival's score must be higher to count as a finding." default:"0.1"`
+	For    time.Duration `help:"How long to look." default:"1m"`
+	Days   int           `help:"Most days to play." default:"1000000"`
+	Seed   uint64        `help:"Where the days come from: the same seed gives the same days." default:"1"`
+	Policy string        `help:"Policy that is tried." default:"hoptiller"`
+	Rivals []string      `help:"Policies that it is held against." default:"ring,rendezvous"`
+	Margin float64       `help:"By which a rival's score must be higher." default:"0.1"`
 	Cores  int           `help:"Cores to use." default:"4"`
-	Out    string        `help:"Folder for the findings, each written as an experiment file." default:"found" type:"path"`
-	Most   int           `help:"Maximum number of findings to keep of each kind." default:"3"`
+	Out    string        `help:"Folder for the findings, each an experiment file." default:"found" type:"path"`
+	Most   int           `help:"Findings to keep of a kind." default:"3"`
 }
 
 // Run writes an experiment file for each finding and prints it. The error is command.ErrFinding if there are any findings.
@@ -328,11 +328,11 @@
 // storyCmd prints the trace of one request.
 type storyCmd struct {
 	File    string            `arg:"" help:"Experiment file." type:"existingfile"`
-	Policy  string            `help:"Policy that makes the decisions." default:"hoptiller"`
-	Seed    uint64            `help:"Seed of the day; the one in the file if not given." default:"0"`
+	Policy  string            `help:"Policy that decides." default:"hoptiller"`
+	Seed    uint64            `help:"Seed of the day; the file's if not stated." default:"0"`
 	Router  int               `help:"Router that took the request, from 0." required:""`
 	Request uint32            `help:"Number of the request at its router." required:""`
-	Set     map[string]string `help:"Settings of the day to change, as in a sweep."`
+	Set     map[string]string `help:"Figures of the day to set, as in a sweep."`
 }
 
 // Run repeats the run and prints the trace of the request and the invariants that it violated.
--- a/cmd/hoplab/main.go
+++ b/cmd/hoplab/main.go
@@ -16,23 +16,23 @@
 
 // cli defines the commands of hoplab.
 type cli struct {
-	Demo    demoCmd    `cmd:"" help:"Run a fleet, its routers and load together on loopback sockets, with a live summary."`
-	Fleet   fleetCmd   `cmd:"" help:"Run slot caches, an origin and a discovery service for routers that you start."`
+	Demo    demoCmd    `cmd:"" help:"A fleet, its routers and load in one, on loopback sockets, with a live summary."`
+	Fleet   fleetCmd   `cmd:"" help:"The stand-ins alone: slot caches, origin and directory for routers that you start."`
 	Load    loadCmd    `cmd:"" help:"Send load to routers and measure it."`
-	Run     runCmd     `cmd:"" help:"Run an experiment and write its results."`
-	Compare compareCmd `cmd:"" help:"Compare two results, with confidence intervals."`
+	Run     runCmd     `cmd:"" help:"Play an experiment and keep its results."`
+	Compare compareCmd `cmd:"" help:"Set two results against each other, with confidence intervals."`
 	Plot    plotCmd    `cmd:"" help:"Draw results as SVG or PNG."`
 	Table   tableCmd   `cmd:"" help:"Write results as a Markdown table."`
-	Hunt    huntCmd    `cmd:"" help:"Generate random days until one violates an invariant or a rival policy does better."`
-	Story   storyCmd   `cmd:"" help:"Repeat one run and print the trace of one request."`
-	Drill   drillCmd   `cmd:"" help:"Start several routers, inject faults into them and their network, and check claims."`
-	Soak    soakCmd    `cmd:"" help:"Run random days with several kinds of fault at once, and report which violate an invariant."`
-	Scale   scaleCmd   `cmd:"" help:"Measure control costs of fleets of up to 1,000 routers, most of them without clients in one process."`
-	View    viewCmd    `cmd:"" help:"Measure how routers agree on their fleet view in virtual time, or search all orders of events."`
-	Permits permitsCmd `cmd:"" help:"Search for an order of events in which more routers hold a permit than the bound allows."`
-	Speed   speedCmd   `cmd:"" help:"Measure the latency that the router adds to a request, compared with a bare relay."`
-	Pick    pickCmd    `cmd:"" help:"Measure the time of one server pick by fleet size, for each policy."`
-	Relay   relayCmd   `cmd:"" hidden:"" help:"Run the bare relay that hoplab speed compares the router with."`
+	Hunt    huntCmd    `cmd:"" help:"Draw random days until one breaks a rule or a rival does better."`
+	Story   storyCmd   `cmd:"" help:"Play one run again and tell the course of one request."`
+	Drill   drillCmd   `cmd:"" help:"Start several routers, put faults on them and between them, and hold what comes of it against claims."`
+	Soak    soakCmd    `cmd:"" help:"Play drawn days in which several kinds of trouble meet, and tell which break a rule."`
+	Scale   scaleCmd   `cmd:"" help:"Run fleets of up to 1,000 routers, most of them hollow, and measure what their control costs."`
+	View    viewCmd    `cmd:"" help:"Measure the view of the fleet in virtual time, or search through all orders of events."`
+	Permits permitsCmd `cmd:"" help:"Search for an order of events in which more go out by permit than may."`
+	Speed   speedCmd   `cmd:"" help:"Measure what the router adds to a request, beside a bare relay."`
+	Pick    pickCmd    `cmd:"" help:"Measure a pick by the size of the fleet, for each policy."`
+	Relay   relayCmd   `cmd:"" hidden:"" help:"The bare relay that speed measures."`
 	Kinds   kindsCmd   `cmd:"" help:"List the kinds of fault and the policies."`
 }
 
--- a/cmd/hoplab/permits.go
+++ b/cmd/hoplab/permits.go
@@ -10,9 +10,9 @@
 
 // permitsCmd searches the permit protocol for violations of its bound.
 type permitsCmd struct {
-	Depth int    `help:"Depth in steps of the exhaustive search, with 3 voters and 2 acquirers." default:"4"`
-	Walks int    `help:"Number of random walks of 300 steps, with 5 voters and 4 acquirers." default:"300"`
-	Seed  uint64 `help:"Seed of the random walks." default:"1"`
+	Depth int    `help:"Steps of the search through all orders, for 3 electors and 2 seekers." default:"4"`
+	Walks int    `help:"Random walks of 300 steps, for 5 electors and 4 seekers." default:"300"`
+	Seed  uint64 `help:"Of the walks." default:"1"`
 }
 
 // Run searches the real protocol first. It then searches two weakened variants, whose violations must be found; this shows that
--- a/cmd/hoplab/pick.go
+++ b/cmd/hoplab/pick.go
@@ -15,9 +15,9 @@
 
 // pickCmd measures the time of one server pick by policy and fleet size.
 type pickCmd struct {
-	Caches   []int         `help:"Numbers of slot caches in the fleet." default:"10,30,100,300,1000,4000"`
+	Caches   []int         `help:"Sizes of the fleet." default:"10,30,100,300,1000,4000"`
 	Policies []string      `help:"Policies to measure." default:"hoptiller,ring,maglev,rendezvous,bounded,p2c"`
-	For      time.Duration `help:"Duration of each measurement." default:"300ms"`
+	For      time.Duration `help:"How long each is measured." default:"300ms"`
 	Out      string        `help:"Plot to write, .svg or .png." short:"o" type:"path"`
 }
 
--- a/cmd/hoplab/scale.go
+++ b/cmd/hoplab/scale.go
@@ -19,15 +19,15 @@
 
 // scaleCmd measures fleets of many routers.
 type scaleCmd struct {
-	File   string `arg:"" help:"Scenario file (TOML)." type:"existingfile"`
-	Sizes  []int  `help:"Fleet sizes to run instead of those in the file."`
-	Seeds  int    `help:"Number of runs of each size, instead of the number in the file."`
+	File   string `arg:"" help:"Scenario (TOML)." type:"existingfile"`
+	Sizes  []int  `help:"Sizes to run instead of the file's."`
+	Seeds  int    `help:"Runs of each size instead of the file's."`
 	Seed   uint64 `help:"The only seed to run."`
 	Router string `help:"The router's program." default:"bin/hoptiller" type:"path"`
-	Out    string `help:"File to append results to, as JSON lines; found/scale/NAME.jsonl if not given." type:"path"`
-	Plot   string `help:"File for a plot of the bytes that routers send, .svg or .png." type:"path"`
-	Report string `help:"Report the results in this file instead of running anything." type:"existingfile"`
-	Commit string `help:"Commit of the programs; if not given, that of the build information, or else the one checked out here."`
+	Out    string `help:"File to which results are added, as JSON lines; found/scale/NAME.jsonl if not stated." type:"path"`
+	Plot   string `help:"File for a plot of what routers send, .svg or .png." type:"path"`
+	Report string `help:"Report these results, and run nothing." type:"existingfile"`
+	Commit string `help:"Commit that the programs were built from; if not stated what the build tells, else what is checked out here."`
 	Quiet  bool   `help:"No progress." short:"q"`
 }
 
--- a/cmd/hoplab/soak.go
+++ b/cmd/hoplab/soak.go
@@ -20,12 +20,12 @@
 
 // soakCmd runs random days with several kinds of fault against real router processes.
 type soakCmd struct {
-	Seeds  int    `help:"Number of random days." default:"10"`
-	Seed   uint64 `help:"Seed of the first day." default:"1"`
-	AtOnce int    `help:"Number of days that run at the same time." default:"1"`
+	Seeds  int    `help:"How many days are drawn." default:"10"`
+	Seed   uint64 `help:"The first one's seed." default:"1"`
+	AtOnce int    `help:"How many are played at once." default:"1"`
 	Router string `help:"The router's program." default:"bin/hoptiller" type:"existingfile"`
-	Keep   bool   `help:"Keep the timelines and files of all days, not only of days that violate a claim."`
-	Out    string `help:"Folder for the timelines and files of days that violate a claim." default:"found/soak" type:"path"`
+	Keep   bool   `help:"Keep the timelines and files of all days, not only of those that break a claim."`
+	Out    string `help:"Folder for the timelines and files of days that break a claim." default:"found/soak" type:"path"`
 }
 
 // Run runs the random days and prints a table row for each. The error is command.ErrFinding if a claim is broken.
--- a/cmd/hoplab/sockets.go
+++ b/cmd/hoplab/sockets.go
@@ -21,9 +21,9 @@
 
 // fleetFlags are the flags that describe a fleet on loopback sockets.
 type fleetFlags struct {
-	Caches  int           `help:"Number of slot caches." default:"6"`
-	Routers int           `help:"Number of routers." default:"2"`
-	For     time.Duration `help:"How long to run." default:"1m"`
+	Caches  int           `help:"Slot caches." default:"6"`
+	Routers int           `help:"Routers." default:"2"`
+	For     time.Duration `help:"How long to go on." default:"1m"`
 	Seed    uint64        `help:"Seed of the day." default:"1"`
 }
 
@@ -37,10 +37,10 @@
 // demoCmd runs a fleet, its routers and load together.
 type demoCmd struct {
 	fleetFlags `embed:""`
-	Level      float64 `help:"Load, as a fraction of the fleet's capacity." default:"0.5"`
-	Fault      string  `help:"Kind of fault that is injected after a third of the time; see hoplab kinds." default:"crash"`
+	Level      float64 `help:"Load, as a part of the fleet's capacity." default:"0.5"`
+	Fault      string  `help:"What goes wrong a third of the way; see hoplab kinds." default:"crash"`
 	Router     string  `help:"The router's program." default:"bin/hoptiller" type:"existingfile"`
-	Log        string  `help:"File for the routers' logs." default:"" type:"path"`
+	Log        string  `help:"File for what the routers log." default:"" type:"path"`
 }
 
 // Run runs the demo, prints a line each second and a summary at the end.
@@ -105,8 +105,8 @@
 type fleetCmd struct {
 	fleetFlags `embed:""`
 	Dir        string  `help:"Folder for the routers' configurations." default:"fleet" type:"path"`
-	Bytes      int     `help:"Length of a value in bytes; 0 for the default." default:"0"`
-	Unsized    float64 `help:"Fraction of the origin's values that it sends without stating their length." default:"0"`
+	Bytes      int     `help:"Length of a value in bytes; 0: that of the day." default:"0"`
+	Unsized    float64 `help:"Part of the origin's values that it gives without their length." default:"0"`
 }
 
 // Run runs the slot caches, the origin and the discovery service until interrupted, and prints how to start routers.
@@ -133,14 +133,14 @@
 // loadCmd sends load to running routers.
 type loadCmd struct {
 	Addrs   []string      `arg:"" help:"Routers' addresses, on loopback."`
-	Rate    float64       `help:"Requests per second; 0 for as many as the connections can carry." default:"100"`
+	Rate    float64       `help:"Requests a second; 0: as many as the connections carry." default:"100"`
 	For     time.Duration `help:"How long to send." default:"10s"`
-	Conns   int           `help:"Maximum number of connections." default:"200"`
-	Keys    int           `help:"Number of different keys." default:"600"`
-	Zipf    float64       `help:"Exponent of the Zipf distribution of key popularity." default:"1"`
-	Retries int           `help:"Retries of a request whose answer asks the client to come back later." default:"2"`
-	Seed    uint64        `help:"Seed of the arrival times and keys." default:"1"`
-	JSON    bool          `help:"Print the report as one line of JSON."`
+	Conns   int           `help:"Connections at the most." default:"200"`
+	Keys    int           `help:"Different keys." default:"600"`
+	Zipf    float64       `help:"Exponent of the keys' popularity." default:"1"`
+	Retries int           `help:"Repeats of a request that is told to come back." default:"2"`
+	Seed    uint64        `help:"Seed of times and keys." default:"1"`
+	JSON    bool          `help:"Report as a line of JSON."`
 }
 
 // Run sends the load and prints a report; on a terminal it also shows progress.
@@ -172,10 +172,10 @@
 // speedCmd measures the latency that the router adds.
 type speedCmd struct {
 	Router string        `help:"The router's program." default:"bin/hoptiller" type:"existingfile"`
-	For    time.Duration `help:"Duration of each of the six measurements." default:"5s"`
-	Conns  int           `help:"Number of connections." default:"64"`
-	Caches int           `help:"Number of slot caches; they answer at once." default:"10"`
-	File   string        `help:"An operator's file; the router is measured with and without it in turns." type:"existingfile"`
+	For    time.Duration `help:"How long each of the six parts takes." default:"5s"`
+	Conns  int           `help:"Connections." default:"64"`
+	Caches int           `help:"Slot caches, which answer at once." default:"10"`
+	File   string        `help:"An operator's file, with which the router is measured once more, in turns with the one without." type:"existingfile"`
 }
 
 // Run measures the router and the bare relay, which is this program's hidden relay command.
--- a/cmd/hoplab/view.go
+++ b/cmd/hoplab/view.go
@@ -18,12 +18,12 @@
 
 // viewCmd measures the protocol by which routers agree on their fleet view, or searches its orders of events.
 type viewCmd struct {
-	Routers []int         `help:"Numbers of routers in the measured fleets." default:"100,300,1000"`
-	Seeds   int           `help:"Number of runs of each size." default:"3"`
-	Least   time.Duration `help:"Shortest network delay of a datagram." default:"2.5ms"`
-	Most    time.Duration `help:"Longest network delay of a datagram." default:"39ms"`
-	Short   bool          `help:"Skip the ten minutes in which processes are paused."`
-	Search  int           `help:"Search all orders of events of three routers up to this depth instead." placeholder:"DEPTH"`
+	Routers []int         `help:"Sizes of fleets." default:"100,300,1000"`
+	Seeds   int           `help:"Plays of each." default:"3"`
+	Least   time.Duration `help:"The shortest time that a datagram takes." default:"2.5ms"`
+	Most    time.Duration `help:"The longest." default:"39ms"`
+	Short   bool          `help:"Leave out the ten minutes of pauses."`
+	Search  int           `help:"Go through all orders of events of three routers up to this depth instead." placeholder:"DEPTH"`
 	Out     string        `help:"Folder for the table and the plots." default:"found/view" type:"path"`
 }
 
--- a/cmd/hoptiller/fleet.go
+++ b/cmd/hoptiller/fleet.go
@@ -23,9 +23,9 @@
 // fleetCmd shows how routers see their fleet.
 type fleetCmd struct {
 	Addrs []string      `arg:"" help:"Operators' addresses of one or more routers."`
-	JSON  bool          `help:"Print all answers as JSON."`
-	Watch bool          `short:"w" help:"Repeat the query until interrupted."`
-	Every time.Duration `help:"Interval of the queries with --watch." default:"2s"`
+	JSON  bool          `help:"Write all that was answered as JSON."`
+	Watch bool          `short:"w" help:"Ask again and again until interrupted."`
+	Every time.Duration `help:"How often with --watch." default:"2s"`
 }
 
 // Run queries all routers at once. A router that does not answer within 3 s is reported, and the others are shown.
--- a/cmd/hoptiller/main.go
+++ b/cmd/hoptiller/main.go
@@ -20,14 +20,14 @@
 
 // cli defines the commands of hoptiller.
 type cli struct {
-	Serve      serveCmd      `cmd:"" default:"withargs" help:"Route requests; the default command."`
+	Serve      serveCmd      `cmd:"" default:"withargs" help:"Route requests; this is done where no command is named."`
 	Check      checkCmd      `cmd:"" help:"Check an operator's file; exit code 3 if anything is wrong."`
-	Fmt        fmtCmd        `cmd:"" help:"Format an operator's file."`
-	Diff       diffCmd       `cmd:"" help:"Show how the effects of two operator's files differ; exit code 3 if they do."`
-	Explain    explainCmd    `cmd:"" help:"Show which route, pool and policy a request gets, and why."`
-	Fleet      fleetCmd      `cmd:"" help:"Show how routers see the fleet, and where their views differ; exit code 3 if they do."`
-	Release    releaseCmd    `cmd:"" help:"Check, start, watch, halt, resume or roll back a release; exit code 3 if it halts."`
-	Version    versionCmd    `cmd:"" help:"Print the version and the commit that the program was built from."`
+	Fmt        fmtCmd        `cmd:"" help:"Write an operator's file in its one form."`
+	Diff       diffCmd       `cmd:"" help:"Tell what two operator's files do differently; exit code 3 if anything."`
+	Explain    explainCmd    `cmd:"" help:"Tell which route, pool and policy a request gets, and why."`
+	Fleet      fleetCmd      `cmd:"" help:"Ask routers how they see the fleet, and tell where their views differ; exit code 3 if they do."`
+	Release    releaseCmd    `cmd:"" help:"Take a release through the fleet by a plan: plan, start, status, halt, resume, back; exit code 3 if it halts."`
+	Version    versionCmd    `cmd:"" help:"Say what this was built from."`
 	Completion completionCmd `cmd:"" help:"Write a completion script for a shell."`
 }
 
--- a/cmd/hoptiller/operator.go
+++ b/cmd/hoptiller/operator.go
@@ -96,8 +96,8 @@
 // fmtCmd formats operator's files.
 type fmtCmd struct {
 	Files []string `arg:"" help:"Operator's files."`
-	Write bool     `short:"w" help:"Rewrite the files in place instead of printing them."`
-	Diff  bool     `short:"d" help:"Show the lines that would change; exit code 3 if there are any."`
+	Write bool     `short:"w" help:"Write each file back instead of to standard output."`
+	Diff  bool     `short:"d" help:"Tell which lines would change; exit code 3 if any would."`
 }
 
 // Run formats all files. A file that has errors is not changed, and the error is command.ErrFinding.
@@ -178,7 +178,7 @@
 type diffCmd struct {
 	platformFlags
 	Before string `arg:"" help:"An operator's file."`
-	After  string `arg:"" help:"Another operator's file."`
+	After  string `arg:"" help:"Another one."`
 }
 
 // Run prints the changes. The error is command.ErrFinding if there are any.
@@ -206,9 +206,9 @@
 	platformFlags
 	File   string `arg:"" help:"An operator's file."`
 	Class  string `required:"" help:"Class of the request."`
-	Key    string `help:"Key of the request."`
-	Tenant string `help:"Tenant of the request, which is the customer in its facts."`
-	Client string `help:"Address of the client."`
+	Key    string `help:"Its key."`
+	Tenant string `help:"Its tenant, as the customer in its facts."`
+	Client string `help:"Address of its client."`
 }
 
 // Run prints the route of the request, its settings and the reasons for the choice.
--- a/cmd/hoptiller/release.go
+++ b/cmd/hoptiller/release.go
@@ -16,13 +16,13 @@
 
 // releaseCmd groups the commands that drive a release.
 type releaseCmd struct {
-	Plan   releasePlanCmd   `cmd:"" help:"Check a plan against the fleet, and show its waves; exit code 3 if the check fails."`
-	Shows  releaseShowsCmd  `cmd:"" help:"Show the identifiers of program and settings that a router announces in the fleet view."`
-	Start  releaseStartCmd  `cmd:"" help:"Start a release and drive it to its end."`
-	Status releaseStatusCmd `cmd:"" help:"Show the status of a release."`
-	Halt   releaseHaltCmd   `cmd:"" help:"Halt a release, from any machine, and remove its lease from the fleet."`
-	Resume releaseResumeCmd `cmd:"" help:"Resume a release that has halted or whose driver has ended."`
-	Back   releaseBackCmd   `cmd:"" help:"Roll back what a release has changed, in reverse order."`
+	Plan   releasePlanCmd   `cmd:"" help:"Hold a plan against the fleet, and tell in which waves it would go; exit code 3 if it can't be kept."`
+	Shows  releaseShowsCmd  `cmd:"" help:"Tell what a router of this program and a configuration would show in the view."`
+	Start  releaseStartCmd  `cmd:"" help:"Begin a release, and see it through."`
+	Status releaseStatusCmd `cmd:"" help:"Tell how a release stands."`
+	Halt   releaseHaltCmd   `cmd:"" help:"Have a release halt, from any machine, and free the fleet of it."`
+	Resume releaseResumeCmd `cmd:"" help:"Go on with a release that has halted, or whose driver is gone."`
+	Back   releaseBackCmd   `cmd:"" help:"Bring back what a release has changed, in reverse order."`
 }
 
 // planFile is the argument that names the plan of a release.
--- a/cmd/hoptiller/serve.go
+++ b/cmd/hoptiller/serve.go
@@ -52,12 +52,12 @@
 	platformFlags
 	Name      string `env:"RELAY_NAME" help:"Name of this router."`
 	Listen    string `env:"RELAY_LISTEN" placeholder:"ADDR" help:"Address for clients."`
-	Discovery string `env:"RELAY_DISCOVERY" placeholder:"ADDR" help:"Address of the discovery service."`
-	Admin     string `env:"RELAY_ADMIN" placeholder:"ADDR" help:"Address for operators' HTTP calls."`
-	SocketFD  string `env:"RELAY_SOCKET_FD" name:"socket-fd" placeholder:"NUMBER" help:"Descriptor of an inherited listening socket for clients."`
+	Discovery string `env:"RELAY_DISCOVERY" placeholder:"ADDR" help:"Address of the directory."`
+	Admin     string `env:"RELAY_ADMIN" placeholder:"ADDR" help:"Address for operators' calls."`
+	SocketFD  string `env:"RELAY_SOCKET_FD" name:"socket-fd" placeholder:"NUMBER" help:"Descriptor of the clients' listening socket, where another process holds it."`
 	File      string `env:"HOPTILLER_FILE" placeholder:"FILE" help:"The operator's file."`
-	LogLevel  string `env:"HOPTILLER_LOG_LEVEL" help:"debug, info, warn or error; overrides the operator's file."`
-	LogFormat string `env:"HOPTILLER_LOG_FORMAT" help:"text or json; overrides the operator's file."`
+	LogLevel  string `env:"HOPTILLER_LOG_LEVEL" help:"debug, info, warn or error; goes before the operator's file."`
+	LogFormat string `env:"HOPTILLER_LOG_FORMAT" help:"text or json; goes before the operator's file."`
 }
 
 // load reads the platform's configuration and the operator's file. If either is wrong it returns an error and neither is used.
