--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -186,7 +186,7 @@
 		case <-r.wake:
 		case <-timer.C:
 			if delay := time.Since(due); delay > pauseThreshold {
-				slog.Warn("process paused", "by", delay.Round(time.Millisecond))
+				slog.Warn("held up", "by", delay.Round(time.Millisecond))
 			}
 		}
 		orders := r.facade.Tick(r.now())
