--- a/internal/lab/model/cache.go
+++ b/internal/lab/model/cache.go
@@ -6,200 +6,201 @@
 	"time"
 )
 
-// Cache is one slot cache. Only the model sees this; routers see a Member.
+// Cache is one slot cache. Only the model sees a Cache; routers see a Member.
 type Cache struct {
 	host
-	Kind    *Kind
-	Cores   int
-	Speed   float64 // of a core, as it really is
-	Started time.Duration
-	Begun   bool // after the start of the day: it came up cold and empty
-	Addr    int  // the address, as the index of the server that was there first
-
-	Sent float64 // work that has come, in standard-core seconds
-
-	station station
-	store   *store
-	rand    *rand.Rand
-	errors  float64 // part of calls that fail at once
-	slowed  float64 // part of its speed that a neighbour takes
-	hung    bool    // it takes calls and begins none
-	held    []*Call // that came meanwhile
-	fallen  bool    // pushed over: it stays down
-	cold    []Push  // work sent of late, while cold
-	coldSum float64
-}
-
-// Push is work that came to a cold cache.
-type Push struct {
+	Kind         *Kind
+	Cores        int
+	Speed        float64 // actual speed of a core; the standard core has 1
+	Started      time.Duration
+	StartedInRun bool // the process started after the start of the day, cold and empty
+	Addr         int  // address, given as the index of the server that first had it
+
+	WorkReceived float64 // work of all received calls and handshakes, in standard-core seconds
+
+	workers        station
+	store          *store
+	random         *rand.Rand
+	errorRate      float64    // share of calls that fail at once
+	slowdown       float64    // share of its speed that another process on its machine takes
+	hanging        bool       // accepts calls and starts none
+	heldCalls      []*Call    // calls received while hanging
+	stayDown       bool       // has collapsed or left for good, and is not restarted
+	recentColdWork []ColdWork // work received within the window Rules.Fall, while cold
+	recentColdSum  float64
+}
+
+// ColdWork is one piece of work that a cold cache received.
+type ColdWork struct {
 	At        time.Duration
 	Work      float64 // in standard-core seconds
 	Router    int
-	Handshake bool   // of a new connection; else a call's
-	Key       uint64 // of a call
+	Handshake bool   // whether the work is the handshake of a new connection; otherwise it is a call
+	Key       uint64 // key of the call
 }
 
-// Fall tells how a cold cache was pushed over.
-type Fall struct {
+// Collapse describes how a cold cache collapsed under its load.
+type Collapse struct {
 	Server  int
 	Started time.Duration
-	Stands  float64 // work that it could have taken in the window, in standard-core seconds
-	Pushes  []Push  // of the window, the last one too many
+	Limit   float64    // work that the cache could have taken within the window, in standard-core seconds
+	Work    []ColdWork // work received within the window; the last piece exceeded the limit
 }
 
-// Warmth is the part of its capacity that a cache has now.
+// Warmth returns the share of its full capacity that a cache has at the given time.
 func (c *Cache) Warmth(now time.Duration) float64 {
 	age := now - c.Started
-	if !c.Begun || age >= c.Kind.ColdFor.D() {
+	if !c.StartedInRun || age >= c.Kind.ColdFor.D() {
 		return 1
 	}
 	return c.Kind.ColdFrom + (1-c.Kind.ColdFrom)*float64(age)/float64(c.Kind.ColdFor)
 }
 
-// Capacity is the work that a cache can do in a second now, in standard-core seconds; 0 if it is down.
+// Capacity returns the work that a cache can do per second, in standard-core seconds; 0 if it is down.
 func (c *Cache) Capacity(now time.Duration) float64 {
-	if !c.up {
+	if !c.running {
 		return 0
 	}
-	return float64(c.Cores) * c.Speed * c.Warmth(now) * (1 - c.slowed)
+	return float64(c.Cores) * c.Speed * c.Warmth(now) * (1 - c.slowdown)
 }
 
-// Serves tells whether a call that comes now is worked on.
-func (c *Cache) Serves() bool { return c.up && !c.mute && !c.hung }
+// AcceptsWork reports whether the cache would start or queue a call that arrives now.
+func (c *Cache) AcceptsWork() bool { return c.running && !c.vanished && !c.hanging }
 
-// weight is its size as it is registered.
+// weight returns the registered weight of a cache: its cores times the nominal speed of its kind.
 func (c *Cache) weight() float64 { return float64(c.Kind.Cores) * c.Kind.Speed }
 
-// Up tells whether the process runs.
-func (c *Cache) Up() bool { return c.up }
+// Up reports whether the process runs.
+func (c *Cache) Up() bool { return c.running }
 
 func (w *World) newCache(index int, kind *Kind) *Cache {
 	r := Stream(w.day.Seed, "cache", index)
-	c := &Cache{Kind: kind, Cores: kind.Cores, rand: r, Addr: index}
-	c.Speed = kind.Speed * between(r, 1-kind.Spread, 1+kind.Spread)
-	c.host = host{w: w, index: index, zone: index % w.day.Zones, most: kind.Cores * w.day.Fleet.ConnsCore}
-	c.host.serve, c.host.drop, c.host.greet = c.take, c.give, c.greetNew
-	c.station = station{q: &w.Queue, places: kind.Cores, room: int(kind.Queue*float64(kind.Cores) + 0.5),
-		rate:  func() float64 { return c.Speed * c.Warmth(w.Now()) * (1 - c.slowed) },
-		began: c.begin, ended: c.end}
+	c := &Cache{Kind: kind, Cores: kind.Cores, random: r, Addr: index}
+	c.Speed = kind.Speed * drawUniform(r, 1-kind.Spread, 1+kind.Spread)
+	c.host = host{w: w, index: index, zone: index % w.day.Zones, maxConns: kind.Cores * w.day.Fleet.ConnsCore}
+	c.host.serve, c.host.cancel, c.host.accept = c.handle, c.cancel, c.acceptConn
+	c.workers = station{queue: &w.Queue, slots: kind.Cores, queueLimit: int(kind.Queue*float64(kind.Cores) + 0.5),
+		slotRate: func() float64 { return c.Speed * c.Warmth(w.Now()) * (1 - c.slowdown) },
+		workOf:   c.workNeeded, finished: c.finish}
 	return c
 }
 
-// start starts the process, cold and empty unless it ran before the day.
-func (c *Cache) start(before bool) {
-	c.up, c.mute, c.Begun, c.Started = true, false, !before, c.w.Now()
+// start starts the process, cold and empty unless it was already running before the day.
+func (c *Cache) start(beforeDay bool) {
+	c.running, c.vanished, c.StartedInRun, c.Started = true, false, !beforeDay, c.w.Now()
 	c.w.occupants[c.Addr] = &c.host
-	c.errors, c.slowed, c.cold, c.coldSum = 0, 0, nil, 0
-	c.hung, c.held = false, nil
-	c.station.clear()
+	c.errorRate, c.slowdown, c.recentColdWork, c.recentColdSum = 0, 0, nil, 0
+	c.hanging, c.heldCalls = false, nil
+	c.workers.clear()
 	c.store = newStore(float64(c.w.day.Fleet.Memory) * c.weight() / c.w.meanWeight)
 }
 
 func (c *Cache) halt() {
 	c.host.stop()
-	c.station.clear()
+	c.workers.clear()
 }
 
-// greetNew does the work of a new connection. It waits for no place in the line: it is what a core does
-// before it reads anything.
-func (c *Cache) greetNew(router int) {
-	c.arrived(Push{Work: c.w.day.Fleet.Handshake.Seconds(), Router: router, Handshake: true})
-	if !c.up {
+// acceptConn does the work of a new connection. This work does not need a free place in the queue, because a
+// core does it before it reads anything.
+func (c *Cache) acceptConn(router int) {
+	c.countArrival(ColdWork{Work: c.w.day.Fleet.Handshake.Seconds(), Router: router, Handshake: true})
+	if !c.running {
 		return
 	}
-	c.station.add(&job{work: c.w.day.Fleet.Handshake.Seconds()}, true)
+	c.workers.add(&job{work: c.w.day.Fleet.Handshake.Seconds()}, true)
 }
 
-// take takes a call that has come.
-func (c *Cache) take(call *Call) {
-	c.arrived(Push{Work: call.Try.Op.Work, Router: call.Conn.Router, Key: call.Try.Op.Key})
-	if !c.up {
-		return // it has just been pushed over
+// handle receives a call.
+func (c *Cache) handle(call *Call) {
+	c.countArrival(ColdWork{Work: call.Try.Op.Work, Router: call.Conn.Router, Key: call.Try.Op.Key})
+	if !c.running {
+		return // the handshake or call made the cache collapse
 	}
-	if c.hung {
-		c.held = append(c.held, call)
+	if c.hanging {
+		c.heldCalls = append(c.heldCalls, call)
 		return
 	}
 	c.admit(call)
 }
 
-// admit has a call worked on, or turns it away.
+// admit starts or queues a call, or rejects it.
 func (c *Cache) admit(call *Call) {
-	if c.errors > 0 && c.rand.Float64() < c.errors {
+	if c.errorRate > 0 && c.random.Float64() < c.errorRate {
 		call.Conn.finish(call, Failed)
 		return
 	}
 	call.job = job{call: call}
-	if !c.station.add(&call.job, false) {
+	if !c.workers.add(&call.job, false) {
 		call.Conn.finish(call, Busy)
 	}
 }
 
-// begin tells what a call takes. Whether its object is kept shows when it is looked for.
-func (c *Cache) begin(j *job) float64 {
+// workNeeded returns the work of a call that starts now. Only now does the cache look up whether it holds the
+// object.
+func (c *Cache) workNeeded(j *job) float64 {
 	op := j.call.Try.Op
-	if op.Write || !c.store.get(op.Key) {
-		j.call.answer = Missed
+	if op.Write || !c.store.lookUp(op.Key) {
+		j.call.result = Missed
 		return op.Work * c.w.day.Fleet.MissWork
 	}
-	j.call.answer = Served
+	j.call.result = Served
 	return op.Work
 }
 
-func (c *Cache) end(j *job) {
-	call, a := j.call, j.call.answer
-	if c.Kind.ErrorRate > 0 && c.rand.Float64() < c.Kind.ErrorRate {
-		a = Failed
+func (c *Cache) finish(j *job) {
+	call, result := j.call, j.call.result
+	if c.Kind.ErrorRate > 0 && c.random.Float64() < c.Kind.ErrorRate {
+		result = Failed
 	}
-	if a == Missed && !call.Try.Op.Write {
-		call.Try.missedAt = append(call.Try.missedAt, c)
+	if result == Missed && !call.Try.Op.Write {
+		call.Try.missedCaches = append(call.Try.missedCaches, c)
 	}
-	if call.Conn.over {
-		c.w.Waste += j.work
+	if call.Conn.closedByServer {
+		c.w.WastedWork += j.work
 	}
-	call.Conn.finish(call, a)
+	call.Conn.finish(call, result)
 }
 
-// give stops work for which nobody waits.
-func (c *Cache) give(call *Call) {
-	if i := slices.Index(c.held, call); i >= 0 {
-		c.held = slices.Delete(c.held, i, i+1)
+// cancel stops the work on a call that nobody waits for.
+func (c *Cache) cancel(call *Call) {
+	if i := slices.Index(c.heldCalls, call); i >= 0 {
+		c.heldCalls = slices.Delete(c.heldCalls, i, i+1)
 		return
 	}
-	c.w.Waste += c.station.cancel(&call.job)
+	c.w.WastedWork += c.workers.cancel(&call.job)
 }
 
-// hang has the cache begin nothing more, or go on with what came meanwhile.
-func (c *Cache) hang(on bool) {
-	held := c.held
-	c.hung, c.held = on, nil
+// setHanging makes the cache hang, or ends that and admits the calls that were held back.
+func (c *Cache) setHanging(hanging bool) {
+	held := c.heldCalls
+	c.hanging, c.heldCalls = hanging, nil
 	for _, call := range held {
 		c.admit(call)
 	}
 }
 
-// arrived counts work that has come. A cold cache that is sent too much of it falls over.
-func (c *Cache) arrived(p Push) {
-	c.Sent += p.Work
+// countArrival records received work. A cold cache that receives too much work collapses.
+func (c *Cache) countArrival(arrival ColdWork) {
+	c.WorkReceived += arrival.Work
 	now, rules := c.w.Now(), &c.w.day.Rules
-	p.At = now
+	arrival.At = now
 	if c.Warmth(now) >= 1 {
-		c.cold, c.coldSum = nil, 0
+		c.recentColdWork, c.recentColdSum = nil, 0
 		return
 	}
-	c.cold = append(c.cold, p)
-	c.coldSum += p.Work
-	for now-c.cold[0].At > rules.Fall.D() {
-		c.coldSum -= c.cold[0].Work
-		c.cold = c.cold[1:]
+	c.recentColdWork = append(c.recentColdWork, arrival)
+	c.recentColdSum += arrival.Work
+	for now-c.recentColdWork[0].At > rules.Fall.D() {
+		c.recentColdSum -= c.recentColdWork[0].Work
+		c.recentColdWork = c.recentColdWork[1:]
 	}
-	// A few pieces of work may come at once by chance.
+	// A few pieces of work may arrive at the same time by chance.
 	slack := 4 * c.w.meanWork
-	stands := rules.Overload*c.Capacity(now)*rules.Fall.Seconds() + slack
-	if c.coldSum <= stands {
+	limit := rules.Overload*c.Capacity(now)*rules.Fall.Seconds() + slack
+	if c.recentColdSum <= limit {
 		return
 	}
-	c.fallen = true
-	c.w.die(c)
-	c.w.watcher.FellOver(&Fall{Server: c.index, Started: c.Started, Stands: stands, Pushes: c.cold})
+	c.stayDown = true
+	c.w.kill(c)
+	c.w.observer.FellOver(&Collapse{Server: c.index, Started: c.Started, Limit: limit, Work: c.recentColdWork})
 }
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -6,227 +6,230 @@
 	"time"
 )
 
-// Op is what a client wants once, however often it has to ask.
-type Op struct {
-	ID     uint64
-	At     time.Duration
-	Class  int
-	Tenant int
-	Zone   int
-	Key    uint64
-	Work   float64 // in standard-core seconds
-	Size   float64 // of the object, 1 on average
-	Write  bool
+// Operation is something that a client wants once, however many tries it needs.
+type Operation struct {
+	ID        uint64
+	CreatedAt time.Duration
+	Class     int
+	Tenant    int
+	Zone      int
+	Key       uint64
+	Work      float64 // in standard-core seconds
+	Size      float64 // size of the object; the mean is 1
+	Write     bool
 
-	Runs   int // writes carried out
-	Tries  int
-	Over   bool
-	Served time.Duration // when its answer came; 0: not served
-	Last   Ending        // how its last try ended, if it is not served
-	Left   bool          // its client closed its connection under a try, of its own accord
+	Executions   int // how often a write was executed
+	TryCount     int
+	Ended        bool
+	AnsweredAt   time.Duration // when the answer arrived; 0 if there was none
+	LastEnding   TryEnding     // how the last try ended, if the operation was not served
+	Disconnected bool          // the client closed its connection during a try for reasons of its own
 
-	patience float64 // part of the deadline for one try
-	honours  bool
-	jitter   float64
+	tryShare          float64 // share of the deadline that one try may take
+	honoursRetryAfter bool
+	jitter            float64
 }
 
-// Try is one request of a client.
+// Try is one request that a client sends for an operation.
 type Try struct {
-	Op        *Op
-	N         int // from 0
+	Op        *Operation
+	N         int // number of the try within the operation, from 0
 	At        time.Duration
 	Router    int
-	Remaining time.Duration // from At, till it is given up
+	Remaining time.Duration // time after At at which the client cancels the try
 
-	missedAt []*Cache
-	over     bool
+	missedCaches []*Cache
+	ended        bool
 }
 
-// Final is what a router answers in the end.
+// Final is the kind of final answer of a router.
 type Final uint8
 
-// The final answers.
+// The kinds of final answers.
 const (
-	Value   Final = iota // the value or receipt
-	Refused              // trying again is harmless
-	Failure              // anything else
-	Lost                 // the connection ended
-	NoRoute              // no router was there
+	Value         Final = iota // the value or receipt
+	Refused                    // a retry is harmless
+	Failure                    // any other failure
+	Lost                       // the connection was closed without an answer
+	FinalNoRouter              // no router was reachable
 )
 
-// Ending is how a try ended.
-type Ending uint8
+// TryEnding says how a try ended.
+type TryEnding uint8
 
-// The endings.
+// The ways in which a try ends.
 const (
-	Unended      Ending = iota // the day was over
-	WasRefused                 // by a router, as harmless to repeat
-	WasFailed                  // by a router
-	WasLost                    // its connection ended
-	FoundNoRoute               // no router was there
-	Unanswered                 // its time was up
+	EndingNone       TryEnding = iota // still in progress at the end of the day
+	EndingRefused                     // a router refused it as harmless to retry
+	EndingFailed                      // a router answered with a failure
+	EndingLost                        // its connection was closed
+	EndingNoRouter                    // no router was reachable
+	EndingUnanswered                  // its time ran out
 )
 
-// endingOf is the ending that a final answer is, other than the value.
-func endingOf(f Final) Ending {
-	return [...]Ending{Refused: WasRefused, Failure: WasFailed, Lost: WasLost, NoRoute: FoundNoRoute}[f]
+// endingOf returns the ending of a try for any final answer but the value.
+func endingOf(answer Final) TryEnding {
+	return [...]TryEnding{Refused: EndingRefused, Failure: EndingFailed, Lost: EndingLost, FinalNoRouter: EndingNoRouter}[answer]
 }
 
-// Tier is the routers, as clients and the front see them.
-type Tier interface {
-	// Take hands a router a try. It tells whether the router was there.
+// RouterTier is the routers as seen by the clients and their load balancer.
+type RouterTier interface {
+	// Take delivers a try to a router. It returns false if the router is not running.
 	Take(t *Try) bool
-	// Leave tells a router that a client has gone.
+	// Leave tells a router that the client of a try has disconnected.
 	Leave(t *Try)
 }
 
-// clients draws what is asked, and plays those who ask.
+// clients generates the operations and simulates the clients that send them.
 type clients struct {
-	w       *World
-	rand    *rand.Rand
-	next    uint64
-	ranks   []uint64 // keys by popularity
-	hot     []uint64
-	hotPart float64
-	burst   float64
-	until   time.Duration   // of the burst
-	believe []time.Duration // by router: from when the front takes it to be dead; 0: it does not
-	deal    uint64
+	w              *World
+	random         *rand.Rand
+	lastID         uint64
+	keysByRank     []uint64 // keys in order of popularity
+	hotKeys        []uint64
+	hotShare       float64
+	burstLevel     float64
+	burstEnds      time.Duration   // end of the current burst
+	believedDeadAt []time.Duration // by router: since when the load balancer believes it to be dead; 0 if it does not
+	nextRouter     uint64
 }
 
 func (w *World) newClients() *clients {
-	c := &clients{w: w, rand: Stream(w.day.Seed, "clients", 0), burst: 1, believe: make([]time.Duration, w.day.Routers)}
+	c := &clients{w: w, random: Stream(w.day.Seed, "clients", 0), burstLevel: 1,
+		believedDeadAt: make([]time.Duration, w.day.Routers)}
 	n := w.day.Load.Keys * w.day.Fleet.Caches
 	keys := Stream(w.day.Seed, "keys", 0)
 	for range n {
-		c.ranks = append(c.ranks, keys.Uint64()|1)
+		c.keysByRank = append(c.keysByRank, keys.Uint64()|1)
 	}
 	return c
 }
 
-// level is how much is asked now, against the mean.
-func (c *clients) level() float64 {
+// loadLevel returns the current load relative to the mean.
+func (c *clients) loadLevel() float64 {
 	l, now := &c.w.day.Load, c.w.Now()
 	switch l.Shape {
 	case "wave":
 		return 1 + l.Swing*math.Sin(2*math.Pi*now.Seconds()/l.Period.Seconds())
 	case "bursty":
-		if now >= c.until {
-			c.until = now + seconds(between(c.rand, 0.5, 2))
-			c.burst = between(c.rand, 1-l.Swing, 1+l.Swing)
+		if now >= c.burstEnds {
+			c.burstEnds = now + seconds(drawUniform(c.random, 0.5, 2))
+			c.burstLevel = drawUniform(c.random, 1-l.Swing, 1+l.Swing)
 		}
-		return c.burst
+		return c.burstLevel
 	}
 	return 1
 }
 
-// run draws one arrival after the other until the end of the day.
-func (c *clients) run(end time.Duration) {
-	c.w.After(seconds(exp(c.rand, 1/(c.w.Rate*c.level()))), func() {
+// scheduleArrival schedules the next operation, which schedules the one after it, until the end of the day.
+func (c *clients) scheduleArrival(end time.Duration) {
+	c.w.After(seconds(drawExponential(c.random, 1/(c.w.Rate*c.loadLevel()))), func() {
 		if c.w.Now() >= end {
 			return
 		}
-		c.ask(c.draw(), 0)
-		c.run(end)
+		c.send(c.drawOperation(), 0)
+		c.scheduleArrival(end)
 	})
 }
 
-// draw draws one op. The same numbers are drawn for every op, so that a fault changes nothing for later ones.
-func (c *clients) draw() *Op {
-	r, day := c.rand, c.w.day
-	c.next++
-	op := &Op{ID: c.next, At: c.w.Now(), Tenant: r.IntN(day.Load.Tenants)}
-	x, all := r.Float64(), 0.0
+// drawOperation draws one operation. It draws the same number of random numbers for every operation, so that a
+// fault does not change later operations.
+func (c *clients) drawOperation() *Operation {
+	random, day := c.random, c.w.day
+	c.lastID++
+	op := &Operation{ID: c.lastID, CreatedAt: c.w.Now(), Tenant: random.IntN(day.Load.Tenants)}
+	point, total := random.Float64(), 0.0
 	for _, class := range day.Classes {
-		all += class.Share
+		total += class.Share
 	}
-	for x *= all; op.Class < len(day.Classes)-1 && x >= day.Classes[op.Class].Share; op.Class++ {
-		x -= day.Classes[op.Class].Share
+	for point *= total; op.Class < len(day.Classes)-1 && point >= day.Classes[op.Class].Share; op.Class++ {
+		point -= day.Classes[op.Class].Share
 	}
 	class := &day.Classes[op.Class]
 	op.Write = class.Write
-	op.Work = exp(r, class.Work.Seconds())
-	op.Zone = r.IntN(day.Zones)
-	if r.Float64() < day.Load.ZoneSkew {
+	op.Work = drawExponential(random, class.Work.Seconds())
+	op.Zone = random.IntN(day.Zones)
+	if random.Float64() < day.Load.ZoneSkew {
 		op.Zone = 0
 	}
-	rank, hot, which := c.w.zipf.Rank(r.Float64()), r.Float64(), r.Float64()
-	op.Key = c.ranks[rank]
-	if hot < c.hotPart && len(c.hot) > 0 {
-		op.Key = c.hot[int(which*float64(len(c.hot)))]
+	rank, hotPoint, hotIndex := c.w.zipf.Rank(random.Float64()), random.Float64(), random.Float64()
+	op.Key = c.keysByRank[rank]
+	if hotPoint < c.hotShare && len(c.hotKeys) > 0 {
+		op.Key = c.hotKeys[int(hotIndex*float64(len(c.hotKeys)))]
 	}
-	op.Size = c.w.size(op.Key)
+	op.Size = c.w.objectSize(op.Key)
 	if !op.Write {
 		op.Work *= 1 + day.Load.SizeWork*(op.Size-1)
 	}
-	op.patience = between(r, day.Clients.Try[0], day.Clients.Try[1])
-	op.honours = r.Float64() < day.Clients.Honour
-	op.jitter = r.Float64()
+	op.tryShare = drawUniform(random, day.Clients.Try[0], day.Clients.Try[1])
+	op.honoursRetryAfter = random.Float64() < day.Clients.Honour
+	op.jitter = random.Float64()
 	return op
 }
 
-// size is that of a key's object.
-func (w *World) size(key uint64) float64 {
-	return lognormal(rand.New(rand.NewPCG(key, w.day.Seed)), w.day.Load.Sizes)
+// objectSize returns the size of the object of a key.
+func (w *World) objectSize(key uint64) float64 {
+	return drawLognormal(rand.New(rand.NewPCG(key, w.day.Seed)), w.day.Load.Sizes)
 }
 
-// Fill puts each key, the most popular ones last, into the caches that are its homes; each of homes gives a server's
-// id, or 0 for none.
+// Fill stores each key in the caches that are its homes, the most popular keys last. Each function in homes
+// returns a server's ID for a key, or 0 for none.
 func (w *World) Fill(homes []func(key uint64) uint32) {
 	byID := map[uint32]*Cache{}
 	for _, c := range w.Caches {
 		byID[w.Member(c.index).ID] = c
 	}
-	for i := len(w.clients.ranks) - 1; i >= 0; i-- {
-		key := w.clients.ranks[i]
+	for i := len(w.clients.keysByRank) - 1; i >= 0; i-- {
+		key := w.clients.keysByRank[i]
 		for _, home := range homes {
 			if c := byID[home(key)]; c != nil {
-				c.store.put(key, w.size(key))
+				c.store.put(key, w.objectSize(key))
 			}
 		}
 	}
 }
 
-// ask sends a try to a router of the client's zone.
-func (c *clients) ask(op *Op, n int) {
+// send sends a try to a router of the client's zone.
+func (c *clients) send(op *Operation, number int) {
 	class := &c.w.day.Classes[op.Class]
 	now := c.w.Now()
-	left := class.Deadline.D() - (now - op.At)
-	t := &Try{Op: op, N: n, At: now, Router: c.route(op),
-		Remaining: min(left, time.Duration(op.patience*float64(class.Deadline.D())))}
+	remaining := class.Deadline.D() - (now - op.CreatedAt)
+	t := &Try{Op: op, N: number, At: now, Router: c.pickRouter(op),
+		Remaining: min(remaining, time.Duration(op.tryShare*float64(class.Deadline.D())))}
 	if t.Remaining <= 0 {
-		c.end(op)
+		c.finishOperation(op)
 		return
 	}
-	op.Tries = n + 1
+	op.TryCount = number + 1
 	c.w.After(c.w.ClientDelay(), func() {
-		if !c.w.tier.Take(t) {
-			c.w.After(c.w.ClientDelay(), func() { c.answered(t, NoRoute, 0) })
+		if !c.w.routers.Take(t) {
+			c.w.After(c.w.ClientDelay(), func() { c.handleAnswer(t, FinalNoRouter, 0) })
 		}
 	})
 	c.w.After(t.Remaining, func() {
-		if !t.over {
-			c.w.After(c.w.ClientDelay(), func() { c.w.tier.Leave(t) })
-			c.ended(t, Failure, Unanswered, 0)
+		if !t.ended {
+			c.w.After(c.w.ClientDelay(), func() { c.w.routers.Leave(t) })
+			c.finishTry(t, Failure, EndingUnanswered, 0)
 		}
 	})
 }
 
-// route deals clients out over the routers of their zone that the front holds to be alive.
-func (c *clients) route(op *Op) int {
+// pickRouter distributes clients over the routers of their zone that the load balancer believes to be alive.
+// If there are none, it uses the routers of all zones.
+func (c *clients) pickRouter(op *Operation) int {
 	day := c.w.day
 	pick := func(zone int) (int, bool) {
 		var alive []int
 		for i := range day.Routers {
-			if (zone < 0 || c.w.routerZone(i) == zone) && (c.believe[i] == 0 || c.believe[i] > c.w.Now()) {
+			if (zone < 0 || c.w.routerZone(i) == zone) && (c.believedDeadAt[i] == 0 || c.believedDeadAt[i] > c.w.Now()) {
 				alive = append(alive, i)
 			}
 		}
 		if len(alive) == 0 {
 			return 0, false
 		}
-		c.deal++
-		return alive[c.deal%uint64(len(alive))], true
+		c.nextRouter++
+		return alive[c.nextRouter%uint64(len(alive))], true
 	}
 	if i, ok := pick(op.Zone); ok {
 		return i
@@ -235,60 +238,62 @@
 	return i
 }
 
-// Reply carries a router's final answer to the client.
-func (w *World) Reply(t *Try, f Final, after time.Duration) {
-	w.After(w.ClientDelay(), func() { w.clients.answered(t, f, after) })
+// Reply delivers a router's final answer to the client.
+func (w *World) Reply(t *Try, answer Final, retryAfter time.Duration) {
+	w.After(w.ClientDelay(), func() { w.clients.handleAnswer(t, answer, retryAfter) })
 }
 
-// answered takes the final answer to a try.
-func (c *clients) answered(t *Try, f Final, after time.Duration) { c.ended(t, f, endingOf(f), after) }
+// handleAnswer processes the final answer to a try.
+func (c *clients) handleAnswer(t *Try, answer Final, retryAfter time.Duration) {
+	c.finishTry(t, answer, endingOf(answer), retryAfter)
+}
 
-// ended takes the end of a try, and asks again where the class permits that.
-func (c *clients) ended(t *Try, f Final, how Ending, after time.Duration) {
-	if t.over {
+// finishTry processes the end of a try and schedules a retry if the class allows one.
+func (c *clients) finishTry(t *Try, answer Final, ending TryEnding, retryAfter time.Duration) {
+	if t.ended {
 		return
 	}
-	t.over = true
+	t.ended = true
 	op, now := t.Op, c.w.Now()
-	op.Last = how
-	if f == Value {
-		op.Served = now
-		c.end(op)
+	op.LastEnding = ending
+	if answer == Value {
+		op.AnsweredAt = now
+		c.finishOperation(op)
 		return
 	}
 	class := &c.w.day.Classes[op.Class]
-	again := t.N < c.w.day.Clients.Retries
+	retry := t.N < c.w.day.Clients.Retries
 	switch class.Effect {
 	case "unsafe":
-		again = again && (f == Refused || f == NoRoute)
+		retry = retry && (answer == Refused || answer == FinalNoRouter)
 	case "keyed":
-		again = again && (f == Refused || f == NoRoute || now-op.At < class.Window.D())
+		retry = retry && (answer == Refused || answer == FinalNoRouter || now-op.CreatedAt < class.Window.D())
 	}
 	wait := time.Duration(float64(c.w.day.Clients.Backoff.D()) * float64(int(1)<<t.N) * (0.5 + op.jitter))
-	if f == Refused && op.honours {
-		wait = max(wait, min(after, c.w.day.Clients.MostWait.D()))
+	if answer == Refused && op.honoursRetryAfter {
+		wait = max(wait, min(retryAfter, c.w.day.Clients.MostWait.D()))
 	}
-	if !again || now+wait-op.At >= class.Deadline.D() {
-		c.end(op)
+	if !retry || now+wait-op.CreatedAt >= class.Deadline.D() {
+		c.finishOperation(op)
 		return
 	}
-	c.w.After(wait, func() { c.ask(op, t.N+1) })
+	c.w.After(wait, func() { c.send(op, t.N+1) })
 }
 
-func (c *clients) end(op *Op) {
-	if !op.Over {
-		op.Over = true
-		c.w.watcher.Ended(op)
+func (c *clients) finishOperation(op *Operation) {
+	if !op.Ended {
+		op.Ended = true
+		c.w.observer.Ended(op)
 	}
 }
 
-// drift has some keys change places, once a second.
-func (c *clients) drift(r *rand.Rand) {
+// scheduleDrift swaps the popularity of some keys once a second.
+func (c *clients) scheduleDrift(r *rand.Rand) {
 	c.w.After(time.Second, func() {
-		for range int(c.w.day.Load.Drift*float64(len(c.ranks)) + r.Float64()) {
-			a, b := r.IntN(len(c.ranks)), r.IntN(len(c.ranks))
-			c.ranks[a], c.ranks[b] = c.ranks[b], c.ranks[a]
+		for range int(c.w.day.Load.Drift*float64(len(c.keysByRank)) + r.Float64()) {
+			a, b := r.IntN(len(c.keysByRank)), r.IntN(len(c.keysByRank))
+			c.keysByRank[a], c.keysByRank[b] = c.keysByRank[b], c.keysByRank[a]
 		}
-		c.drift(r)
+		c.scheduleDrift(r)
 	})
 }
--- a/internal/lab/model/conn.go
+++ b/internal/lab/model/conn.go
@@ -5,108 +5,109 @@
 	"time"
 )
 
-// Answer is what a server says to a call.
+// Answer is the result of a call to a server.
 type Answer uint8
 
-// The answers. Busy and Stale tell that the call never ran, as Missed does.
+// The results of a call. Busy and Stale mean that the call was never executed, as Missed does.
 const (
 	Served Answer = iota
-	Missed        // not kept there; no effect
-	Failed        // may have run
-	Busy          // turned away unseen
-	Stale         // waited too long, and was never begun
+	Missed        // the server does not hold the object; no effect
+	Failed        // the call may have been executed
+	Busy          // rejected without being started
+	Stale         // waited too long in the queue and was never started
 )
 
-// Call is one call of a router to a server.
+// Call is one call from a router to a server.
 type Call struct {
 	Try     *Try
-	Attempt int // by number, from 0
+	Attempt int // number of the attempt within its try, from 0
 	Conn    *Conn
 
 	job    job
-	answer Answer
-	done   bool // the answer is there, though one before it on the connection may not be
+	result Answer
+	ready  bool // the result is known, though an earlier call on the connection may still be unanswered
 }
 
-// Holder is the router's side of a connection. Nothing is called while the holder calls the Conn.
-type Holder interface {
+// ConnHandler receives the events of a connection on the router's side. No method is called while the handler
+// is inside a method of Conn.
+type ConnHandler interface {
 	Opened(c *Conn)
-	Refused(c *Conn)               // none came up; a machine that has vanished does not even refuse
+	Refused(c *Conn)               // the connection was not established; a vanished machine does not even refuse
 	Answered(call *Call, a Answer) // in the order of the calls
-	Lost(c *Conn)                  // by the other side or the network; calls that are out get no answer
+	Lost(c *Conn)                  // closed by the server or the network; unanswered calls get no result
 }
 
-// Conn is one connection from a router to a server. Calls on it are answered in
-// order. It costs the server work to open.
+// Conn is one connection from a router to a server. Calls on it are answered in order. Opening a connection
+// costs the server work.
 type Conn struct {
 	Router int
-	Server int // by index
-
-	w      *World
-	host   *host
-	holder Holder
-	calls  []*Call // that have come to the server and are not answered, in order
-
-	up, down time.Duration // arrivals at either end so far: segments do not overtake each other
-	opened   bool          // at the server
-	closed   bool          // by the router
-	over     bool          // at the server
-	silent   bool          // nothing passes any more, and nobody is told
+	Server int // index of the server
+
+	w          *World
+	host       *host
+	handler    ConnHandler
+	unanswered []*Call // calls that have reached the server and are not answered, in order
+
+	toServerAt, toRouterAt time.Duration // latest arrival time in each direction: segments do not overtake each other
+	opened                 bool          // the server has accepted the connection
+	closedByRouter         bool
+	closedByServer         bool
+	blocked                bool // drops everything in both directions and reports no error
 }
 
-// host is what all servers have in common: a process with connections.
+// host is the part that all servers have in common: a process with connections.
 type host struct {
-	w     *World
-	index int
-	zone  int
-	up    bool
-	mute  bool // the machine has vanished: nothing passes
-	most  int  // connections accepted
-	conns []*Conn
-	serve func(*Call)
-	drop  func(*Call)      // nobody waits for it any more
-	greet func(router int) // work of a new connection
+	w        *World
+	index    int
+	zone     int
+	running  bool
+	vanished bool // the machine has vanished: it neither receives nor sends anything
+	maxConns int  // connections that the host accepts
+	conns    []*Conn
+	serve    func(*Call)
+	cancel   func(*Call)      // stops a call whose result nobody waits for
+	accept   func(router int) // does the work of a new connection
 }
 
-// Dial opens a connection from a router; holder hears what becomes of it. It
-// takes two round trips, as with TLS.
-func (w *World) Dial(router, server int, holder Holder) *Conn {
+// Dial opens a connection from a router; handler receives its events. Opening takes two round trips, as with
+// TLS.
+func (w *World) Dial(router, server int, handler ConnHandler) *Conn {
 	h := w.hosts[server]
-	if server > 0 { // a router that has not heard yet reaches whoever has taken over the address
+	if server > 0 { // the address may have a new owner of which this router does not know yet
 		h = w.occupants[w.Caches[server-1].Addr]
 	}
-	c := &Conn{Router: router, Server: server, w: w, host: h, holder: holder}
+	c := &Conn{Router: router, Server: server, w: w, host: h, handler: handler}
 	w.Handshakes++
 	c.toServer(func() {
 		h := c.host
 		switch {
-		case c.closed:
-		case !h.up || len(h.conns) >= h.most:
-			c.toRouter(func() { c.refused() })
+		case c.closedByRouter:
+		case !h.running || len(h.conns) >= h.maxConns:
+			c.toRouter(func() { c.reportRefused() })
 		default:
 			h.conns = append(h.conns, c)
 			c.opened = true
-			if h.greet != nil {
-				h.greet(c.Router)
+			if h.accept != nil {
+				h.accept(c.Router)
 			}
 			c.toRouter(func() {
-				c.toServer(func() { c.toRouter(c.ready) })
+				c.toServer(func() { c.toRouter(c.reportOpened) })
 			})
 		}
 	})
 	return c
 }
 
-func (c *Conn) refused() {
-	if !c.closed {
-		c.closed = true
-		c.holder.Refused(c)
+func (c *Conn) reportRefused() {
+	if !c.closedByRouter {
+		c.closedByRouter = true
+		c.handler.Refused(c)
 	}
 }
 
-func (c *Conn) ready() {
-	if !c.closed {
-		c.holder.Opened(c)
+func (c *Conn) reportOpened() {
+	if !c.closedByRouter {
+		c.handler.Opened(c)
 	}
 }
 
@@ -115,102 +116,103 @@
 	call.Conn = c
 	c.toServer(func() {
 		h := c.host
-		if c.over || !h.up {
-			if !c.over {
-				c.hangUp()
+		if c.closedByServer || !h.running {
+			if !c.closedByServer {
+				c.closeServerSide()
 			}
 			return
 		}
-		c.calls = append(c.calls, call)
+		c.unanswered = append(c.unanswered, call)
 		h.serve(call)
 	})
 }
 
-// Close ends a connection from the router's side. The server hears of it a little
-// later, and then stops what it does for it.
+// Close closes the connection from the router's side. The server learns of this after the network delay and
+// then stops its work for the connection.
 func (c *Conn) Close() {
-	if c.closed {
+	if c.closedByRouter {
 		return
 	}
-	c.closed = true
-	c.toServer(c.hangUp)
+	c.closedByRouter = true
+	c.toServer(c.closeServerSide)
 }
 
-// hangUp ends the server's side.
-func (c *Conn) hangUp() {
-	if c.over {
+// closeServerSide closes the server's side and cancels its unfinished calls.
+func (c *Conn) closeServerSide() {
+	if c.closedByServer {
 		return
 	}
-	c.over = true
+	c.closedByServer = true
 	h := c.host
 	if i := slices.Index(h.conns, c); i >= 0 {
 		h.conns = slices.Delete(h.conns, i, i+1)
 	}
-	for _, call := range c.calls {
-		if !call.done {
-			h.drop(call)
+	for _, call := range c.unanswered {
+		if !call.ready {
+			h.cancel(call)
 		}
 	}
-	c.calls = nil
+	c.unanswered = nil
 }
 
-// Break ends a connection on both sides, as the end of a process does.
-func (c *Conn) Break() {
-	c.hangUp()
+// Reset closes the connection on both sides, as happens when a process ends.
+func (c *Conn) Reset() {
+	c.closeServerSide()
 	c.toRouter(func() {
-		if !c.closed {
-			c.closed = true
-			c.holder.Lost(c)
+		if !c.closedByRouter {
+			c.closedByRouter = true
+			c.handler.Lost(c)
 		}
 	})
 }
 
-// Silence lets nothing pass any more, in either direction, and tells nobody.
-func (c *Conn) Silence() { c.silent = true }
+// Blackhole makes the connection drop everything in both directions without an error on either side.
+func (c *Conn) Blackhole() { c.blocked = true }
 
-// toServer has something arrive at the server, unless the connection or the way there is silent.
+// toServer runs a function when a segment sent now reaches the server, unless the connection or the server's
+// machine drops it.
 func (c *Conn) toServer(run func()) {
-	c.up = max(c.up, c.w.arrival(c.w.routerZone(c.Router), c.host.zone, c.Router))
-	c.w.At(c.up, func() {
-		if !c.silent && !c.host.mute {
+	c.toServerAt = max(c.toServerAt, c.w.arrivalTime(c.w.routerZone(c.Router), c.host.zone, c.Router))
+	c.w.At(c.toServerAt, func() {
+		if !c.blocked && !c.host.vanished {
 			run()
 		}
 	})
 }
 
 func (c *Conn) toRouter(run func()) {
-	c.down = max(c.down, c.w.arrival(c.host.zone, c.w.routerZone(c.Router), c.Router))
-	c.w.At(c.down, func() {
-		if !c.silent && !c.host.mute {
+	c.toRouterAt = max(c.toRouterAt, c.w.arrivalTime(c.host.zone, c.w.routerZone(c.Router), c.Router))
+	c.w.At(c.toRouterAt, func() {
+		if !c.blocked && !c.host.vanished {
 			run()
 		}
 	})
 }
 
-// finish has the answer of a call ready, and sends all answers that nothing is before any more.
-func (c *Conn) finish(call *Call, a Answer) {
-	call.done, call.answer = true, a
-	if c.over {
+// finish stores the result of a call and sends all results that no longer wait for an earlier call.
+func (c *Conn) finish(call *Call, result Answer) {
+	call.ready, call.result = true, result
+	if c.closedByServer {
 		return
 	}
-	n := 0
-	for n < len(c.calls) && c.calls[n].done {
-		first := c.calls[n]
-		n++
+	ready := 0
+	for ready < len(c.unanswered) && c.unanswered[ready].ready {
+		first := c.unanswered[ready]
+		ready++
 		c.toRouter(func() {
-			if !c.closed {
-				c.holder.Answered(first, first.answer)
+			if !c.closedByRouter {
+				c.handler.Answered(first, first.result)
 			}
 		})
 	}
-	c.calls = c.calls[n:]
+	c.unanswered = c.unanswered[ready:]
 }
 
-// stop ends the process: connections are reset, and new ones refused.
+// stop ends the process: connections are reset and new ones are refused.
 func (h *host) stop() {
-	h.up = false
+	h.running = false
 	for _, c := range slices.Clone(h.conns) {
-		c.Break()
+		c.Reset()
 	}
 	h.conns = nil
 }
--- a/internal/lab/model/day.go
+++ b/internal/lab/model/day.go
@@ -7,105 +7,113 @@
 	"hoptiller/internal/unit"
 )
 
-// Day says what a day is like. Times are virtual. All random choices come from Seed.
+// Day describes a simulated day. Times are virtual. All random choices come from Seed.
 type Day struct {
-	Seed    uint64        `toml:"seed"`
-	Warm    unit.Duration `toml:"warm"`    // before the day proper, with an origin that never tires; not counted
-	Fill    bool          `toml:"fill"`    // caches begin with what a router would have asked them for: large fleets are never warm in seconds
-	Length  unit.Duration `toml:"length"`  // of what is counted
-	Routers int           `toml:"routers"` // spread evenly over the zones
+	Seed uint64        `toml:"seed"`
+	Warm unit.Duration `toml:"warm"` // warm-up before the measured time, not counted; the origin cannot collapse in it
+	// Fill stores keys in the caches at the start, each where a router would request it. Large fleets do not
+	// warm up within seconds.
+	Fill    bool          `toml:"fill"`
+	Length  unit.Duration `toml:"length"`  // measured time
+	Routers int           `toml:"routers"` // distributed evenly over the zones
 	Zones   int           `toml:"zones"`
-	Round   unit.Duration `toml:"round"` // least time between rounds of a router's events; 0: each at once
+	Round   unit.Duration `toml:"round"` // minimum time between batches of a router's events; 0 handles each event at once
 
-	Fleet     Fleet     `toml:"fleet"`
-	Kinds     []Kind    `toml:"kind"`
-	Origin    OriginSet `toml:"origin"`
-	Directory ListSet   `toml:"directory"`
-	Net       Net       `toml:"net"`
-	Load      Load      `toml:"load"`
-	Classes   []Class   `toml:"class"`
-	Clients   Clients   `toml:"clients"`
-	Rules     Rules     `toml:"rules"`
-	Faults    []Fault   `toml:"fault"`
+	Fleet     Fleet             `toml:"fleet"`
+	Kinds     []Kind            `toml:"kind"`
+	Origin    OriginSettings    `toml:"origin"`
+	Directory DiscoverySettings `toml:"directory"`
+	Net       Net               `toml:"net"`
+	Load      Load              `toml:"load"`
+	Classes   []Class           `toml:"class"`
+	Clients   Clients           `toml:"clients"`
+	Rules     InvariantLimits   `toml:"rules"`
+	Faults    []Fault           `toml:"fault"`
 }
 
-// Fleet is what all slot caches have in common.
+// Fleet holds the settings that all slot caches have in common.
 type Fleet struct {
 	Caches     int           `toml:"caches"`
-	Memory     int           `toml:"memory"`      // objects of mean size that one keeps
-	MissWork   float64       `toml:"miss_work"`   // of a request's work, what it costs to find nothing
+	Memory     int           `toml:"memory"`      // objects of mean size that one cache holds
+	MissWork   float64       `toml:"miss_work"`   // cost of a miss, as a share of the work of the request
 	Handshake  unit.Duration `toml:"handshake"`   // work of a new connection, in standard-core time
-	ConnsCore  int           `toml:"conns_core"`  // connections accepted, for each core
-	Share      int           `toml:"share"`       // calls on a connection before routers open another one
-	MostConns  int           `toml:"most_conns"`  // connections from one router
-	ConnectFor unit.Duration `toml:"connect_for"` // routers wait so long for a connection
-	IdleFor    unit.Duration `toml:"idle_for"`    // caches close connections that were idle so long
-	Reap       bool          `toml:"reap"`        // routers close theirs earlier where the tables don't hold those of all
+	ConnsCore  int           `toml:"conns_core"`  // connections that a cache accepts for each of its cores
+	Share      int           `toml:"share"`       // calls on a connection before a router opens another one
+	MostConns  int           `toml:"most_conns"`  // connections from one router to a cache
+	ConnectFor unit.Duration `toml:"connect_for"` // how long a router waits for a connection to open
+	IdleFor    unit.Duration `toml:"idle_for"`    // caches close connections that have been idle for this long
+	// Reap makes routers close idle connections earlier if a cache cannot accept the connections of all
+	// routers.
+	Reap bool `toml:"reap"`
 }
 
 // Kind is one kind of machine.
 type Kind struct {
 	Name      string        `toml:"name"`
-	Share     float64       `toml:"share"` // of the fleet
-	Cores     int           `toml:"cores"` // each works on one request
-	Speed     float64       `toml:"speed"` // of a core, against the standard core
+	Share     float64       `toml:"share"` // share of the fleet
+	Cores     int           `toml:"cores"` // each works on one request at a time
+	Speed     float64       `toml:"speed"` // speed of a core, relative to the standard core
 	Spread    float64       `toml:"spread"`
-	Queue     float64       `toml:"queue"`     // waiting places for each core
-	ColdFrom  float64       `toml:"cold_from"` // part of its capacity that a new process has
-	ColdFor   unit.Duration `toml:"cold_for"`  // till it has all
+	Queue     float64       `toml:"queue"`     // queue slots for each core
+	ColdFrom  float64       `toml:"cold_from"` // share of its full capacity that a new process has
+	ColdFor   unit.Duration `toml:"cold_for"`  // time until a new process has its full capacity
 	ErrorRate float64       `toml:"error_rate"`
 }
 
-// OriginSet is the origin. Its capacity is Headroom times the fetches and writes
-// that are left when all memory works as one cache.
-type OriginSet struct {
+// OriginSettings describes the origin. Its capacity is Headroom times the fetches and writes that would remain
+// if the memory of all caches worked as one cache.
+type OriginSettings struct {
 	Headroom float64       `toml:"headroom"`
-	Time     unit.Duration `toml:"time"` // mean of a fetch
+	Time     unit.Duration `toml:"time"` // mean time of a fetch
 	Write    float64       `toml:"write"`
-	Queue    unit.Duration `toml:"queue"`  // of work that waits; more is turned away, and what waits longer is given up
-	Drops    bool          `toml:"drops"`  // by ending the connection
-	Shared   bool          `toml:"shared"` // a read joins a fetch of its key that is out
-	Fall     float64       `toml:"fall"`   // multiple of its capacity at which it stops
-	FallFor  unit.Duration `toml:"fall_for"`
-	DownFor  unit.Duration `toml:"down_for"`
-	Conns    int           `toml:"conns"`             // from one router
-	Unsized  float64       `toml:"unsized,omitempty"` // part of the values that have no length and end with their connection; on sockets only
+	// Queue is the length of the queue in time: more work is rejected, and work that has waited longer is
+	// dropped.
+	Queue   unit.Duration `toml:"queue"`
+	Drops   bool          `toml:"drops"`  // rejects by closing the connection
+	Shared  bool          `toml:"shared"` // a read joins a fetch of the same key that is in progress
+	Fall    float64       `toml:"fall"`   // load at which the origin stops, as a multiple of its capacity
+	FallFor unit.Duration `toml:"fall_for"`
+	DownFor unit.Duration `toml:"down_for"`
+	Conns   int           `toml:"conns"` // connections from one router
+	// Unsized is the share of the values that are sent without a length and end with their connection; on
+	// sockets only.
+	Unsized float64 `toml:"unsized,omitempty"`
 }
 
-// ListSet is the directory.
-type ListSet struct {
-	Notice   [2]unit.Duration `toml:"notice"` // from a planned change, or a new process, to its listing
-	Silent   [2]unit.Duration `toml:"silent"` // from a death to its listing
-	Spread   unit.Duration    `toml:"spread"` // between routers, at the most
+// DiscoverySettings describes server discovery.
+type DiscoverySettings struct {
+	Notice   [2]unit.Duration `toml:"notice"` // range of the time from a planned change or a new process to its listing
+	Silent   [2]unit.Duration `toml:"silent"` // range of the time from the death of a process to its listing
+	Spread   unit.Duration    `toml:"spread"` // maximum difference between the routers' updates
 	Capacity float64          `toml:"capacity"`
 	Timeout  unit.Duration    `toml:"timeout"`
 }
 
-// Net is the network. Delays are one way.
+// Net describes the network. Delays are one-way.
 type Net struct {
 	Same     unit.Duration `toml:"same"`
 	Cross    unit.Duration `toml:"cross"`
 	Client   unit.Duration `toml:"client"`
 	Jitter   float64       `toml:"jitter"`
-	Loss     float64       `toml:"loss"`   // of segments, each of which comes Resend later
-	Resend   unit.Duration `toml:"resend"` // the sender's least time-out
-	Peer     unit.Duration `toml:"peer"`   // of a message between routers
+	Loss     float64       `toml:"loss"`   // share of segments that are lost; each arrives after Resend
+	Resend   unit.Duration `toml:"resend"` // minimum retransmission timeout of the sender
+	Peer     unit.Duration `toml:"peer"`   // one-way delay of a message between routers
 	PeerLoss float64       `toml:"peer_loss"`
 }
 
-// Load is what clients ask for.
+// Load describes the requests of the clients.
 type Load struct {
-	Level    float64       `toml:"level"` // of the fleet's capacity; 0: nobody asks
+	Level    float64       `toml:"level"` // mean load as a share of the fleet's capacity; 0 means no requests
 	Shape    string        `toml:"shape"` // steady, wave or bursty
 	Swing    float64       `toml:"swing"`
 	Period   unit.Duration `toml:"period"`
-	Keys     int           `toml:"keys"` // for each slot cache
+	Keys     int           `toml:"keys"` // number of keys per slot cache
 	Zipf     float64       `toml:"zipf"`
 	Offset   float64       `toml:"offset"`
-	Drift    float64       `toml:"drift"`     // of the keys that change places in a second
-	Sizes    float64       `toml:"sizes"`     // sigma of objects' sizes
-	Bytes    int           `toml:"bytes"`     // of a value on sockets, in the mean
-	SizeWork float64       `toml:"size_work"` // part of a read's work that goes with the size of its object
+	Drift    float64       `toml:"drift"`     // share of the keys that change their rank each second
+	Sizes    float64       `toml:"sizes"`     // sigma of the lognormal object sizes
+	Bytes    int           `toml:"bytes"`     // mean size of a value, on sockets
+	SizeWork float64       `toml:"size_work"` // share of a read's work that is proportional to the size of its object
 	ZoneSkew float64       `toml:"zone_skew"`
 	Tenants  int           `toml:"tenants"`
 }
@@ -118,75 +126,80 @@
 	Aim      unit.Duration `toml:"aim"`
 	Deadline unit.Duration `toml:"deadline"`
 	Worth    float64       `toml:"worth"`
-	Late     float64       `toml:"late"`   // part of the worth that an answer after the aim still earns
+	Late     float64       `toml:"late"`   // share of the worth that an answer after the aim still earns
 	Effect   string        `toml:"effect"` // safe, unsafe or keyed
-	Window   unit.Duration `toml:"window"` // keyed: repeats are dropped so long
+	Window   unit.Duration `toml:"window"` // for keyed requests: how long the origin drops repeated ones
 	Write    bool          `toml:"write"`
 }
 
-// Clients is how clients behave.
+// Clients describes the behaviour of clients.
 type Clients struct {
 	Retries  int           `toml:"retries"`
-	Try      [2]float64    `toml:"try"` // of the deadline, after which a try is given up
+	Try      [2]float64    `toml:"try"` // range of the share of the deadline after which a client cancels a try
 	Backoff  unit.Duration `toml:"backoff"`
-	Honour   float64       `toml:"honour"`    // part that comes back when told to
-	MostWait unit.Duration `toml:"most_wait"` // that is honoured
-	Notice   unit.Duration `toml:"notice"`    // until the front sends nobody to a dead router
-	Leave    float64       `toml:"leave"`     // part that closes its connection before the answer, on sockets
+	Honour   float64       `toml:"honour"`    // share of clients that honour a retry delay
+	MostWait unit.Duration `toml:"most_wait"` // longest retry delay that clients honour
+	Notice   unit.Duration `toml:"notice"`    // time until the load balancer stops using a dead router
+	Leave    float64       `toml:"leave"`     // share of clients that close their connection before the answer, on sockets
 }
 
-// Rules are the figures that must be kept.
-type Rules struct {
+// Rules holds the limits of the invariants.
+type InvariantLimits struct {
 	Attempts  int           `toml:"attempts"`
-	Drain     unit.Duration `toml:"drain"` // after which a drain that was told binds
+	Drain     unit.Duration `toml:"drain"` // time after the listing of a drain from which routers must respect it
 	Overload  float64       `toml:"overload"`
 	Fall      unit.Duration `toml:"fall"`
 	Grace     unit.Duration `toml:"grace"`
 	AskWithin unit.Duration `toml:"ask_within"`
-	Copies    bool          `toml:"copies"` // two calls of a request may be out at once
-	// TimeSlack is by how much an attempt may tell its server more time than its client has left.
+	Copies    bool          `toml:"copies"` // whether two calls of a request may be in flight at once
+	// TimeSlack is the time by which an attempt may overstate to its server the time that its client has left.
 	TimeSlack unit.Duration `toml:"time_slack"`
 }
 
-// Prairie is the day that all others are told by their difference from: ten
-// slot caches, three routers in three zones, about 200 requests a second.
+// Prairie returns the default day, from which all other days are described by their differences: ten slot
+// caches, three routers in three zones, about 200 requests per second.
 func Prairie() Day {
-	ms := func(n int) unit.Duration { return unit.Duration(time.Duration(n) * time.Millisecond) }
+	millis := func(n int) unit.Duration { return unit.Duration(time.Duration(n) * time.Millisecond) }
 	return Day{
-		Seed: 1, Warm: ms(20000), Length: ms(40000), Routers: 3, Zones: 3,
-		Fleet: Fleet{Caches: 10, Memory: 50, MissWork: 0.1, Handshake: ms(34), ConnsCore: 14, Share: 4, MostConns: 16,
-			ConnectFor: ms(250), IdleFor: ms(60000), Reap: true},
+		Seed: 1, Warm: millis(20000), Length: millis(40000), Routers: 3, Zones: 3,
+		Fleet: Fleet{Caches: 10, Memory: 50, MissWork: 0.1, Handshake: millis(34), ConnsCore: 14, Share: 4, MostConns: 16,
+			ConnectFor: millis(250), IdleFor: millis(60000), Reap: true},
 		Kinds: []Kind{
-			{Name: "std-6c", Share: 0.53, Cores: 6, Speed: 0.97, Spread: 0.12, Queue: 1.6, ColdFrom: 0.2, ColdFor: ms(18000),
+			{Name: "std-6c", Share: 0.53, Cores: 6, Speed: 0.97, Spread: 0.12, Queue: 1.6, ColdFrom: 0.2, ColdFor: millis(18000),
 				ErrorRate: 0.0002},
-			{Name: "small-5c", Share: 0.47, Cores: 5, Speed: 0.75, Spread: 0.1, Queue: 2.3, ColdFrom: 0.15, ColdFor: ms(22000),
+			{Name: "small-5c", Share: 0.47, Cores: 5, Speed: 0.75, Spread: 0.1, Queue: 2.3, ColdFrom: 0.15, ColdFor: millis(22000),
 				ErrorRate: 0.001},
 		},
-		Origin: OriginSet{Headroom: 2.5, Time: ms(150), Write: 1, Queue: ms(1500), Fall: 3, FallFor: ms(3000), DownFor: ms(5000),
+		Origin: OriginSettings{Headroom: 2.5, Time: millis(150), Write: 1, Queue: millis(1500),
+			Fall: 3, FallFor: millis(3000), DownFor: millis(5000),
 			Conns: 64},
-		Directory: ListSet{Notice: [2]unit.Duration{ms(1000), ms(4600)}, Silent: [2]unit.Duration{ms(4600), ms(11000)},
-			Spread: ms(120), Capacity: 4, Timeout: ms(3000)},
-		Net: Net{Same: unit.Duration(200 * time.Microsecond), Cross: ms(8), Client: unit.Duration(700 * time.Microsecond),
-			Jitter: 0.2, Resend: ms(200), Peer: ms(15), PeerLoss: 0.01},
-		Load: Load{Level: 0.5, Shape: "wave", Swing: 0.25, Period: ms(20000), Keys: 60, Zipf: 1, Offset: 3, Drift: 0.005,
+		Directory: DiscoverySettings{Notice: [2]unit.Duration{millis(1000), millis(4600)},
+			Silent: [2]unit.Duration{millis(4600), millis(11000)},
+			Spread: millis(120), Capacity: 4, Timeout: millis(3000)},
+		Net: Net{Same: unit.Duration(200 * time.Microsecond), Cross: millis(8), Client: unit.Duration(700 * time.Microsecond),
+			Jitter: 0.2, Resend: millis(200), Peer: millis(15), PeerLoss: 0.01},
+		Load: Load{Level: 0.5, Shape: "wave", Swing: 0.25, Period: millis(20000), Keys: 60, Zipf: 1, Offset: 3, Drift: 0.005,
 			Sizes: 0.6, Bytes: 200, SizeWork: 0.3, ZoneSkew: 0.3, Tenants: 1},
 		Classes: []Class{
-			{Name: "slot-view", Share: 0.963, Work: ms(130), Aim: ms(1200), Deadline: ms(4000), Worth: 1, Effect: "safe"},
-			{Name: "book", Share: 0.024, Work: ms(200), Aim: ms(1500), Deadline: ms(5000), Worth: 3, Effect: "unsafe", Write: true},
-			{Name: "cancel", Share: 0.013, Work: ms(200), Aim: ms(1000), Deadline: ms(2000), Worth: 2, Effect: "keyed",
-				Window: ms(1500), Write: true},
+			{Name: "slot-view", Share: 0.963, Work: millis(130), Aim: millis(1200), Deadline: millis(4000), Worth: 1, Effect: "safe"},
+			{Name: "book", Share: 0.024, Work: millis(200), Aim: millis(1500), Deadline: millis(5000), Worth: 3,
+				Effect: "unsafe", Write: true},
+			{Name: "cancel", Share: 0.013, Work: millis(200), Aim: millis(1000), Deadline: millis(2000), Worth: 2, Effect: "keyed",
+				Window: millis(1500), Write: true},
 		},
-		Clients: Clients{Retries: 2, Try: [2]float64{0.53, 0.8}, Backoff: ms(200), Honour: 0.8, MostWait: ms(2000), Notice: ms(2800)},
-		Rules:   Rules{Attempts: 5, Drain: ms(500), Overload: 2.5, Fall: ms(1500), Grace: ms(20), AskWithin: ms(10000)},
+		Clients: Clients{Retries: 2, Try: [2]float64{0.53, 0.8}, Backoff: millis(200),
+			Honour: 0.8, MostWait: millis(2000), Notice: millis(2800)},
+		Rules: InvariantLimits{Attempts: 5, Drain: millis(500), Overload: 2.5,
+			Fall: millis(1500), Grace: millis(20), AskWithin: millis(10000)},
 	}
 }
 
-// Check tells what is impossible in a day, by the name of the figure.
+// Check returns an error that names the first setting with an impossible value.
 func (d *Day) Check() error {
 	type bound struct {
 		name     string
-		is       float64
-		from, to float64
+		value    float64
+		min, max float64
 	}
 	bounds := []bound{
 		{"warm", d.Warm.Seconds(), 0, 3600}, {"length", d.Length.Seconds(), 1, 86400},
@@ -204,32 +217,36 @@
 		{"net.jitter", d.Net.Jitter, 0, 1}, {"net.loss", d.Net.Loss, 0, 0.9}, {"net.peer_loss", d.Net.PeerLoss, 0, 1},
 		{"load.level", d.Load.Level, 0, 10}, {"load.swing", d.Load.Swing, 0, 1}, {"load.keys", float64(d.Load.Keys), 1, 1e5},
 		{"load.zipf", d.Load.Zipf, 0, 3}, {"load.offset", d.Load.Offset, 0, 1e6}, {"load.drift", d.Load.Drift, 0, 1},
-		{"load.sizes", d.Load.Sizes, 0, 3}, {"load.bytes", float64(d.Load.Bytes), 1, 1 << 20}, {"load.size_work", d.Load.SizeWork, 0, 1}, {"load.zone_skew", d.Load.ZoneSkew, 0, 1},
+		{"load.sizes", d.Load.Sizes, 0, 3}, {"load.bytes", float64(d.Load.Bytes), 1, 1 << 20},
+		{"load.size_work", d.Load.SizeWork, 0, 1}, {"load.zone_skew", d.Load.ZoneSkew, 0, 1},
 		{"load.tenants", float64(d.Load.Tenants), 1, 1e5}, {"load.period", d.Load.Period.Seconds(), 0.1, 86400},
-		{"clients.retries", float64(d.Clients.Retries), 0, 10}, {"clients.honour", d.Clients.Honour, 0, 1}, {"clients.leave", d.Clients.Leave, 0, 1},
+		{"clients.retries", float64(d.Clients.Retries), 0, 10}, {"clients.honour", d.Clients.Honour, 0, 1},
+		{"clients.leave", d.Clients.Leave, 0, 1},
 		{"clients.try", d.Clients.Try[0], 0.01, d.Clients.Try[1]}, {"clients.try", d.Clients.Try[1], 0.01, 1},
 		{"rules.attempts", float64(d.Rules.Attempts), 1, 100}, {"rules.overload", d.Rules.Overload, 0.1, 100},
 		{"rules.fall", d.Rules.Fall.Seconds(), 0.01, 60},
 	}
 	share := 0.0
 	for i, k := range d.Kinds {
-		at := fmt.Sprintf("kind %d: ", i+1)
-		bounds = append(bounds, bound{at + "share", k.Share, 0, 1}, bound{at + "cores", float64(k.Cores), 1, 1024},
-			bound{at + "speed", k.Speed, 0.001, 1000}, bound{at + "spread", k.Spread, 0, 0.9}, bound{at + "queue", k.Queue, 0, 1000},
-			bound{at + "cold_from", k.ColdFrom, 0.001, 1}, bound{at + "error_rate", k.ErrorRate, 0, 1})
+		prefix := fmt.Sprintf("kind %d: ", i+1)
+		bounds = append(bounds, bound{prefix + "share", k.Share, 0, 1}, bound{prefix + "cores", float64(k.Cores), 1, 1024},
+			bound{prefix + "speed", k.Speed, 0.001, 1000}, bound{prefix + "spread", k.Spread, 0, 0.9},
+			bound{prefix + "queue", k.Queue, 0, 1000},
+			bound{prefix + "cold_from", k.ColdFrom, 0.001, 1}, bound{prefix + "error_rate", k.ErrorRate, 0, 1})
 		share += k.Share
 	}
 	for i, c := range d.Classes {
-		at := fmt.Sprintf("class %d: ", i+1)
-		bounds = append(bounds, bound{at + "share", c.Share, 0, 1}, bound{at + "work", c.Work.Seconds(), 1e-6, 60},
-			bound{at + "aim", c.Aim.Seconds(), 0.001, c.Deadline.Seconds()}, bound{at + "worth", c.Worth, 0, 1000}, bound{at + "late", c.Late, 0, 1})
+		prefix := fmt.Sprintf("class %d: ", i+1)
+		bounds = append(bounds, bound{prefix + "share", c.Share, 0, 1}, bound{prefix + "work", c.Work.Seconds(), 1e-6, 60},
+			bound{prefix + "aim", c.Aim.Seconds(), 0.001, c.Deadline.Seconds()},
+			bound{prefix + "worth", c.Worth, 0, 1000}, bound{prefix + "late", c.Late, 0, 1})
 		if c.Effect != "safe" && c.Effect != "unsafe" && c.Effect != "keyed" {
-			return fmt.Errorf("%seffect is %q: safe, unsafe or keyed is meant", at, c.Effect)
+			return fmt.Errorf("%seffect is %q: safe, unsafe or keyed is meant", prefix, c.Effect)
 		}
 	}
-	for _, b := range bounds {
-		if !(b.is >= b.from && b.is <= b.to) {
-			return fmt.Errorf("%s is %g: %g to %g is possible", b.name, b.is, b.from, b.to)
+	for _, bound := range bounds {
+		if !(bound.value >= bound.min && bound.value <= bound.max) {
+			return fmt.Errorf("%s is %g: %g to %g is possible", bound.name, bound.value, bound.min, bound.max)
 		}
 	}
 	switch {
@@ -238,12 +255,12 @@
 	case len(d.Classes) == 0:
 		return fmt.Errorf("no class of request")
 	case d.Load.Shape != "steady" && d.Load.Shape != "wave" && d.Load.Shape != "bursty":
-		return fmt.Errorf("load.shape is %q: steady, wave or bursty is meant", d.Load.Shape)
+		return fmt.Errorf("load.shape is %q: must be steady, wave or bursty", d.Load.Shape)
 	case d.Directory.Notice[0] > d.Directory.Notice[1] || d.Directory.Silent[0] > d.Directory.Silent[1]:
-		return fmt.Errorf("directory.notice and directory.silent are ranges: the first may not be the larger")
+		return fmt.Errorf("directory.notice and directory.silent are ranges: the first value must not exceed the second")
 	}
 	for i := range d.Faults {
-		if err := d.Faults[i].check(d); err != nil {
+		if err := d.Faults[i].validate(d); err != nil {
 			return fmt.Errorf("fault %d: %w", i+1, err)
 		}
 	}
--- a/internal/lab/model/directory.go
+++ b/internal/lab/model/directory.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// Phase is where a server stands in its life, as the directory tells it.
+// Phase is the state of a server in the list of server discovery.
 type Phase uint8
 
 // The phases.
 const (
-	Gone Phase = iota
+	Removed Phase = iota
 	Draining
 	Ready
 )
 
-// Member is one entry of the directory's list.
+// Member is one entry of the server list.
 type Member struct {
 	ID      uint32 // the same at every router and after a restart
-	Index   int    // by which Dial names it
-	Addr    int    // where it is found: that of one that has left may be taken over
+	Index   int    // number that identifies the server to Dial
+	Addr    int    // address; a new server may reuse the address of one that has left
 	Zone    int
-	Kind    int // that of the origin is the number of kinds
+	Kind    int // index of the kind of machine; for the origin, the number of kinds
 	Cell    int
 	Phase   Phase
 	Weight  float64
-	Started time.Duration // 0: before the day
+	Started time.Duration // 0 if the process started before the day
 	Origin  bool
 }
 
-// Update is what the directory tells a router at a time.
+// Update is what server discovery sends to a router.
 type Update struct {
-	Full    bool // all there is, else what has changed
-	Failed  bool // a call has failed or a watch has broken: nothing else is told
+	Full    bool // Members is the complete list; otherwise it holds only the changes
+	Failed  bool // a request failed or a watch broke; Members is empty
 	Members []Member
 }
 
-// Directory lists servers. It learns late of what happens, and it can do only so much.
-type Directory struct {
-	w       *World
-	set     *ListSet
-	rand    *rand.Rand
-	list    []Member // by index, gone ones too
-	log     []change // in order of version
-	version int
-	watches []*watch      // by router
-	free    time.Duration // when the calls before are answered
-	down    bool
+// Discovery lists servers. It learns of changes late, and its capacity is limited.
+type Discovery struct {
+	w         *World
+	settings  *DiscoverySettings
+	random    *rand.Rand
+	members   []Member // by index, including removed servers
+	changes   []change // in order of version
+	version   int
+	watchers  []*watcher    // by router
+	busyUntil time.Duration // time at which all earlier requests are answered
+	down      bool
 }
 
 type change struct {
@@ -54,161 +54,162 @@
 	index   int
 }
 
-// watch is what the directory knows of one router.
-type watch struct {
-	told    func(Update)
-	on      bool
-	version int // last told
-	pushing bool
+// watcher is the state of one router's watch.
+type watcher struct {
+	notify      func(Update)
+	active      bool
+	version     int // version last sent
+	pushPending bool
 }
 
-func (w *World) newDirectory() *Directory {
-	d := &Directory{w: w, set: &w.day.Directory, rand: Stream(w.day.Seed, "directory", 0)}
+func (w *World) newDiscovery() *Discovery {
+	discovery := &Discovery{w: w, settings: &w.day.Directory, random: Stream(w.day.Seed, "directory", 0)}
 	for range w.day.Routers {
-		d.watches = append(d.watches, &watch{})
+		discovery.watchers = append(discovery.watchers, &watcher{})
 	}
-	return d
+	return discovery
 }
 
-// Join has a router hear what it asks for from now on, as one that holds the list of some version.
-func (d *Directory) Join(router, version int, told func(Update)) {
-	d.watches[router] = &watch{told: told, version: min(version, d.version)}
+// Join registers the callback of a router, which holds the list of the given version.
+func (d *Discovery) Join(router, version int, notify func(Update)) {
+	d.watchers[router] = &watcher{notify: notify, version: min(version, d.version)}
 }
 
-// Present is the list of all that is not gone.
-func (d *Directory) Present() []Member {
+// Present returns all servers that are not removed.
+func (d *Discovery) Present() []Member {
 	var list []Member
-	for _, m := range d.list {
-		if m.Phase != Gone {
+	for _, m := range d.members {
+		if m.Phase != Removed {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-// Version counts the changes so far.
-func (d *Directory) Version() int { return d.version }
+// Version returns the number of changes so far.
+func (d *Discovery) Version() int { return d.version }
 
-// Ask is a call of a router: for the whole list, or for a watch, or for the end of one. answer hears
-// what comes of it; if it is nil, whoever hears the watch does.
-func (d *Directory) Ask(router int, list, on bool, answer func(Update)) {
-	watch := d.watches[router]
-	if answer == nil {
-		answer = watch.told
+// Ask handles a request of a router: for the complete list if wantList is set, to start a watch if wantWatch
+// is set, and otherwise to end its watch. callback receives the result; if it is nil, the callback of the
+// watch does.
+func (d *Discovery) Ask(router int, wantList, wantWatch bool, callback func(Update)) {
+	watch := d.watchers[router]
+	if callback == nil {
+		callback = watch.notify
 	}
-	if !list && !on {
-		watch.on = false
+	if !wantList && !wantWatch {
+		watch.active = false
 		return
 	}
 	now := d.w.Now()
-	cost := 1 / d.set.Capacity
-	d.free = max(d.free, now) + seconds(cost)
-	wait := d.free - now
+	cost := 1 / d.settings.Capacity
+	d.busyUntil = max(d.busyUntil, now) + seconds(cost)
+	wait := d.busyUntil - now
 	delay := 2 * d.w.day.Net.Cross.D()
-	if d.down || wait > d.set.Timeout.D() {
-		if wait > d.set.Timeout.D() {
-			d.free -= seconds(cost)
+	if d.down || wait > d.settings.Timeout.D() {
+		if wait > d.settings.Timeout.D() {
+			d.busyUntil -= seconds(cost)
 		}
-		d.w.After(min(wait, d.set.Timeout.D())+delay, func() { answer(Update{Failed: true}) })
+		d.w.After(min(wait, d.settings.Timeout.D())+delay, func() { callback(Update{Failed: true}) })
 		return
 	}
 	d.w.After(wait+delay, func() {
 		if d.down {
-			answer(Update{Failed: true})
+			callback(Update{Failed: true})
 			return
 		}
-		full := list || watch.version == 0
-		var u Update
-		if u.Full = full; full {
-			u.Members = d.Present()
+		complete := wantList || watch.version == 0
+		var update Update
+		if update.Full = complete; complete {
+			update.Members = d.Present()
 		} else {
-			u.Members = d.since(watch.version)
+			update.Members = d.changedSince(watch.version)
 		}
-		if watch.version = d.version; !list {
-			watch.on = true
+		if watch.version = d.version; !wantList {
+			watch.active = true
 		}
-		answer(u)
+		callback(update)
 	})
 }
 
-// entry is what is known of a server; one that was never listed is gone.
-func (d *Directory) entry(index int) Member {
-	if index >= len(d.list) {
+// member returns the list entry of a server. A server that was never listed has the phase Removed.
+func (d *Discovery) member(index int) Member {
+	if index >= len(d.members) {
 		return Member{Index: index}
 	}
-	return d.list[index]
+	return d.members[index]
 }
 
-// since is what has changed after a version, each server once.
-func (d *Directory) since(version int) []Member {
+// changedSince returns the members that changed after a version, each once.
+func (d *Discovery) changedSince(version int) []Member {
 	var list []Member
 	seen := map[int]bool{}
-	for i := len(d.log) - 1; i >= 0 && d.log[i].version > version; i-- {
-		if n := d.log[i].index; !seen[n] {
-			seen[n] = true
-			list = append(list, d.list[n])
+	for i := len(d.changes) - 1; i >= 0 && d.changes[i].version > version; i-- {
+		if server := d.changes[i].index; !seen[server] {
+			seen[server] = true
+			list = append(list, d.members[server])
 		}
 	}
 	return list
 }
 
-// know has the directory know something of a server from now on, and tell those who watch.
-func (d *Directory) know(m Member) {
-	for len(d.list) <= m.Index {
-		d.list = append(d.list, Member{Index: len(d.list)})
+// setMember changes the entry of a server and notifies the watching routers.
+func (d *Discovery) setMember(m Member) {
+	for len(d.members) <= m.Index {
+		d.members = append(d.members, Member{Index: len(d.members)})
 	}
-	if d.list[m.Index] == m {
+	if d.members[m.Index] == m {
 		return
 	}
-	d.list[m.Index] = m
+	d.members[m.Index] = m
 	d.version++
-	d.log = append(d.log, change{d.version, m.Index})
-	d.w.watcher.Listed(m)
+	d.changes = append(d.changes, change{d.version, m.Index})
+	d.w.observer.Listed(m)
 	if d.down {
 		return
 	}
-	for _, watch := range d.watches {
-		d.push(watch)
+	for _, watch := range d.watchers {
+		d.pushChanges(watch)
 	}
 }
 
-// push tells one router what it has missed, a little later.
-func (d *Directory) push(watch *watch) {
-	if !watch.on || watch.pushing {
+// pushChanges sends a router the changes that it has not received yet, after a short delay.
+func (d *Discovery) pushChanges(watch *watcher) {
+	if !watch.active || watch.pushPending {
 		return
 	}
-	watch.pushing = true
-	d.w.After(seconds(d.rand.Float64()*d.set.Spread.Seconds())+d.w.day.Net.Cross.D(), func() {
-		watch.pushing = false
-		if !watch.on || d.down || watch.version == d.version {
+	watch.pushPending = true
+	d.w.After(seconds(d.random.Float64()*d.settings.Spread.Seconds())+d.w.day.Net.Cross.D(), func() {
+		watch.pushPending = false
+		if !watch.active || d.down || watch.version == d.version {
 			return
 		}
-		u := Update{Members: d.since(watch.version)}
+		update := Update{Members: d.changedSince(watch.version)}
 		watch.version = d.version
-		watch.told(u)
+		watch.notify(update)
 	})
 }
 
-// outage has the directory down, or up again. Watches break.
-func (d *Directory) outage(down bool) {
+// setDown starts or ends an outage of discovery. An outage breaks all watches.
+func (d *Discovery) setDown(down bool) {
 	d.down = down
-	for _, watch := range d.watches {
-		if down && watch.on {
-			watch.on = false
-			d.w.After(d.w.day.Net.Cross.D(), func() { watch.told(Update{Failed: true}) })
+	for _, watch := range d.watchers {
+		if down && watch.active {
+			watch.active = false
+			d.w.After(d.w.day.Net.Cross.D(), func() { watch.notify(Update{Failed: true}) })
 		}
 	}
 }
 
-// later draws how long a change takes to be listed.
-func (d *Directory) later(between [2]time.Duration) time.Duration {
-	return between[0] + seconds(d.rand.Float64()*(between[1]-between[0]).Seconds())
+// drawDelay draws the time from a change to its listing.
+func (d *Discovery) drawDelay(limits [2]time.Duration) time.Duration {
+	return limits[0] + seconds(d.random.Float64()*(limits[1]-limits[0]).Seconds())
 }
 
-func (d *Directory) noticed() time.Duration {
-	return d.later([2]time.Duration{d.set.Notice[0].D(), d.set.Notice[1].D()})
+func (d *Discovery) noticeDelay() time.Duration {
+	return d.drawDelay([2]time.Duration{d.settings.Notice[0].D(), d.settings.Notice[1].D()})
 }
 
-func (d *Directory) missed() time.Duration {
-	return d.later([2]time.Duration{d.set.Silent[0].D(), d.set.Silent[1].D()})
+func (d *Discovery) deathDelay() time.Duration {
+	return d.drawDelay([2]time.Duration{d.settings.Silent[0].D(), d.settings.Silent[1].D()})
 }
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -12,64 +12,64 @@
 	"hoptiller/internal/unit"
 )
 
-// Fault is something that goes wrong, or is done, in a day. What Part, Size and
-// Count mean hangs on the kind.
+// Fault is a fault or a planned change during a day. The meaning of Part, Size and Count depends on the kind.
 type Fault struct {
 	Kind  string        `toml:"kind"`
-	At    unit.Duration `toml:"at"` // after the warm-up
+	At    unit.Duration `toml:"at"` // time after the warm-up
 	For   unit.Duration `toml:"for"`
-	Part  float64       `toml:"part"`  // of the caches, one at the least
-	Size  float64       `toml:"size"`  // how bad
-	Count int           `toml:"count"` // of caches, keys or routers
-	Gap   unit.Duration `toml:"gap"`   // between one and the next
+	Part  float64       `toml:"part"`  // share of the caches, at least one cache
+	Size  float64       `toml:"size"`  // severity
+	Count int           `toml:"count"` // number of caches, keys or routers
+	Gap   unit.Duration `toml:"gap"`   // time between two of them
 	Zone  int           `toml:"zone"`
 }
 
-// kinds are the kinds of fault. Each begins, and returns what ends it, if anything does.
-var kinds = map[string]struct {
-	about string
-	begin func(w *World, f *Fault, r *rand.Rand) (end func())
+// faultKinds describes the kinds of fault. start starts the fault and returns a function that ends it, or nil
+// if the fault needs no end.
+var faultKinds = map[string]struct {
+	description string
+	start       func(w *World, f *Fault, r *rand.Rand) (end func())
 }{
-	"crash":          {"part of the caches die and come back cold after for", crash},
-	"vanish":         {"part of the caches' machines fall silent and come back cold after for", vanish},
-	"errors":         {"part of the caches fail a size of their calls at once", failing},
-	"slow":           {"part of the caches lose a size of their speed to a neighbour", slow},
-	"hang":           {"part of the caches take calls and answer none, and then go on", hang},
-	"void":           {"a size of all kept copies goes void at once", void},
-	"hot_key":        {"count keys draw a size of all traffic", hotKey},
-	"silent":         {"a size of all open connections falls silent each second", silentConns},
-	"resets":         {"size connections are reset a second", resets},
-	"lossy":          {"a size of the segments of every router is lost", lossy},
-	"add":            {"count caches join, one every gap", add},
-	"drain":          {"count caches leave, one every gap, told ahead", drain},
-	"churn":          {"one cache after another is replaced by a new one, every gap, some at old addresses", churn},
-	"directory":      {"the directory is down", directoryDown},
-	"router_kill":    {"count routers are killed and come back after for", routerKill},
-	"router_restart": {"count routers are stopped and started anew, one every gap", routerRestart},
-	"peers":          {"messages between routers are lost", peers},
-	"zone_cut":       {"a zone is cut off from the others", zoneCut},
-	"zone_loss":      {"all caches of a zone die and come back cold after for", zoneLoss},
-	"origin_stop":    {"the origin stops", originStop},
-	"origin_slow":    {"the origin takes size times as long", originSlow},
-	"origin_errors":  {"the origin fails a size of its calls", originErrors},
-}
-
-// FaultKinds lists the kinds of fault, each with what it does.
+	"crash":          {"part of the caches die and come back cold after for", crashCaches},
+	"vanish":         {"part of the caches' machines fall silent and come back cold after for", vanishCaches},
+	"errors":         {"part of the caches fail a size of their calls at once", failCalls},
+	"slow":           {"part of the caches lose a size of their speed to a neighbour", slowDown},
+	"hang":           {"part of the caches take calls and answer none, and then go on", hangCaches},
+	"void":           {"a size of all kept copies goes void at once", dropCopies},
+	"hot_key":        {"count keys draw a size of all traffic", addHotKeys},
+	"silent":         {"a size of all open connections falls silent each second", blockConns},
+	"resets":         {"size connections are reset a second", resetConns},
+	"lossy":          {"a size of the segments of every router is lost", loseSegments},
+	"add":            {"count caches join, one every gap", addCaches},
+	"drain":          {"count caches leave, one every gap, told ahead", drainCaches},
+	"churn":          {"one cache after another is replaced by a new one, every gap, some at old addresses", replaceCaches},
+	"directory":      {"the directory is down", stopDiscovery},
+	"router_kill":    {"count routers are killed and come back after for", killRouters},
+	"router_restart": {"count routers are stopped and started anew, one every gap", restartRouters},
+	"peers":          {"messages between routers are lost", losePeerMessages},
+	"zone_cut":       {"a zone is cut off from the others", cutZone},
+	"zone_loss":      {"all caches of a zone die and come back cold after for", loseZone},
+	"origin_stop":    {"the origin stops", stopOrigin},
+	"origin_slow":    {"the origin takes size times as long", slowOrigin},
+	"origin_errors":  {"the origin fails a size of its calls", failOrigin},
+}
+
+// FaultKinds lists the name and description of each kind of fault, sorted by name.
 func FaultKinds() (list [][2]string) {
-	for name, k := range kinds {
-		list = append(list, [2]string{name, k.about})
+	for name, k := range faultKinds {
+		list = append(list, [2]string{name, k.description})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i][0] < list[j][0] })
 	return list
 }
 
-func (f *Fault) check(d *Day) error {
-	if _, ok := kinds[f.Kind]; !ok {
+func (f *Fault) validate(day *Day) error {
+	if _, ok := faultKinds[f.Kind]; !ok {
 		var names []string
 		for _, k := range FaultKinds() {
 			names = append(names, k[0])
 		}
-		return fmt.Errorf("kind is %q: one of %s is meant", f.Kind, strings.Join(names, ", "))
+		return fmt.Errorf("kind is %q: must be one of %s", f.Kind, strings.Join(names, ", "))
 	}
 	switch {
 	case f.Part < 0 || f.Part > 1:
@@ -77,366 +77,368 @@
 	case f.Size < 0 || f.Size > 1 && f.Kind != "resets" && f.Kind != "origin_slow":
 		return fmt.Errorf("size is %g: 0 to 1 is possible", f.Size)
 	case f.Kind == "slow" && f.Size >= 1:
-		return fmt.Errorf("size is %g: a cache that has lost all its speed has vanished", f.Size)
+		return fmt.Errorf("size is %g: must be under 1 for a slow cache", f.Size)
 	case f.Kind == "origin_slow" && f.Size < 1:
-		return fmt.Errorf("size is %g: 1 or more is possible", f.Size)
+		return fmt.Errorf("size is %g: must be at least 1", f.Size)
 	case f.Count < 0 || f.Count > 10000:
 		return fmt.Errorf("count is %d: 0 to 10000 is possible", f.Count)
-	case f.Zone < 0 || f.Zone >= d.Zones:
-		return fmt.Errorf("zone is %d: the day has %d, counted from 0", f.Zone, d.Zones)
+	case f.Zone < 0 || f.Zone >= day.Zones:
+		return fmt.Errorf("zone is %d: the day has %d, counted from 0", f.Zone, day.Zones)
 	case f.Kind == "churn" && f.Gap < unit.Duration(100*time.Millisecond):
-		return fmt.Errorf("gap is %v: 100 ms or more is possible", f.Gap)
-	case (f.Kind == "drain") && f.Count >= d.Fleet.Caches:
-		return fmt.Errorf("count is %d: one of the %d caches must stay", f.Count, d.Fleet.Caches)
+		return fmt.Errorf("gap is %v: must be at least 100 ms", f.Gap)
+	case (f.Kind == "drain") && f.Count >= day.Fleet.Caches:
+		return fmt.Errorf("count is %d: one of the %d caches must stay", f.Count, day.Fleet.Caches)
 	}
 	return nil
 }
 
-func (w *World) schedule(i int, f *Fault) {
+func (w *World) scheduleFault(i int, f *Fault) {
 	w.At(w.day.Warm.D()+f.At.D(), func() {
-		w.watcher.Fault(f.Kind)
-		end := kinds[f.Kind].begin(w, f, Stream(w.day.Seed, "fault", i))
+		w.observer.Fault(f.Kind)
+		end := faultKinds[f.Kind].start(w, f, Stream(w.day.Seed, "fault", i))
 		if end != nil {
 			w.After(f.For.D(), func() {
-				w.watcher.Fault(f.Kind + " ends")
+				w.observer.Fault(f.Kind + " ends")
 				end()
 			})
 		}
 	})
 }
 
-// some draws a part of the caches that run, one at the least.
-func (w *World) some(r *rand.Rand, part float64) []*Cache {
+// drawCaches draws a share of the running caches, at least one.
+func (w *World) drawCaches(r *rand.Rand, share float64) []*Cache {
 	var up []*Cache
 	for _, c := range w.Caches {
-		if c.up && !c.mute && w.Directory.entry(c.index).Phase == Ready {
+		if c.running && !c.vanished && w.Directory.member(c.index).Phase == Ready {
 			up = append(up, c)
 		}
 	}
 	r.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
-	n := max(1, int(math.Round(part*float64(len(up)))))
-	return up[:min(n, len(up))]
+	count := max(1, int(math.Round(share*float64(len(up)))))
+	return up[:min(count, len(up))]
 }
 
-// die ends a cache's process. The directory notices late.
-func (w *World) die(c *Cache) {
+// kill ends a cache's process. Discovery notices this late.
+func (w *World) kill(c *Cache) {
 	c.halt()
 	started := c.Started
-	w.After(w.Directory.missed(), func() {
-		if c.Started == started && !c.up {
-			w.unlist(c)
+	w.After(w.Directory.deathDelay(), func() {
+		if c.Started == started && !c.running {
+			w.removeFromList(c)
 		}
 	})
 }
 
-func (w *World) unlist(c *Cache) {
-	m := w.Directory.entry(c.index)
-	m.Phase = Gone
-	w.Directory.know(m)
+func (w *World) removeFromList(c *Cache) {
+	m := w.Directory.member(c.index)
+	m.Phase = Removed
+	w.Directory.setMember(m)
 }
 
-// back starts a cache's process anew, unless it has been pushed over or has left meanwhile.
-func (w *World) back(c *Cache) {
-	if c.fallen || c.up && !c.mute {
+// restart starts a cache's process again, unless the cache runs, has collapsed or has left.
+func (w *World) restart(c *Cache) {
+	if c.stayDown || c.running && !c.vanished {
 		return
 	}
 	c.start(false)
-	w.list(c)
+	w.addToList(c)
 }
 
-func (w *World) list(c *Cache) {
+func (w *World) addToList(c *Cache) {
 	started := c.Started
-	w.After(w.Directory.noticed(), func() {
-		if c.up && c.Started == started {
-			w.Directory.know(w.member(c))
+	w.After(w.Directory.noticeDelay(), func() {
+		if c.running && c.Started == started {
+			w.Directory.setMember(w.runningMember(c))
 		}
 	})
 }
 
-func crash(w *World, f *Fault, r *rand.Rand) func() {
-	return onSome(w, f.Part, r, func(c *Cache, dead bool) {
+func crashCaches(w *World, f *Fault, r *rand.Rand) func() {
+	return applyToSome(w, f.Part, r, func(c *Cache, dead bool) {
 		if dead {
-			w.die(c)
+			w.kill(c)
 		} else {
-			w.back(c)
+			w.restart(c)
 		}
 	})
 }
 
-func vanish(w *World, f *Fault, r *rand.Rand) func() {
-	hit := w.some(r, f.Part)
-	for _, c := range hit {
-		c.mute = true
+func vanishCaches(w *World, f *Fault, r *rand.Rand) func() {
+	affected := w.drawCaches(r, f.Part)
+	for _, c := range affected {
+		c.vanished = true
 		started := c.Started
-		w.After(w.Directory.missed(), func() {
-			if c.Started == started && c.mute {
-				w.unlist(c)
+		w.After(w.Directory.deathDelay(), func() {
+			if c.Started == started && c.vanished {
+				w.removeFromList(c)
 			}
 		})
 	}
 	return func() {
-		for _, c := range hit {
-			c.mute = false
+		for _, c := range affected {
+			c.vanished = false
 			c.halt()
-			w.back(c)
+			w.restart(c)
 		}
 	}
 }
 
-// onSome sets something at part of the caches, and takes it back when the fault ends.
-func onSome(w *World, part float64, r *rand.Rand, set func(c *Cache, on bool)) (end func()) {
-	hit := w.some(r, part)
-	for _, c := range hit {
-		set(c, true)
+// applyToSome applies a change to a share of the caches. The function that it returns undoes the change.
+func applyToSome(w *World, part float64, r *rand.Rand, apply func(c *Cache, on bool)) (end func()) {
+	affected := w.drawCaches(r, part)
+	for _, c := range affected {
+		apply(c, true)
 	}
 	return func() {
-		for _, c := range hit {
-			set(c, false)
+		for _, c := range affected {
+			apply(c, false)
 		}
 	}
 }
 
-func failing(w *World, f *Fault, r *rand.Rand) func() {
-	return onSome(w, f.Part, r, func(c *Cache, on bool) { c.errors = when(on, f.Size) })
+func failCalls(w *World, f *Fault, r *rand.Rand) func() {
+	return applyToSome(w, f.Part, r, func(c *Cache, on bool) { c.errorRate = valueIf(on, f.Size) })
 }
 
-func hang(w *World, f *Fault, r *rand.Rand) func() {
-	return onSome(w, f.Part, r, func(c *Cache, on bool) { c.hang(on) })
+func hangCaches(w *World, f *Fault, r *rand.Rand) func() {
+	return applyToSome(w, f.Part, r, func(c *Cache, on bool) { c.setHanging(on) })
 }
 
-func void(w *World, f *Fault, r *rand.Rand) func() {
+func dropCopies(w *World, f *Fault, r *rand.Rand) func() {
 	for _, c := range w.Caches {
 		for _, key := range c.store.keys() {
 			if r.Float64() < f.Size {
-				c.store.void(key)
+				c.store.remove(key)
 			}
 		}
 	}
 	return nil
 }
 
-func slow(w *World, f *Fault, r *rand.Rand) func() {
-	return onSome(w, f.Part, r, func(c *Cache, on bool) { c.slowed = when(on, f.Size) })
+func slowDown(w *World, f *Fault, r *rand.Rand) func() {
+	return applyToSome(w, f.Part, r, func(c *Cache, on bool) { c.slowdown = valueIf(on, f.Size) })
 }
 
-func when(on bool, size float64) float64 {
+func valueIf(on bool, size float64) float64 {
 	if on {
 		return size
 	}
 	return 0
 }
 
-func hotKey(w *World, f *Fault, r *rand.Rand) func() {
+func addHotKeys(w *World, f *Fault, r *rand.Rand) func() {
 	c := w.clients
-	c.hotPart = f.Size
+	c.hotShare = f.Size
 	for range max(1, f.Count) {
-		c.hot = append(c.hot, c.ranks[r.IntN(len(c.ranks))])
+		c.hotKeys = append(c.hotKeys, c.keysByRank[r.IntN(len(c.keysByRank))])
 	}
-	return func() { c.hot, c.hotPart = nil, 0 }
+	return func() { c.hotKeys, c.hotShare = nil, 0 }
 }
 
-// each does something over and over until the fault ends.
-func each(w *World, gap time.Duration, do func()) (end func()) {
-	over := false
-	var next func()
-	next = func() {
-		if !over {
-			do()
-			w.After(gap, next)
+// repeatEvery runs an action at regular intervals until the returned function is called.
+func repeatEvery(w *World, gap time.Duration, action func()) (end func()) {
+	ended := false
+	var step func()
+	step = func() {
+		if !ended {
+			action()
+			w.After(gap, step)
 		}
 	}
-	next()
-	return func() { over = true }
+	step()
+	return func() { ended = true }
 }
 
-// conns are all open connections to caches, in a fixed order.
-func (w *World) conns() (list []*Conn) {
+// cacheConns returns all open connections to caches, in a fixed order.
+func (w *World) cacheConns() (list []*Conn) {
 	for _, c := range w.Caches {
 		list = append(list, c.conns...)
 	}
 	return list
 }
 
-func silentConns(w *World, f *Fault, r *rand.Rand) func() {
-	return each(w, 100*time.Millisecond, func() {
-		for _, c := range w.conns() {
+func blockConns(w *World, f *Fault, r *rand.Rand) func() {
+	return repeatEvery(w, 100*time.Millisecond, func() {
+		for _, c := range w.cacheConns() {
 			if r.Float64() < f.Size/10 {
-				c.Silence()
+				c.Blackhole()
 			}
 		}
 	})
 }
 
-func resets(w *World, f *Fault, r *rand.Rand) func() {
-	return each(w, 100*time.Millisecond, func() {
-		list := w.conns()
+func resetConns(w *World, f *Fault, r *rand.Rand) func() {
+	return repeatEvery(w, 100*time.Millisecond, func() {
+		list := w.cacheConns()
 		for range int(f.Size/10 + r.Float64()) {
 			if len(list) > 0 {
-				list[r.IntN(len(list))].Break()
+				list[r.IntN(len(list))].Reset()
 			}
 		}
 	})
 }
 
-func lossy(w *World, f *Fault, _ *rand.Rand) func() {
-	w.lossPart = f.Size
+func loseSegments(w *World, f *Fault, _ *rand.Rand) func() {
+	w.lossRate = f.Size
 	for i := range w.day.Routers {
-		w.lossy[i] = true
+		w.lossyRouters[i] = true
 	}
-	return func() { clear(w.lossy) }
+	return func() { clear(w.lossyRouters) }
 }
 
-// join adds one cache that has never been, of a kind drawn by chance. With reuse it takes over the address of
-// one that is gone for good, if there is one.
-func (w *World) join(r *rand.Rand, reuse bool) {
-	x, k := r.Float64(), 0
-	for ; k < len(w.day.Kinds)-1 && x >= w.day.Kinds[k].Share; k++ {
-		x -= w.day.Kinds[k].Share
+// addCache adds a new cache of a random kind. With reuseAddress it takes over the address of a cache that has
+// left for good, if there is one.
+func (w *World) addCache(random *rand.Rand, reuseAddress bool) {
+	point, kind := random.Float64(), 0
+	for ; kind < len(w.day.Kinds)-1 && point >= w.day.Kinds[kind].Share; kind++ {
+		point -= w.day.Kinds[kind].Share
 	}
-	c := w.newCache(len(w.Caches)+1, &w.day.Kinds[k])
+	c := w.newCache(len(w.Caches)+1, &w.day.Kinds[kind])
 	w.Caches, w.hosts = append(w.Caches, c), append(w.hosts, &c.host)
-	for _, old := range w.Caches {
-		if reuse && !old.up && old.fallen && w.occupants[old.Addr] == &old.host {
-			c.Addr = old.Addr
+	for _, removed := range w.Caches {
+		if reuseAddress && !removed.running && removed.stayDown && w.occupants[removed.Addr] == &removed.host {
+			c.Addr = removed.Addr
 			break
 		}
 	}
 	c.start(false)
-	w.list(c)
+	w.addToList(c)
 }
 
-func add(w *World, f *Fault, r *rand.Rand) func() {
+func addCaches(w *World, f *Fault, r *rand.Rand) func() {
 	for i := range max(1, f.Count) {
-		w.After(time.Duration(i)*f.Gap.D(), func() { w.join(r, false) })
+		w.After(time.Duration(i)*f.Gap.D(), func() { w.addCache(r, false) })
 	}
 	return nil
 }
 
-// linger is how long a cache that was told to leave goes on.
-const linger = 10 * time.Second
+// drainDuration is how long a cache continues to run after its drain is listed.
+const drainDuration = 10 * time.Second
 
-// leave has a cache drain, and end some time after that was listed.
-func (w *World) leave(c *Cache) {
+// retireCache drains a cache and ends its process some time after the drain was listed.
+func (w *World) retireCache(c *Cache) {
 	started := c.Started
-	w.After(w.Directory.noticed(), func() {
-		if !c.up || c.Started != started {
+	w.After(w.Directory.noticeDelay(), func() {
+		if !c.running || c.Started != started {
 			return
 		}
-		m := w.Directory.entry(c.index)
+		m := w.Directory.member(c.index)
 		m.Phase = Draining
-		w.Directory.know(m)
-		w.After(linger, func() {
-			if c.up && c.Started == started {
+		w.Directory.setMember(m)
+		w.After(drainDuration, func() {
+			if c.running && c.Started == started {
 				c.halt()
-				c.fallen = true // for good
-				w.After(w.Directory.noticed(), func() { w.unlist(c) })
+				c.stayDown = true // it is never restarted
+				w.After(w.Directory.noticeDelay(), func() { w.removeFromList(c) })
 			}
 		})
 	})
 }
 
-func drain(w *World, f *Fault, r *rand.Rand) func() {
+func drainCaches(w *World, f *Fault, r *rand.Rand) func() {
 	var chosen []*Cache
 	for i := range max(1, f.Count) {
 		w.After(time.Duration(i)*f.Gap.D(), func() {
-			list := slices.DeleteFunc(w.some(r, 1), func(c *Cache) bool { return slices.Contains(chosen, c) })
+			list := slices.DeleteFunc(w.drawCaches(r, 1), func(c *Cache) bool { return slices.Contains(chosen, c) })
 			if len(list) > 1 {
 				chosen = append(chosen, list[0])
-				w.leave(list[0])
+				w.retireCache(list[0])
 			}
 		})
 	}
 	return nil
 }
 
-func churn(w *World, f *Fault, r *rand.Rand) func() {
-	return each(w, f.Gap.D(), func() {
-		if list := w.some(r, 0); len(list) > 0 {
-			w.join(r, true)
-			w.leave(list[0])
+func replaceCaches(w *World, f *Fault, r *rand.Rand) func() {
+	return repeatEvery(w, f.Gap.D(), func() {
+		if list := w.drawCaches(r, 0); len(list) > 0 {
+			w.addCache(r, true)
+			w.retireCache(list[0])
 		}
 	})
 }
 
-func directoryDown(w *World, _ *Fault, _ *rand.Rand) func() {
-	w.Directory.outage(true)
-	return func() { w.Directory.outage(false) }
+func stopDiscovery(w *World, _ *Fault, _ *rand.Rand) func() {
+	w.Directory.setDown(true)
+	return func() { w.Directory.setDown(false) }
 }
 
-// downRouter has the front notice late that a router has died.
-func (w *World) downRouter(i int, at time.Duration) { w.clients.believe[i] = at }
+// setBelievedDead sets from when on the load balancer believes that a router is dead; 0 marks the router as
+// alive.
+func (w *World) setBelievedDead(i int, at time.Duration) { w.clients.believedDeadAt[i] = at }
 
-func routerKill(w *World, f *Fault, r *rand.Rand) func() {
-	hit := r.Perm(w.day.Routers)[:min(max(1, f.Count), w.day.Routers)]
-	for _, i := range hit {
-		w.steward.Kill(i)
-		w.downRouter(i, w.Now()+w.day.Clients.Notice.D())
+func killRouters(w *World, f *Fault, r *rand.Rand) func() {
+	affected := r.Perm(w.day.Routers)[:min(max(1, f.Count), w.day.Routers)]
+	for _, i := range affected {
+		w.routerControl.Kill(i)
+		w.setBelievedDead(i, w.Now()+w.day.Clients.Notice.D())
 	}
 	return func() {
-		for _, i := range hit {
-			w.steward.Start(i)
-			w.downRouter(i, 0)
+		for _, i := range affected {
+			w.routerControl.Start(i)
+			w.setBelievedDead(i, 0)
 		}
 	}
 }
 
-// A planned restart: the front is told, what the router holds it may finish, and then it is gone.
-func routerRestart(w *World, f *Fault, r *rand.Rand) func() {
-	const notice, killed, back = 300 * time.Millisecond, 4 * time.Second, 4500 * time.Millisecond
+// restartRouters restarts routers as planned: the load balancer is informed, the router may finish the
+// requests that it holds, and then its process ends.
+func restartRouters(w *World, f *Fault, r *rand.Rand) func() {
+	const notice, killed, restarted = 300 * time.Millisecond, 4 * time.Second, 4500 * time.Millisecond
 	for n, i := range r.Perm(w.day.Routers)[:min(max(1, f.Count), w.day.Routers)] {
 		w.After(time.Duration(n)*f.Gap.D(), func() {
-			w.steward.Stop(i)
-			w.downRouter(i, w.Now()+notice)
-			w.After(killed, func() { w.steward.Kill(i) })
-			w.After(back, func() {
-				w.steward.Start(i)
-				w.downRouter(i, 0)
+			w.routerControl.Stop(i)
+			w.setBelievedDead(i, w.Now()+notice)
+			w.After(killed, func() { w.routerControl.Kill(i) })
+			w.After(restarted, func() {
+				w.routerControl.Start(i)
+				w.setBelievedDead(i, 0)
 			})
 		})
 	}
 	return nil
 }
 
-func peers(w *World, _ *Fault, _ *rand.Rand) func() {
-	w.peersLost = true
-	return func() { w.peersLost = false }
+func losePeerMessages(w *World, _ *Fault, _ *rand.Rand) func() {
+	w.dropPeerMessages = true
+	return func() { w.dropPeerMessages = false }
 }
 
-func zoneCut(w *World, f *Fault, _ *rand.Rand) func() {
+func cutZone(w *World, f *Fault, _ *rand.Rand) func() {
 	for z := range w.day.Zones {
 		if z != f.Zone {
-			w.cuts = append(w.cuts, cut{f.Zone, z, w.Now() + f.For.D()})
+			w.cuts = append(w.cuts, zoneCut{f.Zone, z, w.Now() + f.For.D()})
 		}
 	}
-	return func() { w.cuts = slices.DeleteFunc(w.cuts, func(c cut) bool { return c.until <= w.Now() }) }
+	return func() { w.cuts = slices.DeleteFunc(w.cuts, func(c zoneCut) bool { return c.until <= w.Now() }) }
 }
 
-func zoneLoss(w *World, f *Fault, _ *rand.Rand) func() {
-	var hit []*Cache
+func loseZone(w *World, f *Fault, _ *rand.Rand) func() {
+	var affected []*Cache
 	for _, c := range w.Caches {
-		if c.zone == f.Zone && c.up {
-			w.die(c)
-			hit = append(hit, c)
+		if c.zone == f.Zone && c.running {
+			w.kill(c)
+			affected = append(affected, c)
 		}
 	}
 	return func() {
-		for _, c := range hit {
-			w.back(c)
+		for _, c := range affected {
+			w.restart(c)
 		}
 	}
 }
 
-func originStop(w *World, f *Fault, _ *rand.Rand) func() {
+func stopOrigin(w *World, f *Fault, _ *rand.Rand) func() {
 	w.Origin.halt(f.For.D())
 	return nil
 }
 
-func originSlow(w *World, f *Fault, _ *rand.Rand) func() {
-	w.Origin.slow = f.Size
-	return func() { w.Origin.slow = 1 }
+func slowOrigin(w *World, f *Fault, _ *rand.Rand) func() {
+	w.Origin.slowdown = f.Size
+	return func() { w.Origin.slowdown = 1 }
 }
 
-func originErrors(w *World, f *Fault, _ *rand.Rand) func() {
-	w.Origin.errors = f.Size
-	return func() { w.Origin.errors = 0 }
+func failOrigin(w *World, f *Fault, _ *rand.Rand) func() {
+	w.Origin.errorRate = f.Size
+	return func() { w.Origin.errorRate = 0 }
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -11,20 +11,21 @@
 	"hoptiller/internal/unit"
 )
 
-// What falls due at one time happens in the order in which it was asked for; nothing happens early or never.
+// TestQueueOrder checks that steps due at the same time run in the order in which they were scheduled, and
+// that every step runs when it is due.
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		delays := rapid.SliceOfN(rapid.IntRange(0, 5), 1, 60).Draw(t, "delays")
 		type step struct {
-			at time.Duration
-			n  int
+			at     time.Duration
+			number int
 		}
 		var q Queue
 		var got, want []step
-		for n, d := range delays {
-			at := time.Duration(d)
-			want = append(want, step{at, n})
-			q.At(at, func() { got = append(got, step{q.Now(), n}) })
+		for number, delay := range delays {
+			at := time.Duration(delay)
+			want = append(want, step{at, number})
+			q.At(at, func() { got = append(got, step{q.Now(), number}) })
 		}
 		slices.SortStableFunc(want, func(a, b step) int { return int(a.at - b.at) })
 		q.RunUntil(5)
@@ -34,33 +35,33 @@
 	})
 }
 
-// The store drops what was used longest ago, and no more than it must.
+// TestStore checks that the store evicts the least recently used objects, and no more of them than necessary.
 func TestStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newStore(10)
-		var order []uint64 // those used last at the end
+		cache := newStore(10)
+		var recency []uint64 // the most recently used at the end
 		sizes := map[uint64]float64{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			key := uint64(rapid.IntRange(0, 9).Draw(t, "key"))
-			at := slices.Index(order, key)
+			position := slices.Index(recency, key)
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				s.void(key)
-				if at >= 0 {
-					order = slices.Delete(order, at, at+1)
+				cache.remove(key)
+				if position >= 0 {
+					recency = slices.Delete(recency, position, position+1)
 				}
 			case 1:
 				size := float64(rapid.IntRange(1, 11).Draw(t, "size"))
-				s.put(key, size)
-				if at >= 0 {
-					order = slices.Delete(order, at, at+1)
+				cache.put(key, size)
+				if position >= 0 {
+					recency = slices.Delete(recency, position, position+1)
 				}
 				if size <= 10 {
-					order, sizes[key] = append(order, key), size
+					recency, sizes[key] = append(recency, key), size
 				}
-				for sum := 0.0; ; order = order[1:] {
-					if sum = 0; len(order) > 0 {
-						for _, k := range order {
+				for sum := 0.0; ; recency = recency[1:] {
+					if sum = 0; len(recency) > 0 {
+						for _, k := range recency {
 							sum += sizes[k]
 						}
 					}
@@ -69,43 +70,43 @@
 					}
 				}
 			default:
-				if s.get(key) != (at >= 0) {
-					t.Fatalf("key %d: kept %v, want %v", key, at < 0, at >= 0)
+				if cache.lookUp(key) != (position >= 0) {
+					t.Fatalf("key %d: stored %v, want %v", key, position < 0, position >= 0)
 				}
-				if at >= 0 {
-					order = append(slices.Delete(order, at, at+1), key)
+				if position >= 0 {
+					recency = append(slices.Delete(recency, position, position+1), key)
 				}
 			}
 		}
 	})
 }
 
-// bench is a world without clients, with one router that a test plays.
-type bench struct {
+// testWorld is a world without clients and with one router, which the test itself plays.
+type testWorld struct {
 	*World
 	events []string
 }
 
-func (b *bench) Take(*Try) bool                 { return true }
-func (b *bench) Leave(*Try)                     {}
-func (b *bench) Kill(int)                       {}
-func (b *bench) Stop(int)                       {}
-func (b *bench) Start(int)                      {}
-func (b *bench) Ended(*Op)                      {}
-func (b *bench) Fetched(*Call)                  {}
-func (b *bench) Ran(*Call)                      { b.events = append(b.events, "ran") }
-func (b *bench) FellOver(*Fall)                 { b.events = append(b.events, "fell") }
-func (b *bench) OriginStopped(float64, float64) { b.events = append(b.events, "stopped") }
-func (b *bench) Listed(Member)                  {}
-func (b *bench) Fault(string)                   {}
-func (b *bench) Opened(*Conn)                   { b.events = append(b.events, "opened") }
-func (b *bench) Refused(*Conn)                  { b.events = append(b.events, "refused") }
-func (b *bench) Lost(*Conn)                     { b.events = append(b.events, "lost") }
-func (b *bench) Answered(c *Call, a Answer) {
+func (b *testWorld) Take(*Try) bool                 { return true }
+func (b *testWorld) Leave(*Try)                     {}
+func (b *testWorld) Kill(int)                       {}
+func (b *testWorld) Stop(int)                       {}
+func (b *testWorld) Start(int)                      {}
+func (b *testWorld) Ended(*Operation)               {}
+func (b *testWorld) Fetched(*Call)                  {}
+func (b *testWorld) Ran(*Call)                      { b.events = append(b.events, "ran") }
+func (b *testWorld) FellOver(*Collapse)             { b.events = append(b.events, "fell") }
+func (b *testWorld) OriginStopped(float64, float64) { b.events = append(b.events, "stopped") }
+func (b *testWorld) Listed(Member)                  {}
+func (b *testWorld) Fault(string)                   {}
+func (b *testWorld) Opened(*Conn)                   { b.events = append(b.events, "opened") }
+func (b *testWorld) Refused(*Conn)                  { b.events = append(b.events, "refused") }
+func (b *testWorld) Lost(*Conn)                     { b.events = append(b.events, "lost") }
+func (b *testWorld) Answered(c *Call, a Answer) {
 	b.events = append(b.events, [...]string{"served", "missed", "failed", "busy", "stale"}[a])
 }
 
-func newBench(t *testing.T, change func(*Day)) *bench {
+func newTestWorld(t *testing.T, change func(*Day)) *testWorld {
 	day := Prairie()
 	day.Load.Level, day.Warm = 0.001, 0
 	day.Kinds[0].ErrorRate, day.Kinds[1].ErrorRate = 0, 0
@@ -115,26 +116,26 @@
 	if err := day.Check(); err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{}
+	b := &testWorld{}
 	b.World = New(&day, b, b, b)
 	return b
 }
 
-func (b *bench) run(d time.Duration) { b.RunUntil(b.Now() + d) }
+func (b *testWorld) run(d time.Duration) { b.RunUntil(b.Now() + d) }
 
-func (b *bench) dial(server int) *Conn {
+func (b *testWorld) dial(server int) *Conn {
 	c := b.Dial(0, server, b)
 	b.run(time.Second)
 	return c
 }
 
-func (b *bench) call(c *Conn, op *Op) *Call {
+func (b *testWorld) send(c *Conn, op *Operation) *Call {
 	call := &Call{Try: &Try{Op: op}}
 	c.Send(call)
 	return call
 }
 
-func (b *bench) expect(t *testing.T, want ...string) {
+func (b *testWorld) expect(t *testing.T, want ...string) {
 	t.Helper()
 	if !slices.Equal(b.events, want) {
 		t.Fatalf("got %v, want %v", b.events, want)
@@ -142,48 +143,51 @@
 	b.events = nil
 }
 
-// Answers on a connection come in order: a quick one waits for a slow one before it.
+// TestAnswersInOrder checks that answers on a connection come in order: a quick one waits for the slow one
+// before it.
 func TestAnswersInOrder(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestWorld(t, nil)
 	c := b.Dial(0, 1, b)
 	b.run(time.Second)
 	b.expect(t, "opened")
 	b.Caches[0].store.put(1, 1)
-	b.call(c, &Op{Key: 1, Work: 2})
-	b.call(c, &Op{Key: 2, Work: 0.01})
+	b.send(c, &Operation{Key: 1, Work: 2})
+	b.send(c, &Operation{Key: 2, Work: 0.01})
 	b.run(time.Second)
 	b.expect(t)
 	b.run(3 * time.Second)
 	b.expect(t, "served", "missed")
 }
 
-// To close a connection stops the work on it, and what waits begins at once.
-func TestCancelByClosing(t *testing.T) {
-	b := newBench(t, func(d *Day) { d.Kinds = d.Kinds[:1]; d.Kinds[0].Cores = 1; d.Kinds[0].Queue = 2 })
+// TestCancelByClosing checks that closing a connection stops the work on it, and that waiting work then starts
+// at once.
+func TestCloseCancelsWork(t *testing.T) {
+	b := newTestWorld(t, func(d *Day) { d.Kinds = d.Kinds[:1]; d.Kinds[0].Cores = 1; d.Kinds[0].Queue = 2 })
 	first, second := b.Dial(0, 1, b), b.Dial(0, 1, b)
 	b.run(time.Second)
 	b.events = nil
 	for key := range uint64(9) {
 		b.Caches[0].store.put(key, 1)
 	}
-	b.call(first, &Op{Key: 1, Work: 100})
+	b.send(first, &Operation{Key: 1, Work: 100})
 	b.run(100 * time.Millisecond)
-	b.call(second, &Op{Key: 2, Work: 0.1})
-	b.call(second, &Op{Key: 3, Work: 0.1})
-	b.call(second, &Op{Key: 4, Work: 0.1})
+	b.send(second, &Operation{Key: 2, Work: 0.1})
+	b.send(second, &Operation{Key: 3, Work: 0.1})
+	b.send(second, &Operation{Key: 4, Work: 0.1})
 	b.run(time.Second)
-	b.expect(t) // the last was turned away, but its answer comes after those before it
+	b.expect(t) // the last call was rejected, but its answer comes after those before it
 	first.Close()
 	b.run(time.Second)
 	b.expect(t, "served", "served", "busy")
-	if b.Waste < 0.5 {
-		t.Errorf("waste %.2f", b.Waste)
+	if b.WastedWork < 0.5 {
+		t.Errorf("wasted work %.2f", b.WastedWork)
 	}
 }
 
-// A process that dies while a connection comes up refuses it; one that has vanished says nothing.
+// TestCrashInHandshake checks that a process that dies during a handshake refuses the connection, and that a
+// vanished one does not respond.
 func TestCrashInHandshake(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestWorld(t, nil)
 	b.Dial(0, 1, b)
 	b.After(100*time.Microsecond, func() { b.Caches[0].halt() })
 	b.run(time.Second)
@@ -191,92 +195,93 @@
 		t.Errorf("got %v", b.events)
 	}
 	b.events = nil
-	b.Caches[1].mute = true
+	b.Caches[1].vanished = true
 	b.Dial(0, 2, b)
 	b.run(time.Second)
 	b.expect(t)
 }
 
-// A cold cache bears 2.5 times what it can do for 1.5 s, no more; a warm one turns away what is too much.
-func TestFallsOver(t *testing.T) {
-	for _, before := range []bool{true, false} {
-		b := newBench(t, nil)
+// TestFallsOver checks that a cold cache tolerates 2.5 times its capacity for 1.5 s and collapses above that,
+// while a warm cache rejects the excess.
+func TestColdCacheCollapses(t *testing.T) {
+	for _, beforeDay := range []bool{true, false} {
+		b := newTestWorld(t, nil)
 		c := b.Caches[0]
-		c.start(before)
+		c.start(beforeDay)
 		conn := b.Dial(0, 1, b)
 		b.run(time.Second)
 		b.events = nil
 		for range 40 {
-			b.call(conn, &Op{Key: 1, Work: 1})
+			b.send(conn, &Operation{Key: 1, Work: 1})
 		}
 		b.run(100 * time.Millisecond)
-		if fell := slices.Contains(b.events, "fell"); fell == before || c.Up() != before {
-			t.Errorf("ran before %v: fell %v", before, fell)
+		if collapsed := slices.Contains(b.events, "fell"); collapsed == beforeDay || c.Up() != beforeDay {
+			t.Errorf("running before the day %v: collapsed %v", beforeDay, collapsed)
 		}
-		b.run(20 * time.Second) // the directory learns of its death, as of any other
-		if listed := b.Member(1).Phase == Ready; listed != before {
-			t.Errorf("ran before %v: listed %v", before, listed)
+		b.run(20 * time.Second) // discovery learns of this death as of any other
+		if listed := b.Member(1).Phase == Ready; listed != beforeDay {
+			t.Errorf("running before the day %v: listed %v", beforeDay, listed)
 		}
 	}
 }
 
-// A new cache takes over the address of one that has left; who still looks for the old one finds the new one there,
-// and an id that is its own tells them apart.
+// TestAddressTakenOver checks that a new cache may take over the address of one that has left. A router that
+// still uses the old address reaches the new cache, and the different IDs tell the two apart.
 func TestAddressTakenOver(t *testing.T) {
-	b := newBench(t, func(d *Day) {
+	b := newTestWorld(t, func(d *Day) {
 		d.Faults = []Fault{{Kind: "churn", For: unit.Duration(30 * time.Second), Gap: unit.Duration(4 * time.Second)}}
 		d.Length = unit.Duration(60 * time.Second)
 	})
 	b.run(60 * time.Second)
-	taken := 0
+	reused := 0
 	for _, c := range b.Caches[10:] {
 		if c.Addr == c.index {
 			continue
 		}
-		taken++
+		reused++
 		old := b.Caches[c.Addr-1]
-		if b.Member(c.index).ID == b.Member(old.index).ID || old.up {
-			t.Errorf("cache %d at the address of %d: same id, or both run", c.index, old.index)
+		if b.Member(c.index).ID == b.Member(old.index).ID || old.running {
+			t.Errorf("cache %d at the address of %d: same ID, or both run", c.index, old.index)
 		}
 		if b.occupants[c.Addr] == &c.host {
 			b.events = nil
-			b.call(b.dial(old.index), &Op{Key: 1, Work: 0.01})
+			b.send(b.dial(old.index), &Operation{Key: 1, Work: 0.01})
 			b.run(5 * time.Second)
 			b.expect(t, "opened", "missed")
 		}
 	}
-	if taken == 0 {
-		t.Errorf("no address of %d new caches is an old one", len(b.Caches)-10)
+	if reused == 0 {
+		t.Errorf("none of %d new caches has reused an address", len(b.Caches)-10)
 	}
 }
 
-// Asked more than three times what it can do, the origin stops, and comes back.
+// TestOriginStops checks that the origin stops at more than three times its capacity, and starts again.
 func TestOriginStops(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestWorld(t, nil)
 	conn := b.Dial(0, 0, b)
 	b.run(time.Second)
 	b.events = nil
 	for range int(3*3*b.Origin.Capacity) + 2 {
-		b.call(conn, &Op{Key: 1})
+		b.send(conn, &Operation{Key: 1})
 	}
 	b.run(100 * time.Millisecond)
-	if b.Origin.up || b.Origin.Stops != 1 || !slices.Contains(b.events, "stopped") {
-		t.Errorf("up %v after %d stops, %v", b.Origin.up, b.Origin.Stops, b.events[:min(5, len(b.events))])
+	if b.Origin.running || b.Origin.StopCount != 1 || !slices.Contains(b.events, "stopped") {
+		t.Errorf("up %v after %d stops, events %v", b.Origin.running, b.Origin.StopCount, b.events[:min(5, len(b.events))])
 	}
-	if b.run(6 * time.Second); !b.Origin.up {
-		t.Error("it does not come back")
+	if b.run(6 * time.Second); !b.Origin.running {
+		t.Error("the origin does not start again")
 	}
 }
 
-// What has waited too long at the origin is given up, and never runs.
-func TestStaleFetch(t *testing.T) {
-	b := newBench(t, func(d *Day) { d.Origin.Headroom = 1000; d.Origin.Queue = unit.Duration(time.Second) })
-	b.Origin.slow = 100
+// TestStaleFetch checks that the origin drops calls that have waited too long, and never executes them.
+func TestStaleCalls(t *testing.T) {
+	b := newTestWorld(t, func(d *Day) { d.Origin.Headroom = 1000; d.Origin.Queue = unit.Duration(time.Second) })
+	b.Origin.slowdown = 100
 	conn := b.Dial(0, 0, b)
 	b.run(time.Second)
 	b.events = nil
 	for id := range uint64(30) {
-		b.call(conn, &Op{ID: id, Class: 1, Write: true})
+		b.send(conn, &Operation{ID: id, Class: 1, Write: true})
 	}
 	b.run(10 * time.Minute)
 	var ran, stale int
@@ -289,20 +294,20 @@
 		}
 	}
 	if ran == 0 || stale == 0 || ran+stale > 30 {
-		t.Errorf("%d ran, %d too late: %v", ran, stale, b.events)
+		t.Errorf("%d executed, %d stale: %v", ran, stale, b.events)
 	}
 }
 
-// A larger object takes more work, and the mean stays.
+// TestSizeWork checks that a larger object takes more work and that the mean work stays the same.
 func TestSizeWork(t *testing.T) {
-	b := newBench(t, func(d *Day) { d.Load.SizeWork, d.Load.Keys = 1, 2000 })
-	small, large, work, n := 0.0, 0.0, 0.0, 0
+	b := newTestWorld(t, func(d *Day) { d.Load.SizeWork, d.Load.Keys = 1, 2000 })
+	small, large, work, reads := 0.0, 0.0, 0.0, 0
 	for range 40000 {
-		op := b.clients.draw()
+		op := b.clients.drawOperation()
 		if op.Write {
 			continue
 		}
-		n++
+		reads++
 		work += op.Work
 		if op.Size < 0.5 {
 			small = max(small, op.Size)
@@ -311,80 +316,82 @@
 			large += op.Work / op.Size
 		}
 	}
-	if mean := work / float64(n) / b.meanWork; mean < 0.85 || mean > 1.15 || small == 0 || large == 0 {
-		t.Errorf("mean work %.2f of the stated", mean)
+	if mean := work / float64(reads) / b.meanWork; mean < 0.85 || mean > 1.15 || small == 0 || large == 0 {
+		t.Errorf("mean work is %.2f of the configured one", mean)
 	}
 }
 
-// A write is carried out once, voids every kept copy, and a keyed one that is repeated is dropped. A value is
-// stored where its request missed.
+// TestWritesAndFetches checks that a write is executed once and removes every cached copy, that a repeated
+// keyed write is dropped, and that a value is stored where its request missed.
 func TestWritesAndFetches(t *testing.T) {
-	b := newBench(t, func(d *Day) { d.Origin.Headroom = 1000 })
+	b := newTestWorld(t, func(d *Day) { d.Origin.Headroom = 1000 })
 	conn := b.Dial(0, 0, b)
 	b.run(20 * time.Second)
 	b.Caches[0].store.put(5, 1)
-	cancel := &Op{ID: 9, Key: 5, Class: 2, Write: true}
-	b.call(conn, cancel)
-	b.call(conn, cancel)
+	cancel := &Operation{ID: 9, Key: 5, Class: 2, Write: true}
+	b.send(conn, cancel)
+	b.send(conn, cancel)
 	b.run(20 * time.Second)
 	b.expect(t, "opened", "ran", "served", "served")
-	if b.Caches[0].store.get(5) || cancel.Runs != 1 {
-		t.Errorf("the copy outlives the write, or it ran %d times", cancel.Runs)
+	if b.Caches[0].store.lookUp(5) || cancel.Executions != 1 {
+		t.Errorf("the cached copy survived the write, or the write ran %d times", cancel.Executions)
 	}
-	read := &Call{Try: &Try{Op: &Op{Key: 6, Size: 1}, missedAt: []*Cache{b.Caches[2]}}}
+	read := &Call{Try: &Try{Op: &Operation{Key: 6, Size: 1}, missedCaches: []*Cache{b.Caches[2]}}}
 	conn.Send(read)
 	b.run(20 * time.Second)
-	if !b.Caches[2].store.get(6) || b.Caches[1].store.get(6) {
-		t.Error("the value is not where its request missed")
+	if !b.Caches[2].store.lookUp(6) || b.Caches[1].store.lookUp(6) {
+		t.Error("the value is not stored exactly where its request missed")
 	}
 }
 
-// A watch tells what changes, breaks when the directory goes down, and what was missed comes with the next one.
-func TestDirectory(t *testing.T) {
-	b := newBench(t, nil)
-	var told []Update
-	b.Directory.Join(0, b.Directory.Version(), func(u Update) { told = append(told, u) })
+// TestDirectory checks that a watch reports changes, that it breaks when discovery goes down, and that the
+// next watch reports the changes missed meanwhile.
+func TestDiscoveryWatch(t *testing.T) {
+	b := newTestWorld(t, nil)
+	var updates []Update
+	b.Directory.Join(0, b.Directory.Version(), func(u Update) { updates = append(updates, u) })
 	b.Directory.Ask(0, false, true, nil)
 	b.run(time.Second)
-	m := b.Directory.entry(1)
+	m := b.Directory.member(1)
 	m.Phase = Draining
-	b.Directory.know(m)
+	b.Directory.setMember(m)
 	b.run(time.Second)
-	b.Directory.outage(true)
-	m.Phase = Gone
-	b.Directory.know(m)
+	b.Directory.setDown(true)
+	m.Phase = Removed
+	b.Directory.setMember(m)
 	b.run(time.Second)
 	b.Directory.Ask(0, false, true, nil)
 	b.run(time.Second)
-	b.Directory.outage(false)
+	b.Directory.setDown(false)
 	b.Directory.Ask(0, false, true, nil)
 	b.run(time.Second)
 	b.Directory.Ask(0, true, false, nil)
 	b.run(time.Second)
-	if len(told) != 6 || len(told[0].Members) != 0 || told[1].Members[0].Phase != Draining || !told[2].Failed ||
-		!told[3].Failed || told[4].Members[0].Phase != Gone || !told[5].Full || len(told[5].Members) != 10 {
-		t.Errorf("told %+v", told)
+	if len(updates) != 6 || len(updates[0].Members) != 0 || updates[1].Members[0].Phase != Draining || !updates[2].Failed ||
+		!updates[3].Failed || updates[4].Members[0].Phase != Removed || !updates[5].Full || len(updates[5].Members) != 10 {
+		t.Errorf("updates %+v", updates)
 	}
 }
 
-// A cut holds what is sent until it mends; a message between routers is lost.
-func TestCut(t *testing.T) {
-	b := newBench(t, nil)
-	b.cuts = []cut{{0, 1, 2 * time.Second}}
-	heard := false
-	b.Tell(0, 1, func() { heard = true })
+// TestCut checks that a cut between zones delays what is sent until the cut ends, and that a message between
+// routers is lost.
+func TestZoneCut(t *testing.T) {
+	b := newTestWorld(t, nil)
+	b.cuts = []zoneCut{{0, 1, 2 * time.Second}}
+	received := false
+	b.Tell(0, 1, func() { received = true })
 	b.Dial(0, 1, b) // server 1 is in zone 1
 	b.run(1900 * time.Millisecond)
 	b.expect(t)
 	b.run(time.Second)
 	b.expect(t, "opened")
-	if heard {
-		t.Error("the message came through")
+	if received {
+		t.Error("the message crossed the cut")
 	}
 }
 
-// What is impossible is told by name.
-func TestCheckDay(t *testing.T) {
+// TestCheckDay checks that an error names the setting with an impossible value.
+func TestInvalidDay(t *testing.T) {
 	for want, change := range map[string]func(*Day){
 		"fleet.caches is 0: 1 to 20000 is possible":         func(d *Day) { d.Fleet.Caches = 0 },
 		"class 2: aim is 9: 0.001 to 5 is possible":         func(d *Day) { d.Classes[1].Aim = unit.Duration(9 * time.Second) },
@@ -399,19 +406,19 @@
 	}
 }
 
-// The approximation of what a memory keeps agrees with a store that is asked.
-func TestHits(t *testing.T) {
-	z, r, s := NewZipf(600, 1, 3), Stream(1, "test", 0), newStore(300)
-	hits, n := 0, 200000
-	for range n {
-		key := uint64(z.Rank(r.Float64()))
-		if s.get(key) {
+// TestHits checks that the approximated hit rate agrees with that of a real store.
+func TestHitRate(t *testing.T) {
+	zipf, random, lru := NewZipf(600, 1, 3), Stream(1, "test", 0), newStore(300)
+	hits, draws := 0, 200000
+	for range draws {
+		key := uint64(zipf.Rank(random.Float64()))
+		if lru.lookUp(key) {
 			hits++
 		} else {
-			s.put(key, 1)
+			lru.put(key, 1)
 		}
 	}
-	if got, want := float64(hits)/float64(n), z.Hits(300); got < want-0.01 || got > want+0.01 {
+	if got, want := float64(hits)/float64(draws), zipf.HitRate(300); got < want-0.01 || got > want+0.01 {
 		t.Errorf("hits %.3f, approximation %.3f", got, want)
 	}
 }
--- a/internal/lab/model/net.go
+++ b/internal/lab/model/net.go
@@ -2,61 +2,61 @@
 
 import "time"
 
-// cut is a way that carries nothing for a while. What is sent meanwhile comes after it.
-type cut struct {
-	from, to int // zones
-	until    time.Duration
+// linkCut is an interruption of the network between two zones. What is sent meanwhile arrives after its end.
+type zoneCut struct {
+	zoneA, zoneB int
+	until        time.Duration
 }
 
-// arrival tells when a segment that is sent now arrives. Its loss shows as a
-// delay: TCP sends it again.
-func (w *World) arrival(from, to, router int) time.Duration {
-	n := &w.day.Net
-	d := n.Same.D()
+// arrivalTime returns when a segment that is sent now arrives. The loss of a segment is modelled as a delay
+// because TCP sends the segment again.
+func (w *World) arrivalTime(from, to, router int) time.Duration {
+	settings := &w.day.Net
+	delay := settings.Same.D()
 	if from != to {
-		d = n.Cross.D()
+		delay = settings.Cross.D()
 	}
-	d = time.Duration(float64(d) * (1 + n.Jitter*(2*w.netRand.Float64()-1)))
-	loss := n.Loss
-	if w.lossy[router] {
-		loss = max(loss, w.lossPart)
+	delay = time.Duration(float64(delay) * (1 + settings.Jitter*(2*w.netRandom.Float64()-1)))
+	loss := settings.Loss
+	if w.lossyRouters[router] {
+		loss = max(loss, w.lossRate)
 	}
-	for wait := n.Resend.D(); loss > 0 && w.netRand.Float64() < loss && wait < time.Minute; wait *= 2 {
-		d += wait
+	for resendAfter := settings.Resend.D(); loss > 0 && w.netRandom.Float64() < loss && resendAfter < time.Minute; resendAfter *= 2 {
+		delay += resendAfter
 	}
-	at := w.Now() + d
+	arrives := w.Now() + delay
 	for _, c := range w.cuts {
-		if (c.from == from && c.to == to || c.from == to && c.to == from) && c.until > w.Now() {
-			at = max(at, c.until+d)
+		if (c.zoneA == from && c.zoneB == to || c.zoneA == to && c.zoneB == from) && c.until > w.Now() {
+			arrives = max(arrives, c.until+delay)
 		}
 	}
-	return at
+	return arrives
 }
 
 func (w *World) routerZone(router int) int { return router % w.day.Zones }
 
-// ClientDelay is the way between a client and its router.
+// ClientDelay draws the one-way delay between a client and its router.
 func (w *World) ClientDelay() time.Duration {
-	n := &w.day.Net
-	return time.Duration(float64(n.Client.D()) * (1 + n.Jitter*(2*w.netRand.Float64()-1)))
+	settings := &w.day.Net
+	return time.Duration(float64(settings.Client.D()) * (1 + settings.Jitter*(2*w.netRandom.Float64()-1)))
 }
 
-// Tell carries a message between routers, or loses it.
+// Tell sends a message between routers. The message may be lost.
 func (w *World) Tell(from, to int, run func()) {
-	n := &w.day.Net
-	lost := n.PeerLoss
-	if w.peersLost {
-		lost = 1
+	settings := &w.day.Net
+	lossRate := settings.PeerLoss
+	if w.dropPeerMessages {
+		lossRate = 1
 	}
-	if w.netRand.Float64() < lost {
+	if w.netRandom.Float64() < lossRate {
 		return
 	}
-	at := w.Now() + time.Duration(float64(n.Peer.D())*(1+n.Jitter*(2*w.netRand.Float64()-1)))
+	arrives := w.Now() + time.Duration(float64(settings.Peer.D())*(1+settings.Jitter*(2*w.netRandom.Float64()-1)))
 	for _, c := range w.cuts {
-		a, b := w.routerZone(from), w.routerZone(to)
-		if c.from == a && c.to == b || c.from == b && c.to == a {
-			return // a datagram does not wait for the way to mend
+		fromZone, toZone := w.routerZone(from), w.routerZone(to)
+		if c.zoneA == fromZone && c.zoneB == toZone || c.zoneA == toZone && c.zoneB == fromZone {
+			return // unlike a TCP segment, a datagram is lost when the link is cut
 		}
 	}
-	w.At(at, run)
+	w.At(arrives, run)
 }
--- a/internal/lab/model/origin.go
+++ b/internal/lab/model/origin.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Origin is the scheduling records: slow, shared, and not to be asked too much.
+// Origin is the system of record for schedules. It is slow, shared by all, and fails under too much load.
 type Origin struct {
 	host
-	Capacity float64 // fetches a second
-
-	Fetches, Writes int // that have come
-	Stops           int
-
-	set      *OriginSet
-	station  station
-	rand     *rand.Rand
-	slow     float64
-	errors   float64
-	tireless bool
-	asked    []ask // in the last FallFor
-	byCold   int   // of them
-	done     map[uint64]time.Duration
-	joined   map[uint64][]*Call // where fetches are shared: by the key of one that is out, those who wait for it too
+	Capacity float64 // fetches per second
+
+	Fetches, Writes int // calls received
+	StopCount       int
+
+	settings       *OriginSettings
+	workers        station
+	random         *rand.Rand
+	slowdown       float64
+	errorRate      float64
+	warmingUp      bool
+	recent         []originCall // calls received within the last FallFor
+	recentFromCold int          // number of recent calls that a miss at a cold cache caused
+	doneAt         map[uint64]time.Duration
+	waitingReads   map[uint64][]*Call // with shared fetches, by key: the calls that wait for the fetch in progress
 }
 
-// ask is one call to the origin.
-type ask struct {
-	at   time.Duration
-	cold bool // a miss at a cold cache is why
+// originCall is one call to the origin.
+type originCall struct {
+	at       time.Duration
+	fromCold bool // caused by a miss at a cold cache
 }
 
 func (w *World) newOrigin(index int) *Origin {
-	set := &w.day.Origin
-	o := &Origin{set: set, rand: Stream(w.day.Seed, "origin", 0), slow: 1, done: map[uint64]time.Duration{}, joined: map[uint64][]*Call{}}
-	hits := w.zipf.Hits(w.day.Fleet.Memory * w.day.Fleet.Caches)
+	settings := &w.day.Origin
+	o := &Origin{settings: settings, random: Stream(w.day.Seed, "origin", 0), slowdown: 1,
+		doneAt: map[uint64]time.Duration{}, waitingReads: map[uint64][]*Call{}}
+	hits := w.zipf.HitRate(w.day.Fleet.Memory * w.day.Fleet.Caches)
 	reads, writes := 0.0, 0.0
 	for _, c := range w.day.Classes {
 		if c.Write {
@@ -43,132 +44,132 @@
 			reads += c.Share
 		}
 	}
-	all := reads + writes
-	o.Capacity = max(1, set.Headroom*w.Rate*(reads*(1-hits)+2*writes)/all) // a write and the fetch after it
-	o.host = host{w: w, index: index, zone: 0, most: 1 << 20}
-	o.host.serve, o.host.drop = o.take, func(*Call) {} // it goes on with what nobody waits for
-	places := max(1, int(o.Capacity*set.Time.Seconds()+0.5))
-	o.station = station{q: &w.Queue, places: places, room: int(o.Capacity*set.Queue.Seconds()) + 1,
-		rate:  func() float64 { return o.Capacity / float64(places) / o.slow },
-		began: o.begin, ended: o.end, stale: o.tooLate}
+	total := reads + writes
+	o.Capacity = max(1, settings.Headroom*w.Rate*(reads*(1-hits)+2*writes)/total) // each write also causes the fetch that follows it
+	o.host = host{w: w, index: index, zone: 0, maxConns: 1 << 20}
+	o.host.serve, o.host.cancel = o.handle, func(*Call) {} // the origin finishes calls that nobody waits for
+	slots := max(1, int(o.Capacity*settings.Time.Seconds()+0.5))
+	o.workers = station{queue: &w.Queue, slots: slots, queueLimit: int(o.Capacity*settings.Queue.Seconds()) + 1,
+		slotRate: func() float64 { return o.Capacity / float64(slots) / o.slowdown },
+		workOf:   o.workNeeded, finished: o.finish, expired: o.dropExpired}
 	return o
 }
 
-// Load is the part of its places at which it works.
-func (o *Origin) Load() float64 { return float64(o.station.busy) / float64(o.station.places) }
+// Load returns the share of slots that are busy.
+func (o *Origin) Load() float64 { return float64(o.workers.busySlots) / float64(o.workers.slots) }
 
 func (o *Origin) start() {
-	o.up = true
-	o.station.clear()
-	o.asked, o.byCold = nil, 0
+	o.running = true
+	o.workers.clear()
+	o.recent, o.recentFromCold = nil, 0
 }
 
-func (o *Origin) halt(d time.Duration) {
-	o.Stops++
+func (o *Origin) halt(downtime time.Duration) {
+	o.StopCount++
 	o.host.stop()
-	o.station.clear()
-	clear(o.joined)
-	o.w.After(d, o.start)
+	o.workers.clear()
+	clear(o.waitingReads)
+	o.w.After(downtime, o.start)
 }
 
-// take takes a call. During warm-up all is answered after the usual time, however much comes.
-func (o *Origin) take(call *Call) {
+// handle receives a call. During warm-up every call is answered after the usual time, whatever the load.
+func (o *Origin) handle(call *Call) {
 	op := call.Try.Op
 	if op.Write {
 		o.Writes++
 	} else {
 		o.Fetches++
 	}
-	o.w.watcher.Fetched(call)
+	o.w.observer.Fetched(call)
 	call.job = job{call: call}
-	if o.tireless {
-		o.w.After(o.set.Time.D(), func() { o.end(&call.job) })
+	if o.warmingUp {
+		o.w.After(o.settings.Time.D(), func() { o.finish(&call.job) })
 		return
 	}
-	waits, out := o.joined[op.Key]
-	if out && !op.Write {
-		o.joined[op.Key] = append(waits, call)
+	waiting, fetching := o.waitingReads[op.Key]
+	if fetching && !op.Write {
+		o.waitingReads[op.Key] = append(waiting, call)
 		return
 	}
-	if o.count(call); !o.up {
+	if o.recordLoad(call); !o.running {
 		return
 	}
-	if o.errors > 0 && o.rand.Float64() < o.errors {
+	if o.errorRate > 0 && o.random.Float64() < o.errorRate {
 		call.Conn.finish(call, Failed)
 		return
 	}
-	if o.station.add(&call.job, false) {
-		if o.set.Shared && !op.Write {
-			o.joined[op.Key] = nil
+	if o.workers.add(&call.job, false) {
+		if o.settings.Shared && !op.Write {
+			o.waitingReads[op.Key] = nil
 		}
 		return
 	}
-	if o.set.Drops {
-		call.Conn.Break()
+	if o.settings.Drops {
+		call.Conn.Reset()
 	} else {
 		call.Conn.finish(call, Busy)
 	}
 }
 
-// tooLate gives up what has waited longer than the line is meant for.
-func (o *Origin) tooLate(j *job) bool {
-	late := o.w.Now()-j.since > o.set.Queue.D()
-	if late {
+// dropExpired rejects a job that has waited longer than the limit of the queue, and reports whether it did.
+func (o *Origin) dropExpired(j *job) bool {
+	expired := o.w.Now()-j.enteredAt > o.settings.Queue.D()
+	if expired {
 		j.call.Conn.finish(j.call, Stale)
-		for _, call := range o.unjoin(j.call.Try.Op) {
+		for _, call := range o.removeWaiting(j.call.Try.Op) {
 			call.Conn.finish(call, Stale)
 		}
 	}
-	return late
+	return expired
 }
 
-// unjoin ends a fetch that may be shared, and tells who else waits for it.
-func (o *Origin) unjoin(op *Op) (waits []*Call) {
+// removeWaiting ends a shared fetch and returns the other calls that wait for it.
+func (o *Origin) removeWaiting(op *Operation) (waiting []*Call) {
 	if !op.Write {
-		waits = o.joined[op.Key]
-		delete(o.joined, op.Key)
+		waiting = o.waitingReads[op.Key]
+		delete(o.waitingReads, op.Key)
 	}
-	return waits
+	return waiting
 }
 
-func (o *Origin) begin(j *job) float64 {
-	work := exp(o.rand, 1)
+func (o *Origin) workNeeded(j *job) float64 {
+	work := drawExponential(o.random, 1)
 	if j.call.Try.Op.Write {
-		work *= o.set.Write
+		work *= o.settings.Write
 	}
 	return work
 }
 
-func (o *Origin) end(j *job) {
+func (o *Origin) finish(j *job) {
 	call, op := j.call, j.call.Try.Op
 	if op.Write {
 		if class := &o.w.day.Classes[op.Class]; class.Effect == "keyed" {
-			at, seen := o.done[op.ID]
+			at, seen := o.doneAt[op.ID]
 			if seen && o.w.Now()-at < class.Window.D() {
-				call.Conn.finish(call, Served) // a repeat, dropped
+				call.Conn.finish(call, Served) // a repeated write, deduplicated
 				return
 			}
-			o.done[op.ID] = o.w.Now()
+			o.doneAt[op.ID] = o.w.Now()
 		}
-		op.Runs++
-		o.w.watcher.Ran(call)
+		op.Executions++
+		o.w.observer.Ran(call)
 		for _, c := range o.w.Caches {
-			if c.up {
-				c.store.void(op.Key)
+			if c.running {
+				c.store.remove(op.Key)
 			}
 		}
 	}
-	o.give(call)
-	for _, other := range o.unjoin(op) {
-		o.give(other)
+	o.serve(call)
+	for _, other := range o.removeWaiting(op) {
+		o.serve(other)
 	}
 }
 
-// give answers a call, and has a value stored where it was missed.
-func (o *Origin) give(call *Call) {
-	if op := call.Try.Op; !op.Write && !call.Conn.over && !call.Conn.closed {
-		for i, c := range call.Try.missedAt {
-			if i < 2 && c.up {
+// serve answers a call and stores the value in the caches that missed it.
+func (o *Origin) serve(call *Call) {
+	if op := call.Try.Op; !op.Write && !call.Conn.closedByServer && !call.Conn.closedByRouter {
+		for i, c := range call.Try.missedCaches {
+			if i < 2 && c.running {
 				c.store.put(op.Key, op.Size)
 			}
 		}
@@ -176,45 +177,46 @@
 	call.Conn.finish(call, Served)
 }
 
-// count guards the origin's one weakness: asked too much for too long, it stops.
-func (o *Origin) count(call *Call) {
-	if o.set.Fall <= 0 {
+// recordLoad records a call and stops the origin if its load has been too high for too long.
+func (o *Origin) recordLoad(call *Call) {
+	if o.settings.Fall <= 0 {
 		return
 	}
-	a := ask{at: o.w.Now()}
-	for _, c := range call.Try.missedAt {
-		a.cold = a.cold || c.Warmth(a.at) < 1
+	added := originCall{at: o.w.Now()}
+	for _, c := range call.Try.missedCaches {
+		added.fromCold = added.fromCold || c.Warmth(added.at) < 1
 	}
-	o.asked = append(o.asked, a)
-	if a.cold {
-		o.byCold++
+	o.recent = append(o.recent, added)
+	if added.fromCold {
+		o.recentFromCold++
 	}
-	for a.at-o.asked[0].at > o.set.FallFor.D() {
-		if o.asked[0].cold {
-			o.byCold--
+	for added.at-o.recent[0].at > o.settings.FallFor.D() {
+		if o.recent[0].fromCold {
+			o.recentFromCold--
 		}
-		o.asked = o.asked[1:]
+		o.recent = o.recent[1:]
 	}
-	if most := o.set.Fall * o.Capacity * o.set.FallFor.Seconds(); float64(len(o.asked)) > most {
-		part := float64(o.byCold) / float64(len(o.asked))
-		due := float64(o.byCold) / max(1, o.w.dueAtCold()*o.set.FallFor.Seconds())
-		o.halt(o.set.DownFor.D())
-		o.w.watcher.OriginStopped(part, due)
+	if limit := o.settings.Fall * o.Capacity * o.settings.FallFor.Seconds(); float64(len(o.recent)) > limit {
+		coldShare := float64(o.recentFromCold) / float64(len(o.recent))
+		coldRatio := float64(o.recentFromCold) / max(1, o.w.coldReadRate()*o.settings.FallFor.Seconds())
+		o.halt(o.settings.DownFor.D())
+		o.w.observer.OriginStopped(coldShare, coldRatio)
 	}
 }
 
-// dueAtCold is how many reads a second belong to cold caches when their weights are cut by the stated warm-up.
-func (w *World) dueAtCold() float64 {
-	cold, all := 0.0, 0.0
+// coldReadRate returns how many reads per second belong to cold caches when their weights are reduced by the
+// stated warm-up.
+func (w *World) coldReadRate() float64 {
+	coldWeight, totalWeight := 0.0, 0.0
 	for _, c := range w.Caches {
-		if !c.up {
+		if !c.running {
 			continue
 		}
 		warmth := c.Warmth(w.Now())
 		weight := c.weight() * warmth
-		if all += weight; warmth < 1 {
-			cold += weight
+		if totalWeight += weight; warmth < 1 {
+			coldWeight += weight
 		}
 	}
-	return w.Rate * cold / max(all, 1e-9)
+	return w.Rate * coldWeight / max(totalWeight, 1e-9)
 }
--- a/internal/lab/model/queue.go
+++ b/internal/lab/model/queue.go
@@ -2,59 +2,60 @@
 
 import "time"
 
-// Queue is the order in which things happen. What falls due at the same time
-// happens in the order in which it was asked for, so that the same requests
-// always give the same course. It never looks at a clock: whoever drives it
-// decides whether a step takes real time.
+// Queue holds the scheduled steps of a simulation. Steps that are due at the same time run in the order in
+// which they were scheduled, so the same schedule always gives the same trace. Queue never looks at a clock:
+// its driver decides whether a step takes real time.
 type Queue struct {
-	now  time.Duration
-	seq  uint64
-	heap []entry // a binary heap of values: container/heap would allocate for each
+	now      time.Duration
+	sequence uint64
+	entries  []entry // a binary heap of values; container/heap would allocate for each entry
 }
 
 type entry struct {
-	at  time.Duration
-	seq uint64
-	run func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
-func (e *entry) before(o *entry) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+func (e *entry) isBefore(other *entry) bool {
+	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
+}
 
-// Now is the time of the latest step, from 0 at the start of the day.
+// Now returns the time of the latest step. The day starts at 0.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// After has something happen when d has passed; a d under 0 counts as 0.
+// After schedules run for the time d from now. A negative d counts as 0.
 func (q *Queue) After(d time.Duration, run func()) { q.At(q.now+max(d, 0), run) }
 
-// At has something happen at a time, or now if that is over.
+// At schedules run for the given time, or for now if that time has passed.
 func (q *Queue) At(at time.Duration, run func()) {
-	q.seq++
-	e := entry{max(at, q.now), q.seq, run}
-	q.heap = append(q.heap, e)
-	i := len(q.heap) - 1
+	q.sequence++
+	added := entry{max(at, q.now), q.sequence, run}
+	q.entries = append(q.entries, added)
+	i := len(q.entries) - 1
 	for i > 0 {
 		parent := (i - 1) / 2
-		if !e.before(&q.heap[parent]) {
+		if !added.isBefore(&q.entries[parent]) {
 			break
 		}
-		q.heap[i] = q.heap[parent]
+		q.entries[i] = q.entries[parent]
 		i = parent
 	}
-	q.heap[i] = e
+	q.entries[i] = added
 }
 
-// Due tells when the next step is due, if there is one.
+// Due returns the time of the next step; ok is false if no step is scheduled.
 func (q *Queue) Due() (time.Duration, bool) {
-	if len(q.heap) == 0 {
+	if len(q.entries) == 0 {
 		return 0, false
 	}
-	return q.heap[0].at, true
+	return q.entries[0].at, true
 }
 
-// RunUntil takes all steps that are due by a time, which is then the present.
+// RunUntil runs all steps that are due up to the given time and then sets the current time to it.
 func (q *Queue) RunUntil(until time.Duration) {
-	for len(q.heap) > 0 && q.heap[0].at <= until {
-		first := q.heap[0]
+	for len(q.entries) > 0 && q.entries[0].at <= until {
+		first := q.entries[0]
 		q.pop()
 		q.now = first.at
 		first.run()
@@ -63,10 +64,10 @@
 }
 
 func (q *Queue) pop() {
-	last := len(q.heap) - 1
-	e := q.heap[last]
-	q.heap[last] = entry{}
-	q.heap = q.heap[:last]
+	last := len(q.entries) - 1
+	moved := q.entries[last]
+	q.entries[last] = entry{}
+	q.entries = q.entries[:last]
 	if last == 0 {
 		return
 	}
@@ -76,14 +77,14 @@
 		if child >= last {
 			break
 		}
-		if child+1 < last && q.heap[child+1].before(&q.heap[child]) {
+		if child+1 < last && q.entries[child+1].isBefore(&q.entries[child]) {
 			child++
 		}
-		if !q.heap[child].before(&e) {
+		if !q.entries[child].isBefore(&moved) {
 			break
 		}
-		q.heap[i] = q.heap[child]
+		q.entries[i] = q.entries[child]
 		i = child
 	}
-	q.heap[i] = e
+	q.entries[i] = moved
 }
--- a/internal/lab/model/station.go
+++ b/internal/lab/model/station.go
@@ -5,43 +5,42 @@
 	"time"
 )
 
-// station is a number of places at which work is done one piece each, with a
-// waiting line before them.
+// station models a server with several slots and a queue. Each slot works on one job at a time.
 type station struct {
-	q       *Queue
-	places  int
-	room    int // in the waiting line
-	rate    func() float64
-	began   func(*job) (work float64) // what a piece takes, known when it begins
-	ended   func(*job)
-	stale   func(*job) bool // takes what has waited too long off the line; nil: nothing does
-	busy    int
-	waiting []*job
+	queue      *Queue
+	slots      int
+	queueLimit int // jobs that may wait in the queue
+	slotRate   func() float64
+	workOf     func(*job) (work float64) // returns the work of a job when the job starts
+	finished   func(*job)
+	expired    func(*job) bool // reports whether a job has waited too long and is removed from the queue; nil removes none
+	busySlots  int
+	waiting    []*job
 }
 
-// job is one piece of work.
+// job is one piece of work at a station.
 type job struct {
-	call  *Call // nil for the work of a new connection
-	work  float64
-	since time.Duration // when it came, then when it began
-	state uint8
-	run   int // ends of earlier runs do not count
+	call      *Call // nil for the work of a new connection
+	work      float64
+	enteredAt time.Duration // when the job arrived; later when it started
+	state     uint8
+	runNumber int // counts the starts; the end of an earlier run is ignored
 }
 
 const (
 	jobNew = iota
 	jobWaiting
-	jobBegun
-	jobOver
+	jobRunning
+	jobDone
 )
 
-// add takes a piece of work, or tells that there is no room.
-func (s *station) add(j *job, force bool) bool {
-	j.since = s.q.Now()
+// add starts or queues a job. It returns false if the queue is full, unless ignoreLimit is set.
+func (s *station) add(j *job, ignoreLimit bool) bool {
+	j.enteredAt = s.queue.Now()
 	switch {
-	case s.busy < s.places:
-		s.begin(j)
-	case force || len(s.waiting) < s.room:
+	case s.busySlots < s.slots:
+		s.start(j)
+	case ignoreLimit || len(s.waiting) < s.queueLimit:
 		j.state = jobWaiting
 		s.waiting = append(s.waiting, j)
 	default:
@@ -50,58 +49,58 @@
 	return true
 }
 
-func (s *station) begin(j *job) {
+func (s *station) start(j *job) {
 	if j.call != nil {
-		j.work = s.began(j)
+		j.work = s.workOf(j)
 	}
-	s.busy++
-	j.state, j.since = jobBegun, s.q.Now()
-	j.run++
-	run := j.run
-	s.q.After(seconds(j.work/s.rate()), func() {
-		if j.state == jobBegun && j.run == run {
-			j.state = jobOver
-			s.busy--
-			s.next()
+	s.busySlots++
+	j.state, j.enteredAt = jobRunning, s.queue.Now()
+	j.runNumber++
+	run := j.runNumber
+	s.queue.After(seconds(j.work/s.slotRate()), func() {
+		if j.state == jobRunning && j.runNumber == run {
+			j.state = jobDone
+			s.busySlots--
+			s.startWaiting()
 			if j.call != nil {
-				s.ended(j)
+				s.finished(j)
 			}
 		}
 	})
 }
 
-func (s *station) next() {
-	for len(s.waiting) > 0 && s.busy < s.places {
+func (s *station) startWaiting() {
+	for len(s.waiting) > 0 && s.busySlots < s.slots {
 		j := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		if s.stale != nil && s.stale(j) {
-			j.state = jobOver
+		if s.expired != nil && s.expired(j) {
+			j.state = jobDone
 			continue
 		}
-		s.begin(j)
+		s.start(j)
 	}
 }
 
-// cancel stops a piece of work and tells how much of it was done in vain.
+// cancel stops a job and returns how much of its work has been done in vain.
 func (s *station) cancel(j *job) (done float64) {
 	switch j.state {
 	case jobWaiting:
 		if i := slices.Index(s.waiting, j); i >= 0 {
 			s.waiting = slices.Delete(s.waiting, i, i+1)
 		}
-	case jobBegun:
-		done = min(j.work, (s.q.Now()-j.since).Seconds()*s.rate())
-		s.busy--
-		defer s.next()
+	case jobRunning:
+		done = min(j.work, (s.queue.Now()-j.enteredAt).Seconds()*s.slotRate())
+		s.busySlots--
+		defer s.startWaiting()
 	}
-	j.state = jobOver
+	j.state = jobDone
 	return done
 }
 
-// clear forgets all work, as the end of a process does.
+// clear drops all jobs, as happens when a process ends.
 func (s *station) clear() {
 	for _, j := range s.waiting {
-		j.state = jobOver
+		j.state = jobDone
 	}
-	s.waiting, s.busy = nil, 0
+	s.waiting, s.busySlots = nil, 0
 }
--- a/internal/lab/model/store.go
+++ b/internal/lab/model/store.go
@@ -2,11 +2,11 @@
 
 import "container/list"
 
-// store keeps objects up to a size and drops those used longest ago.
+// store keeps objects up to a total size and evicts the least recently used ones.
 type store struct {
-	most, size float64
-	order      *list.List // of *object, those used last in front
-	byKey      map[uint64]*list.Element
+	maxSize, size float64
+	byRecency     *list.List // values are *object; the most recently used is at the front
+	byKey         map[uint64]*list.Element
 }
 
 type object struct {
@@ -14,44 +14,44 @@
 	size float64
 }
 
-func newStore(most float64) *store {
-	return &store{most: most, order: list.New(), byKey: map[uint64]*list.Element{}}
+func newStore(maxSize float64) *store {
+	return &store{maxSize: maxSize, byRecency: list.New(), byKey: map[uint64]*list.Element{}}
 }
 
-// get tells whether a key is kept, and counts that as a use.
-func (s *store) get(key uint64) bool {
+// contains reports whether the store holds a key, and counts the lookup as a use.
+func (s *store) lookUp(key uint64) bool {
 	e, ok := s.byKey[key]
 	if ok {
-		s.order.MoveToFront(e)
+		s.byRecency.MoveToFront(e)
 	}
 	return ok
 }
 
-// put keeps an object. One that is larger than all memory is not kept.
+// put stores an object. It does not store an object that is larger than the whole store.
 func (s *store) put(key uint64, size float64) {
-	s.void(key)
-	if size > s.most {
+	s.remove(key)
+	if size > s.maxSize {
 		return
 	}
-	s.byKey[key] = s.order.PushFront(&object{key, size})
-	for s.size += size; s.size > s.most; {
-		s.void(s.order.Back().Value.(*object).key)
+	s.byKey[key] = s.byRecency.PushFront(&object{key, size})
+	for s.size += size; s.size > s.maxSize; {
+		s.remove(s.byRecency.Back().Value.(*object).key)
 	}
 }
 
-// keys are those that are kept, the one used last first.
+// keys returns the stored keys, the most recently used first.
 func (s *store) keys() (all []uint64) {
-	for e := s.order.Front(); e != nil; e = e.Next() {
+	for e := s.byRecency.Front(); e != nil; e = e.Next() {
 		all = append(all, e.Value.(*object).key)
 	}
 	return all
 }
 
-// void drops a key.
-func (s *store) void(key uint64) {
+// remove deletes a key.
+func (s *store) remove(key uint64) {
 	if e, ok := s.byKey[key]; ok {
 		s.size -= e.Value.(*object).size
-		s.order.Remove(e)
+		s.byRecency.Remove(e)
 		delete(s.byKey, key)
 	}
 }
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -5,58 +5,60 @@
 	"time"
 )
 
-// Watcher sees what really happens. It is for whoever judges the day; nothing
-// of it may reach a router.
-type Watcher interface {
-	Ended(op *Op)                    // a client has its answer or has given up for good
-	Fetched(call *Call)              // a call has come to the origin
-	Ran(call *Call)                  // a write was carried out
-	FellOver(f *Fall)                // a cold cache was pushed over
-	OriginStopped(cold, due float64) // what part of its load were misses at cold caches, and how many for each due there
-	Listed(m Member)                 // the directory knows something new
-	Fault(text string)               // something goes wrong, or mends
+// Observer sees what really happens. It is used to score the day; a router must not learn any of this.
+type Observer interface {
+	Ended(op *Operation)  // a client has its answer or will not try again
+	Fetched(call *Call)   // the origin has received a call
+	Ran(call *Call)       // the origin has executed a write
+	FellOver(f *Collapse) // a cold cache has collapsed
+	// OriginStopped reports that the origin has stopped: the share of its load that misses at cold caches
+	// caused, and the ratio of those misses to the number expected.
+	OriginStopped(cold, due float64)
+	Listed(m Member)   // discovery has changed an entry
+	Fault(text string) // a fault has started or ended
 }
 
-// Steward starts and ends routers as the day has it.
-type Steward interface {
-	Kill(router int)  // at once: all that it held is lost
+// RouterControl starts and stops routers when the day requires it.
+type RouterControl interface {
+	Kill(router int)  // at once: its state and its requests are lost
 	Stop(router int)  // as SIGTERM does
-	Start(router int) // from nothing
+	Start(router int) // with no state
 }
 
-// World is a day as it goes on.
+// World is the state of a simulated day.
 type World struct {
 	Queue
-	Caches    []*Cache // by index less one: the origin is server 0
+	Caches    []*Cache // a cache's position is its server index less one: the origin is server 0
 	Origin    *Origin
-	Directory *Directory
-	Rate      float64 // mean requests a second
+	Directory *Discovery
+	Rate      float64 // mean requests per second
 
-	Handshakes int     // connections that routers opened
-	Waste      float64 // work done for nobody, in standard-core seconds
+	Handshakes int     // connections opened by routers
+	WastedWork float64 // work whose result nobody waited for, in standard-core seconds
 
 	day                  *Day
 	hosts                []*host
-	occupants            map[int]*host // who is, or was last, at each address of a cache
-	tier                 Tier
-	steward              Steward
-	watcher              Watcher
+	occupants            map[int]*host // by address: the cache that runs there, or ran there last
+	routers              RouterTier
+	routerControl        RouterControl
+	observer             Observer
 	clients              *clients
 	zipf                 *Zipf
-	netRand              interface{ Float64() float64 }
+	netRandom            interface{ Float64() float64 }
 	meanWork, meanWeight float64
-	cuts                 []cut
-	lossy                map[int]bool
-	lossPart             float64
-	peersLost            bool
+	cuts                 []zoneCut
+	lossyRouters         map[int]bool
+	lossRate             float64
+	dropPeerMessages     bool
 }
 
 // New returns the world at the start of a day, which must have passed Check.
-func New(day *Day, tier Tier, steward Steward, watcher Watcher) *World {
-	w := &World{day: day, tier: tier, steward: steward, watcher: watcher, lossy: map[int]bool{}, occupants: map[int]*host{},
-		netRand: Stream(day.Seed, "net", 0)}
+func New(day *Day, routers RouterTier, routerControl RouterControl, observer Observer) *World {
+	w := &World{day: day, routers: routers, routerControl: routerControl, observer: observer,
+		lossyRouters: map[int]bool{}, occupants: map[int]*host{},
+		netRandom: Stream(day.Seed, "net", 0)}
 	w.zipf = NewZipf(day.Load.Keys*day.Fleet.Caches, day.Load.Zipf, day.Load.Offset)
-	kinds := w.kinds(day.Fleet.Caches)
+	kinds := w.assignKinds(day.Fleet.Caches)
 	capacity := 0.0
 	w.hosts = append(w.hosts, nil)
 	for i, k := range kinds {
@@ -74,39 +76,39 @@
 	}
 	level := day.Load.Level
 	if level == 0 {
-		level = 0.5 // nobody asks, but the origin is made for some load
+		level = 0.5 // no requests come, but the origin's capacity needs a load to be derived from
 	}
 	w.Rate = level * capacity / max(w.meanWork, 1e-6) * all
 	w.meanWork /= max(reads, 1e-9)
 	w.Origin = w.newOrigin(0)
 	w.hosts[0] = &w.Origin.host
-	w.Directory = w.newDirectory()
+	w.Directory = w.newDiscovery()
 	w.clients = w.newClients()
 
-	w.Origin.up, w.Origin.tireless = true, day.Warm > 0
-	w.After(day.Warm.D(), func() { w.Origin.tireless = false })
-	w.Directory.know(Member{ID: 0, Index: 0, Kind: len(day.Kinds), Phase: Ready, Weight: 1, Origin: true})
+	w.Origin.running, w.Origin.warmingUp = true, day.Warm > 0
+	w.After(day.Warm.D(), func() { w.Origin.warmingUp = false })
+	w.Directory.setMember(Member{ID: 0, Index: 0, Kind: len(day.Kinds), Phase: Ready, Weight: 1, Origin: true})
 	for _, c := range w.Caches {
 		c.start(true)
-		w.Directory.know(w.member(c))
+		w.Directory.setMember(w.runningMember(c))
 	}
 	for i := range day.Faults {
-		w.schedule(i, &day.Faults[i])
+		w.scheduleFault(i, &day.Faults[i])
 	}
-	w.clients.drift(Stream(day.Seed, "drift", 0))
+	w.clients.scheduleDrift(Stream(day.Seed, "drift", 0))
 	if day.Load.Level > 0 {
-		w.clients.run(day.Warm.D() + day.Length.D())
+		w.clients.scheduleArrival(day.Warm.D() + day.Length.D())
 	}
 	return w
 }
 
-// Member is what the directory has of a server; one that was never listed is gone.
-func (w *World) Member(index int) Member { return w.Directory.entry(index) }
+// Member returns the list entry of a server. A server that was never listed has the phase Removed.
+func (w *World) Member(index int) Member { return w.Directory.member(index) }
 
-// Servers is how many servers there have been: the origin, which is 0, and all slot caches.
-func (w *World) Servers() int { return len(w.hosts) }
+// ServerCount returns how many servers there have been: the origin and all slot caches.
+func (w *World) ServerCount() int { return len(w.hosts) }
 
-// Occupant is the server that runs, or ran last, at an address.
+// Occupant returns the index of the server that runs, or ran last, at an address.
 func (w *World) Occupant(addr int) int {
 	if addr == 0 {
 		return 0
@@ -114,43 +116,43 @@
 	return w.occupants[addr].index
 }
 
-// Day is what the world was made from.
+// Day returns the settings of the world.
 func (w *World) Day() *Day { return w.day }
 
-// End is when the last request comes. What is open then goes on.
+// End returns the time of the last new request. Open requests continue after it.
 func (w *World) End() time.Duration { return w.day.Warm.D() + w.day.Length.D() }
 
-// kinds deals the kinds of machine out over n caches, in proportion to their shares.
-func (w *World) kinds(n int) []int {
-	dealt, given, all := make([]int, n), make([]float64, len(w.day.Kinds)), 0.0
+// assignKinds assigns kinds of machine to n caches, in proportion to the shares of the kinds.
+func (w *World) assignKinds(n int) []int {
+	assigned, counts, total := make([]int, n), make([]float64, len(w.day.Kinds)), 0.0
 	for _, k := range w.day.Kinds {
-		all += k.Share
+		total += k.Share
 	}
-	for i := range dealt {
+	for i := range assigned {
 		best := 0
 		for k := range w.day.Kinds {
-			owed := func(k int) float64 { return w.day.Kinds[k].Share/all*float64(i+1) - given[k] }
-			if owed(k) > owed(best) {
+			deficit := func(k int) float64 { return w.day.Kinds[k].Share/total*float64(i+1) - counts[k] }
+			if deficit(k) > deficit(best) {
 				best = k
 			}
 		}
-		dealt[i] = best
-		given[best]++
+		assigned[i] = best
+		counts[best]++
 	}
-	return dealt
+	return assigned
 }
 
-// id makes a server's id, which tells nothing of the server.
-func (w *World) id(index int) uint32 {
+// newID returns an unused random ID for a server, so that the ID reveals nothing about the server.
+func (w *World) newID(index int) uint32 {
 	id := uint32(Stream(w.day.Seed, "id", index).Uint64())
-	taken := func(m Member) bool { return m.ID == id }
-	for id = max(id, 1); slices.ContainsFunc(w.Directory.list, taken); id++ { // two of thousands may fall together
+	inUse := func(m Member) bool { return m.ID == id }
+	for id = max(id, 1); slices.ContainsFunc(w.Directory.members, inUse); id++ { // among thousands, two IDs may collide
 	}
 	return id
 }
 
-// member is the list entry of a cache that runs.
-func (w *World) member(c *Cache) Member {
+// runningMember returns the list entry of a running cache.
+func (w *World) runningMember(c *Cache) Member {
 	m := Member{Index: c.index, Addr: c.Addr, Zone: c.zone, Cell: c.index / 4, Phase: Ready,
 		Weight: c.weight()}
 	for k := range w.day.Kinds {
@@ -158,10 +160,10 @@
 			m.Kind = k
 		}
 	}
-	if m.ID = w.Directory.entry(c.index).ID; m.ID == 0 {
-		m.ID = w.id(c.index)
+	if m.ID = w.Directory.member(c.index).ID; m.ID == 0 {
+		m.ID = w.newID(c.index)
 	}
-	if c.Begun {
+	if c.StartedInRun {
 		m.Started = c.Started
 	}
 	return m
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -1,6 +1,5 @@
-// Package rules holds a tier of routers to the rules of the platform, by what it
-// is told of each step. It knows the whole day, decides nothing, does no I/O, and
-// must not be shown to a router.
+// Package rules checks that the routers keep the invariants of the platform, from the events that are reported
+// to it. It knows the whole day, decides nothing, does no I/O, and must not be visible to a router.
 package rules
 
 import (
@@ -13,28 +12,28 @@
 	"hoptiller/internal/lab/model"
 )
 
-// The rules by name.
+// The invariants by name.
 const (
-	OneAnswer = "one-answer" // each request taken gets exactly one final answer in time, and nothing is sent for it after that
-	Effects   = "effects"    // what may have run is repeated or refused only where the class permits that
-	OneCall   = "one-call"   // one call of a request is out at a time
-	Attempts  = "attempts"   // and so many in all
-	Drain     = "drain"      // nothing new goes to a server soon after its drain or end was told
-	Cold      = "cold"       // no cold cache is pushed over by routers that were told of its start
-	Origin    = "origin"     // misses at cold caches are not much of a load that stops the origin
-	Listed    = "listed"     // only servers that the router's own list has named are called
-
-	TimeLeft   = "time-left"  // no attempt is told more time than its client has left
-	Unanswered = "unanswered" // few requests have no answer when their time is up
-	Serving    = "serving"    // few routers turn away all that they get while others serve
+	OneAnswer = "one-answer" // each accepted request gets exactly one final answer in time, and nothing is sent for it afterwards
+	Effects   = "effects"    // a call that may have been executed is retried or refused only where the class allows it
+	OneCall   = "one-call"   // a request has at most one call in flight
+	Attempts  = "attempts"   // a request has a limited number of calls
+	Drain     = "drain"      // nothing new is sent to a server soon after the router has learned of its drain or end
+	Cold      = "cold"       // a cold cache does not collapse under load from routers that know of its start
+	Origin    = "origin"     // misses at cold caches are no major share of a load that stops the origin
+	Listed    = "listed"     // only servers on the router's own list are called
+
+	TimeLeft   = "time-left"  // no attempt states more time than its client has left
+	Unanswered = "unanswered" // few requests have no answer at their deadline
+	Serving    = "serving"    // few routers reject all requests while others serve
 )
 
-// Violation is one breach.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Rule    string        `json:"rule"`
 	At      time.Duration `json:"at"`
 	Router  int           `json:"router"`
-	Request uint32        `json:"request,omitempty"` // 0: of no one request
+	Request uint32        `json:"request,omitempty"` // 0 if the violation concerns no single request
 	Text    string        `json:"text"`
 }
 
@@ -42,184 +41,192 @@
 	return fmt.Sprintf("%v: %s: router %d, request %d: %s", v.At, v.Rule, v.Router, v.Request, v.Text)
 }
 
-// Checker watches one day. Times are the day's.
+// Checker checks the events of one day. Times are relative to the start of the day.
 type Checker struct {
-	Found []Violation // the first of each rule
-	Count int         // all
-	Falls []Violation // of cold servers, those that break no rule as well
+	Violations     []Violation // the first maxKept of each invariant
+	ViolationCount int         // all violations, including those that are not in Violations
+	Collapses      []Violation // all collapses of cold servers, whether or not they are violations
 
-	// Lag is by how much what is seen now is late since processes wait for a core, where the day is played in real time.
+	// Lag is by how much events are now observed late because processes wait for a core. It is 0 unless the
+	// day is played in real time.
 	Lag time.Duration
 
-	kept    map[string]int // of each rule, those in Found and more
-	day     *model.Day
-	routers []routerState
-	starts  map[serverOf]toldStart // the start of each server that was told last
-	ended   map[int]time.Duration  // servers that drain or are gone, since when that is listed
-	runs    map[uint64]int
-
-	obstacles  []obstacle            // by router
-	taken      int                   // requests in all
-	unanswered int                   // of them
-	idle       map[int]time.Duration // routers that served nobody for a time while others did, since when that is so
+	countByRule    map[string]int // by invariant: the number of violations, including those that are not in Violations
+	day            *model.Day
+	routers        []routerState
+	startsReceived map[routerServer]receivedStart // the latest known start of each server
+	leavingSince   map[int]time.Duration          // servers that drain or are removed: when this was listed
+	executions     map[uint64]int
+
+	excused         []excusedTime         // by router
+	requestCount    int                   // all requests so far
+	unansweredCount int                   // requests without an answer so far
+	idleSince       map[int]time.Duration // routers that rejected everything while others served: when this was found
 }
 
-const keep = 100 // violations of each rule that are kept whole: a flood of one must not hide another
+const maxKept = 100 // violations kept of each invariant; the limit keeps many of one from hiding another
 
 type routerState struct {
-	requests map[uint32]*request
-	left     map[int]time.Duration // servers told to drain or gone, since when
-	aside    map[int]time.Duration // and those that it says to send nothing more, since when
-	named    map[int]bool
-	asked    time.Duration // last call or word of the directory
-	watching bool
-	failed   bool // the last call failed
-	service  service
+	requests     map[uint32]*requestState
+	leavingSince map[int]time.Duration // servers known to the router as draining or removed: since when
+	drainedSince map[int]time.Duration // servers to which the router itself has declared to send nothing new: since when
+	everListed   map[int]bool
+	lastUpdate   time.Duration // time of the last successful update from discovery
+	watching     bool
+	lastFailed   bool // the last request to discovery failed
+	service      recentService
 }
 
-type request struct {
-	class int
-	end   time.Duration
-	tries []try
-	final bool
+type requestState struct {
+	class    int
+	deadline time.Duration
+	attempts []attempt
+	answered bool
 
-	writtenLate time.Duration // by its client, after it worked out what is left
+	writtenLate time.Duration // time between the client's computation of its remaining time and its write
 
-	told     bool          // an attempt has told how much time is left
-	readLate time.Duration // how much more the first of them told
+	timeSent    bool          // an attempt has stated its remaining time
+	firstExcess time.Duration // by how much the first statement exceeded the real remaining time
 
-	pausedBefore, heldBackBefore time.Duration // how long its router's obstacles had lasted when it was taken
+	pausedBefore, relayDelayBefore time.Duration // excused time of the router when it accepted the request
 }
 
-type try struct {
-	at        time.Duration
-	open, ran bool
+type attempt struct {
+	sentAt               time.Duration
+	inFlight, mayHaveRun bool
 }
 
 // New returns a Checker for a day.
 func New(day *model.Day) *Checker {
-	c := &Checker{day: day, routers: make([]routerState, day.Routers), ended: map[int]time.Duration{}, runs: map[uint64]int{},
-		starts: map[serverOf]toldStart{},
-		kept:   map[string]int{}, obstacles: make([]obstacle, day.Routers), idle: map[int]time.Duration{}}
+	c := &Checker{day: day, routers: make([]routerState, day.Routers), leavingSince: map[int]time.Duration{},
+		executions:     map[uint64]int{},
+		startsReceived: map[routerServer]receivedStart{},
+		countByRule:    map[string]int{}, excused: make([]excusedTime, day.Routers), idleSince: map[int]time.Duration{}}
 	for i := range c.routers {
-		c.forgetLife(i)
+		c.resetIncarnation(i)
 	}
 	return c
 }
 
-func (c *Checker) breach(rule string, at time.Duration, router int, id uint32, format string, args ...any) {
-	c.Count++
-	if c.kept[rule]++; c.kept[rule] <= keep {
-		c.Found = append(c.Found, Violation{rule, at, router, id, fmt.Sprintf(format, args...)})
+func (c *Checker) addViolation(rule string, at time.Duration, router int, id uint32, format string, args ...any) {
+	c.ViolationCount++
+	if c.countByRule[rule]++; c.countByRule[rule] <= maxKept {
+		c.Violations = append(c.Violations, Violation{rule, at, router, id, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Taken tells that a router has taken a request, which has until end.
-func (c *Checker) Taken(now time.Duration, router int, id uint32, class int, end time.Duration) {
-	o := &c.obstacles[router]
-	c.taken++
-	c.routers[router].requests[id] = &request{class: class, end: end, pausedBefore: o.paused.read(now), heldBackBefore: o.heldBack.read(now)}
+// Taken records that a router has accepted a request with the given deadline.
+func (c *Checker) Taken(now time.Duration, router int, id uint32, class int, deadline time.Duration) {
+	excused := &c.excused[router]
+	c.requestCount++
+	c.routers[router].requests[id] = &requestState{class: class, deadline: deadline, pausedBefore: excused.paused.read(now),
+		relayDelayBefore: excused.relayDelay.read(now)}
 }
 
-// Sent tells of a call.
+// Sent records a call to a server.
 func (c *Checker) Sent(now time.Duration, router int, id uint32, server int) {
-	s := &c.routers[router]
-	s.service.attempts()
-	q := s.requests[id]
-	if q == nil || q.final {
-		c.breach(OneAnswer, now, router, id, "a call to server %d after the final answer", server)
+	state := &c.routers[router]
+	state.service.attemptSeen()
+	request := state.requests[id]
+	if request == nil || request.answered {
+		c.addViolation(OneAnswer, now, router, id, "a call to server %d after the final answer", server)
 		return
 	}
-	class := &c.day.Classes[q.class]
-	for i, t := range q.tries {
+	class := &c.day.Classes[request.class]
+	for i, attempt := range request.attempts {
 		switch {
-		case t.open && !c.day.Rules.Copies:
-			c.breach(OneCall, now, router, id, "a call to server %d while call %d is out", server, i)
-		case !t.ran:
+		case attempt.inFlight && !c.day.Rules.Copies:
+			c.addViolation(OneCall, now, router, id, "a call to server %d while call %d is out", server, i)
+		case !attempt.mayHaveRun:
 		case class.Effect == "unsafe":
-			c.breach(Effects, now, router, id, "%s is sent again though call %d may have run", class.Name, i)
-		case class.Effect == "keyed" && now-t.at > class.Window.D():
-			c.breach(Effects, now, router, id, "%s is repeated %v after call %d, repeats are dropped for %v",
-				class.Name, now-t.at, i, class.Window)
+			c.addViolation(Effects, now, router, id, "%s is sent again though call %d may have run", class.Name, i)
+		case class.Effect == "keyed" && now-attempt.sentAt > class.Window.D():
+			c.addViolation(Effects, now, router, id, "%s is repeated %v after call %d, repeats are dropped for %v",
+				class.Name, now-attempt.sentAt, i, class.Window)
 		}
 	}
-	if len(q.tries) >= c.day.Rules.Attempts {
-		c.breach(Attempts, now, router, id, "call %d of %d", len(q.tries)+1, c.day.Rules.Attempts)
+	if len(request.attempts) >= c.day.Rules.Attempts {
+		c.addViolation(Attempts, now, router, id, "call %d of %d", len(request.attempts)+1, c.day.Rules.Attempts)
 	}
-	if !s.named[server] {
-		c.breach(Listed, now, router, id, "server %d was never listed", server)
+	if !state.everListed[server] {
+		c.addViolation(Listed, now, router, id, "server %d was never listed", server)
 	}
-	if since, over := c.leftSince(router, server); over && now-since > c.day.Rules.Drain.D() {
-		c.breach(Drain, now, router, id, "a call to server %d, %v after the router was told that it drains or is gone",
+	if since, known := c.leavingSinceFor(router, server); known && now-since > c.day.Rules.Drain.D() {
+		c.addViolation(Drain, now, router, id, "a call to server %d, %v after the router was told that it drains or is gone",
 			server, now-since)
 	}
-	if since, over := s.aside[server]; over && now-since > c.day.Rules.Drain.D() {
-		c.breach(Drain, now, router, id, "a call to server %d, %v after the router had said that it gets nothing new", server, now-since)
+	if since, known := state.drainedSince[server]; known && now-since > c.day.Rules.Drain.D() {
+		c.addViolation(Drain, now, router, id, "a call to server %d, %v after the router had said that it gets nothing new", server,
+			now-since)
 	}
-	q.tries = append(q.tries, try{at: now, open: true, ran: true})
+	request.attempts = append(request.attempts, attempt{sentAt: now, inFlight: true, mayHaveRun: true})
 }
 
-// Aside tells that a router says to send a server nothing new, because operators want it so, or that it does again.
-func (c *Checker) Aside(now time.Duration, router, server int, yes bool) {
-	if !yes {
-		delete(c.routers[router].aside, server)
-	} else if _, already := c.routers[router].aside[server]; !already {
-		c.routers[router].aside[server] = now
+// ServerDrained records that a router declares to send a server nothing new, as operators demand, or that it
+// revokes this.
+func (c *Checker) ServerDrained(now time.Duration, router, server int, drained bool) {
+	if !drained {
+		delete(c.routers[router].drainedSince, server)
+	} else if _, known := c.routers[router].drainedSince[server]; !known {
+		c.routers[router].drainedSince[server] = now
 	}
 }
 
-// leftSince tells since when a router is held to know that a server drains or is gone.
-func (c *Checker) leftSince(router, server int) (time.Duration, bool) {
-	s := &c.routers[router]
-	if since, ok := s.left[server]; ok {
+// leavingSinceFor returns since when a router must know that a server drains or is removed.
+func (c *Checker) leavingSinceFor(router, server int) (time.Duration, bool) {
+	state := &c.routers[router]
+	if since, ok := state.leavingSince[server]; ok {
 		return since, true
 	}
-	listed, ok := c.ended[server]
-	if !ok || s.watching {
+	listedAt, ok := c.leavingSince[server]
+	if !ok || state.watching {
 		return 0, false
 	}
-	within := c.day.Rules.AskWithin.D()
-	if s.failed {
-		within *= 4
+	allowed := c.day.Rules.AskWithin.D()
+	if state.lastFailed {
+		allowed *= 4
 	}
-	return max(listed, s.asked) + within, true
+	return max(listedAt, state.lastUpdate) + allowed, true
 }
 
-// Ended tells how a call has ended.
+// Ended records the end of a call.
 func (c *Checker) Ended(now time.Duration, router int, id uint32, attempt int, status hoptiller.Status) {
-	q := c.routers[router].requests[id]
-	if q == nil || attempt >= len(q.tries) {
+	request := c.routers[router].requests[id]
+	if request == nil || attempt >= len(request.attempts) {
 		return
 	}
-	t := &q.tries[attempt]
-	t.open = false
+	ended := &request.attempts[attempt]
+	ended.inFlight = false
 	switch status {
 	case hoptiller.Full, hoptiller.ConnectFailed, hoptiller.Moot, hoptiller.Miss:
-		t.ran = false
+		ended.mayHaveRun = false
 	}
-	c.forget(router, id, q)
+	c.forgetIfDone(router, id, request)
 }
 
-// Together tells that two calls of a request were out at once, how each came, and how late the router and the lab itself were.
-func (c *Checker) Together(now time.Duration, router int, id uint32, first, second *Came, ofRouter, ofLab time.Duration) {
-	c.breach(OneCall, now, router, id, "calls %d and %d are out at once: %v; %v; lag of the router %v, of the lab %v",
-		first.Attempt, second.Attempt, first, second, ofRouter, ofLab)
+// CallsOverlapped records that two calls of a request were in flight at once, with the trace of each call and
+// the lag of the router and of the lab.
+func (c *Checker) CallsOverlapped(now time.Duration, router int, id uint32, first, second *CallTrace, routerLag,
+	labLag time.Duration) {
+	c.addViolation(OneCall, now, router, id, "calls %d and %d are out at once: %v; %v; lag of the router %v, of the lab %v",
+		first.Attempt, second.Attempt, first, second, routerLag, labLag)
 }
 
-// Came is how a call came to a server.
-type Came struct {
+// CallTrace describes how a call reached a server.
+type CallTrace struct {
 	Attempt, Server int
 	Connected       time.Duration // when its connection was accepted
-	Written         time.Duration // when its first byte came, though the server may have read it later
+	Written         time.Duration // when its first byte arrived; the server may have read it later
 	Read            time.Duration
-	Ended           time.Duration // when it was answered, or its connection ended; 0: not known yet
-	Open            bool          // its connection is open and it has no answer
+	Ended           time.Duration // when the call was answered or its connection closed; 0 if not known yet
+	InFlight        bool          // its connection is open and it has no answer
 }
 
-func (m *Came) String() string {
-	text := fmt.Sprintf("call %d to server %d came at %v and was read at %v, on a connection of %v", m.Attempt, m.Server, m.Written, m.Read, m.Connected)
+func (m *CallTrace) String() string {
+	text := fmt.Sprintf("call %d to server %d came at %v and was read at %v, on a connection of %v", m.Attempt, m.Server,
+		m.Written, m.Read, m.Connected)
 	switch {
-	case m.Open:
+	case m.InFlight:
 		text += ", still open"
 	case m.Ended > 0:
 		text += fmt.Sprintf(", ended at %v", m.Ended)
@@ -227,123 +234,124 @@
 	return text
 }
 
-// Final tells of a final answer: StepServed, StepReject or StepFail.
+// Final records a final answer: StepServed, StepReject or StepFail.
 func (c *Checker) Final(now time.Duration, router int, id uint32, kind hoptiller.StepKind) {
-	q := c.routers[router].requests[id]
-	if q == nil || q.final {
-		c.breach(OneAnswer, now, router, id, "a second final answer")
+	request := c.routers[router].requests[id]
+	if request == nil || request.answered {
+		c.addViolation(OneAnswer, now, router, id, "a second final answer")
 		return
 	}
-	if now > q.end+c.day.Rules.Grace.D() {
-		c.breach(OneAnswer, now, router, id, "the final answer comes %v late", now-q.end)
+	if now > request.deadline+c.day.Rules.Grace.D() {
+		c.addViolation(OneAnswer, now, router, id, "the final answer comes %v late", now-request.deadline)
 	}
-	if class := &c.day.Classes[q.class]; kind == hoptiller.StepReject && class.Effect == "unsafe" {
-		for i, t := range q.tries {
-			if t.ran {
-				c.breach(Effects, now, router, id, "%s is refused as harmless to repeat though call %d may have run", class.Name, i)
+	if class := &c.day.Classes[request.class]; kind == hoptiller.StepReject && class.Effect == "unsafe" {
+		for i, attempt := range request.attempts {
+			if attempt.mayHaveRun {
+				c.addViolation(Effects, now, router, id, "%s is refused as harmless to repeat though call %d may have run", class.Name, i)
 			}
 		}
 	}
 	switch {
 	case kind == hoptiller.StepServed:
-		c.routers[router].service.serves(now)
-	case len(q.tries) == 0:
-		c.turnedAway(now, router)
+		c.routers[router].service.requestServed(now)
+	case len(request.attempts) == 0:
+		c.recordRejection(now, router)
 	}
-	q.final = true
-	c.forget(router, id, q)
+	request.answered = true
+	c.forgetIfDone(router, id, request)
 }
 
-// Left tells that a client has gone: nothing is owed any more.
+// Left records that a client has disconnected. Its request needs no answer any more.
 func (c *Checker) Left(router int, id uint32) {
-	if q := c.routers[router].requests[id]; q != nil {
-		q.final = true
-		c.forget(router, id, q)
+	if request := c.routers[router].requests[id]; request != nil {
+		request.answered = true
+		c.forgetIfDone(router, id, request)
 	}
 }
 
-func (c *Checker) forget(router int, id uint32, q *request) {
-	if !q.final {
+func (c *Checker) forgetIfDone(router int, id uint32, request *requestState) {
+	if !request.answered {
 		return
 	}
-	for _, t := range q.tries {
-		if t.open {
+	for _, attempt := range request.attempts {
+		if attempt.inFlight {
 			return
 		}
 	}
 	delete(c.routers[router].requests, id)
 }
 
-// Told tells what a router hears of the directory.
-func (c *Checker) Told(now time.Duration, router int, u model.Update) {
-	s := &c.routers[router]
-	if s.failed = u.Failed; u.Failed {
-		s.watching = false
+// Told records an update that a router receives from discovery.
+func (c *Checker) Told(now time.Duration, router int, update model.Update) {
+	state := &c.routers[router]
+	if state.lastFailed = update.Failed; update.Failed {
+		state.watching = false
 		return
 	}
-	s.asked = now
+	state.lastUpdate = now
 	listed := map[int]bool{}
-	for _, m := range u.Members {
-		listed[m.Index], s.named[m.Index] = true, true
+	for _, m := range update.Members {
+		listed[m.Index], state.everListed[m.Index] = true, true
 		if m.Phase == model.Ready {
-			delete(s.left, m.Index)
-			c.startTold(now, router, m)
-		} else if _, known := s.left[m.Index]; !known {
-			s.left[m.Index] = now
+			delete(state.leavingSince, m.Index)
+			c.recordStart(now, router, m)
+		} else if _, known := state.leavingSince[m.Index]; !known {
+			state.leavingSince[m.Index] = now
 		}
 	}
-	if !u.Full {
+	if !update.Full {
 		return
 	}
-	for n := range s.named {
-		if _, known := s.left[n]; !known && !listed[n] {
-			s.left[n] = now
+	for server := range state.everListed {
+		if _, known := state.leavingSince[server]; !known && !listed[server] {
+			state.leavingSince[server] = now
 		}
 	}
 }
 
-// Watches tells whether a router has a watch that runs.
-func (c *Checker) Watches(router int, on bool) { c.routers[router].watching = on }
+// Watches records whether a router has an active watch.
+func (c *Checker) Watches(router int, watching bool) { c.routers[router].watching = watching }
 
-// Listed tells what the directory knows from now on.
+// Listed records a change of the server list.
 func (c *Checker) Listed(now time.Duration, m model.Member) {
 	if m.Phase == model.Ready {
-		delete(c.ended, m.Index)
-	} else if _, known := c.ended[m.Index]; !known {
-		c.ended[m.Index] = now
+		delete(c.leavingSince, m.Index)
+	} else if _, known := c.leavingSince[m.Index]; !known {
+		c.leavingSince[m.Index] = now
 	}
 }
 
-// Ran tells that a write was carried out, and whether that was not to happen twice.
-func (c *Checker) Ran(now time.Duration, router int, op uint64, class int) {
+// WriteExecuted records that a write was executed. More than one execution of an unsafe write is a violation.
+func (c *Checker) WriteExecuted(now time.Duration, router int, op uint64, class int) {
 	if c.day.Classes[class].Effect != "unsafe" {
 		return
 	}
-	if c.runs[op]++; c.runs[op] > 1 {
-		c.breach(Effects, now, router, 0, "%s of client request %d has run %d times", c.day.Classes[class].Name, op, c.runs[op])
+	if c.executions[op]++; c.executions[op] > 1 {
+		c.addViolation(Effects, now, router, 0, "%s of client request %d has run %d times", c.day.Classes[class].Name, op,
+			c.executions[op])
 	}
 }
 
-// OriginStopped tells that the origin was sent more than it bears: what part of it were misses at
-// cold caches, and how many of those came for each that was due there.
-func (c *Checker) OriginStopped(now time.Duration, part, due float64) {
-	if part > 0.3 && due > 1.25 {
-		c.breach(Origin, now, -1, 0, "the origin stops, %.0f%% of its load were misses at cold caches", 100*part)
+// OriginStopped records that the origin stopped under its load: the share of that load that misses at cold
+// caches caused, and the ratio of those misses to the number expected.
+func (c *Checker) OriginStopped(now time.Duration, coldShare, ratio float64) {
+	if coldShare > 0.3 && ratio > 1.25 {
+		c.addViolation(Origin, now, -1, 0, "the origin stops, %.0f%% of its load were misses at cold caches", 100*coldShare)
 	}
 }
 
-// Finish tells that the day is over: whatever is open has no answer.
+// Finish records the end of the day. Requests that are still open have no answer.
 func (c *Checker) Finish(now time.Duration) {
 	for i := range c.routers {
 		open := c.routers[i].requests
-		for _, id := range slices.Sorted(maps.Keys(open)) { // what is found must not hang on map order
-			if q := open[id]; q.final || now <= q.end+c.day.Rules.Grace.D() {
+		for _, id := range slices.Sorted(maps.Keys(open)) { // violations must not depend on the order of the map
+			if request := open[id]; request.answered || now <= request.deadline+c.day.Rules.Grace.D() {
 				continue
 			}
-			c.breach(OneAnswer, now, i, id, "no final answer")
-			c.Unanswered(now, i, id)
+			c.addViolation(OneAnswer, now, i, id, "no final answer")
+			c.RequestUnanswered(now, i, id)
 		}
 	}
-	c.judgeUnanswered(now)
-	c.judgeServing()
+	c.checkUnanswered(now)
+	c.checkServing()
 }
