--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -11,46 +11,58 @@
 
 const ms = time.Millisecond
 
-// The first and the last moment at which each rule still holds, and the first at which it does not.
-func TestBounds(t *testing.T) {
+// TestInvariantBounds checks for each invariant the last moment at which it still holds and the first at which
+// it is violated.
+func TestInvariantBounds(t *testing.T) {
 	read, book, cancel := 0, 1, 2
-	ready := model.Update{Full: true, Members: []model.Member{{Index: 0, Phase: model.Ready, Origin: true}, {Index: 1, Phase: model.Ready}}}
-	left := model.Update{Members: []model.Member{{Index: 1, Phase: model.Draining}}}
+	ready := model.Update{Full: true, Members: []model.Member{{Index: 0, Phase: model.Ready, Origin: true},
+		{Index: 1, Phase: model.Ready}}}
+	draining := model.Update{Members: []model.Member{{Index: 1, Phase: model.Draining}}}
 	for _, test := range []struct {
 		name string
-		rule string // that is broken; none if empty
+		rule string // name of the violated invariant, or empty for none
 		run  func(c *Checker)
 	}{
 		{"an answer at the end of the grace", "", func(c *Checker) { c.Final(4020*ms, 0, 1, hoptiller.StepFail) }},
-		{"an answer after it", OneAnswer, func(c *Checker) { c.Final(4021*ms, 0, 1, hoptiller.StepFail) }},
+		{"an answer after the grace", OneAnswer, func(c *Checker) { c.Final(4021*ms, 0, 1, hoptiller.StepFail) }},
 		{"a second answer", OneAnswer, func(c *Checker) {
-			c.Sent(0, 0, 1, 1) // its call is out, so that it is not forgotten
+			c.Sent(0, 0, 1, 1) // an open call keeps the request from being forgotten
 			c.Final(0, 0, 1, hoptiller.StepFail)
 			c.Final(0, 0, 1, hoptiller.StepFail)
 		}},
 		{"no answer", OneAnswer, func(c *Checker) { c.Finish(9000 * ms) }},
-		{"a client that leaves", "", func(c *Checker) { c.Left(0, 1); c.Finish(9000 * ms) }},
-		{"a call in time after the router's own word", "", func(c *Checker) { c.Aside(100*ms, 0, 1, true); c.Sent(600*ms, 0, 1, 1) }},
-		{"a call later than that", Drain, func(c *Checker) { c.Aside(100*ms, 0, 1, true); c.Sent(601*ms, 0, 1, 1) }},
-		{"a call after it has said otherwise", "", func(c *Checker) {
-			c.Aside(100*ms, 0, 1, true)
-			c.Aside(200*ms, 0, 1, false)
+		{"a client that disconnects", "", func(c *Checker) { c.Left(0, 1); c.Finish(9000 * ms) }},
+		{"a call in time after the router has drained the server", "", func(c *Checker) {
+			c.ServerDrained(100*ms, 0, 1, true)
+			c.Sent(600*ms, 0, 1, 1)
+		}},
+		{"a call too late after the router has drained the server", Drain, func(c *Checker) {
+			c.ServerDrained(100*ms, 0, 1, true)
+			c.Sent(601*ms, 0, 1, 1)
+		}},
+		{"a call after the router has undone the drain", "", func(c *Checker) {
+			c.ServerDrained(100*ms, 0, 1, true)
+			c.ServerDrained(200*ms, 0, 1, false)
 			c.Sent(900*ms, 0, 1, 1)
 		}},
-		{"a call of its next life", "", func(c *Checker) { c.Aside(100*ms, 0, 1, true); begin(c, 200*ms); c.Sent(900*ms, 0, 2, 1) }},
-		{"a call of its next life after a drain that it has not heard of", "", func(c *Checker) {
-			c.Told(0, 0, left)
-			begin(c, 200*ms)
+		{"a call of the next process", "", func(c *Checker) {
+			c.ServerDrained(100*ms, 0, 1, true)
+			startIncarnation(c, 200*ms)
 			c.Sent(900*ms, 0, 2, 1)
 		}},
-		{"a call of its next life to a server that only the former one had listed", Listed, func(c *Checker) {
+		{"a call of the next process, which has not received the drain", "", func(c *Checker) {
+			c.Told(0, 0, draining)
+			startIncarnation(c, 200*ms)
+			c.Sent(900*ms, 0, 2, 1)
+		}},
+		{"a call of the next process to a server that only the previous one had listed", Listed, func(c *Checker) {
 			c.Told(0, 0, model.Update{Members: []model.Member{{Index: 5, Phase: model.Ready}}})
-			begin(c, 200*ms)
+			startIncarnation(c, 200*ms)
 			c.Sent(900*ms, 0, 2, 5)
 		}},
-		{"a router that refused in its former life as well", "", func(c *Checker) {
-			refuse(c, 14, 2000*ms)
-			begin(c, 3000*ms)
+		{"a router whose previous process refused as well", "", func(c *Checker) {
+			refuseRequests(c, 14, 2000*ms)
+			startIncarnation(c, 3000*ms)
 			c.Left(0, 2)
 			c.Taken(4000*ms, 1, 3, read, 5*time.Second)
 			c.Sent(4000*ms, 1, 3, 1)
@@ -60,24 +72,24 @@
 			c.Final(4000*ms, 0, 4, hoptiller.StepReject)
 			c.Finish(9 * time.Second)
 		}},
-		{"what a life that has ended sent on and did not answer", OneAnswer, func(c *Checker) {
+		{"an unanswered request of a process that has ended", OneAnswer, func(c *Checker) {
 			c.Sent(0, 0, 1, 1)
-			begin(c, 200*ms)
+			startIncarnation(c, 200*ms)
 			c.Left(0, 2)
 			c.Finish(9 * time.Second)
 		}},
-		{"what a life that is killed has", "", func(c *Checker) {
+		{"requests of a killed process", "", func(c *Checker) {
 			c.Left(0, 1)
 			for id := range uint32(6) {
 				c.Taken(0, 0, 100+id, read, time.Second)
 				c.Sent(0, 0, 100+id, 1)
 			}
 			c.Killed(100*ms, 0)
-			begin(c, 200*ms)
+			startIncarnation(c, 200*ms)
 			c.Left(0, 2)
 			c.Finish(9 * time.Second)
 		}},
-		{"a router that dies", "", func(c *Checker) { c.Killed(0, 0); c.Finish(9000 * ms) }},
+		{"a router that is killed", "", func(c *Checker) { c.Killed(0, 0); c.Finish(9000 * ms) }},
 		{"a read repeated after an error", "", func(c *Checker) {
 			c.Sent(0, 0, 1, 1)
 			c.Ended(0, 0, 1, 0, hoptiller.ServerError)
@@ -101,138 +113,173 @@
 			c.Ended(0, 0, 2, 0, hoptiller.Timeout)
 			c.Final(0, 0, 2, hoptiller.StepReject)
 		}},
-		{"a booking that ran twice", Effects, func(c *Checker) { c.Ran(0, 0, 7, book); c.Ran(0, 1, 7, book) }},
+		{"a booking that ran twice", Effects, func(c *Checker) { c.WriteExecuted(0, 0, 7, book); c.WriteExecuted(0, 1, 7, book) }},
 		{"a cancel repeated at the end of its window", "", func(c *Checker) {
 			c.Taken(0, 0, 2, cancel, 4*time.Second)
 			c.Sent(0, 0, 2, 0)
 			c.Ended(0, 0, 2, 0, hoptiller.Timeout)
 			c.Sent(1500*ms, 0, 2, 0)
 		}},
-		{"a cancel repeated after it", Effects, func(c *Checker) {
+		{"a cancel repeated after its window", Effects, func(c *Checker) {
 			c.Taken(0, 0, 2, cancel, 4*time.Second)
 			c.Sent(0, 0, 2, 0)
 			c.Ended(0, 0, 2, 0, hoptiller.Timeout)
 			c.Sent(1501*ms, 0, 2, 0)
 		}},
-		{"a fifth call", "", func(c *Checker) { calls(c, 5) }},
-		{"a sixth one", Attempts, func(c *Checker) { calls(c, 6) }},
-		{"a call 500 ms after a drain was told", "", func(c *Checker) { c.Told(0, 0, left); c.Sent(500*ms, 0, 1, 1) }},
-		{"one after that", Drain, func(c *Checker) { c.Told(0, 0, left); c.Sent(501*ms, 0, 1, 1) }},
-		{"a drain that is told again later", Drain, func(c *Checker) { c.Told(0, 0, left); c.Told(400*ms, 0, left); c.Sent(501*ms, 0, 1, 1) }},
-		{"a server back after its drain", "", func(c *Checker) { c.Told(0, 0, left); c.Told(0, 0, ready); c.Sent(600*ms, 0, 1, 1) }},
-		{"absence from a whole list", Drain, func(c *Checker) {
+		{"a fifth call", "", func(c *Checker) { sendCalls(c, 5) }},
+		{"a sixth call", Attempts, func(c *Checker) { sendCalls(c, 6) }},
+		{"a call 500 ms after a drain was received", "", func(c *Checker) { c.Told(0, 0, draining); c.Sent(500*ms, 0, 1, 1) }},
+		{"a call 501 ms after a drain was received", Drain, func(c *Checker) { c.Told(0, 0, draining); c.Sent(501*ms, 0, 1, 1) }},
+		{"a drain that is received again later", Drain, func(c *Checker) {
+			c.Told(0, 0, draining)
+			c.Told(400*ms, 0, draining)
+			c.Sent(501*ms, 0, 1, 1)
+		}},
+		{"a server back after its drain", "", func(c *Checker) {
+			c.Told(0, 0, draining)
+			c.Told(0, 0, ready)
+			c.Sent(600*ms, 0, 1, 1)
+		}},
+		{"absence from a complete list", Drain, func(c *Checker) {
 			c.Told(0, 0, model.Update{Full: true, Members: ready.Members[:1]})
 			c.Sent(501*ms, 0, 1, 1)
 		}},
-		{"a router that asks nothing, 10.5 s after the listing", "", func(c *Checker) { c.Listed(0, left.Members[0]); c.Sent(10500*ms, 0, 1, 1) }},
-		{"and later", Drain, func(c *Checker) { c.Listed(0, left.Members[0]); c.Sent(10501*ms, 0, 1, 1) }},
-		{"the same with a watch", "", func(c *Checker) {
+		{"a router that requests no list, 10.5 s after the listing", "", func(c *Checker) {
+			c.Listed(0, draining.Members[0])
+			c.Sent(10500*ms, 0, 1, 1)
+		}},
+		{"a router that requests no list, later than 10.5 s after the listing", Drain, func(c *Checker) {
+			c.Listed(0, draining.Members[0])
+			c.Sent(10501*ms, 0, 1, 1)
+		}},
+		{"a router with a watch, long after the listing", "", func(c *Checker) {
 			c.Watches(0, true)
-			c.Listed(0, left.Members[0])
+			c.Listed(0, draining.Members[0])
 			c.Sent(60*time.Second, 0, 1, 1)
 		}},
-		{"after a failed call four times as long", "", func(c *Checker) {
+		{"after a failed request, four times as long after the listing", "", func(c *Checker) {
 			c.Told(0, 0, model.Update{Failed: true})
-			c.Listed(0, left.Members[0])
+			c.Listed(0, draining.Members[0])
 			c.Sent(40500*ms, 0, 1, 1)
 		}},
-		{"a cold cache pushed by those who knew", Cold, func(c *Checker) { c.FellOver(0, pushedOver(0)) }},
-		{"by one who knew, in a former life", Cold, func(c *Checker) {
-			c.Told(100*ms, 0, startOf(1, 50*ms))
+		{"a cold cache collapses under informed routers", Cold, func(c *Checker) { c.CacheCollapsed(0, collapseAt(0)) }},
+		{"a cold cache collapses under a router whose previous process was informed", Cold, func(c *Checker) {
+			c.Told(100*ms, 0, startUpdate(1, 50*ms))
 			c.Killed(0, 0)
-			c.FellOver(300*ms, &model.Fall{Server: 1, Started: 50 * ms, Pushes: []model.Push{{At: 100 * ms, Work: 2}, {At: 100 * ms, Work: 1, Router: 1}}})
+			c.CacheCollapsed(300*ms, &model.Collapse{Server: 1, Started: 50 * ms,
+				Work: []model.ColdWork{{At: 100 * ms, Work: 2}, {At: 100 * ms, Work: 1, Router: 1}}})
 		}},
-		{"by one who knew only afterwards", "", func(c *Checker) {
-			c.Told(100*ms, 0, startOf(1, 50*ms))
-			c.FellOver(100*ms, &model.Fall{Server: 1, Started: 50 * ms, Pushes: []model.Push{{At: 100*ms - 1, Work: 1}, {At: 100 * ms, Work: 1.9}}})
+		{"a cold cache collapses, under two thirds of the work after its router was informed", "", func(c *Checker) {
+			c.Told(100*ms, 0, startUpdate(1, 50*ms))
+			c.CacheCollapsed(100*ms, &model.Collapse{Server: 1, Started: 50 * ms,
+				Work: []model.ColdWork{{At: 100*ms - 1, Work: 1}, {At: 100 * ms, Work: 1.9}}})
 		}},
-		{"two thirds of it after that", Cold, func(c *Checker) {
-			c.Told(100*ms, 0, startOf(1, 50*ms))
-			c.FellOver(100*ms, &model.Fall{Server: 1, Started: 50 * ms, Pushes: []model.Push{{At: 100*ms - 1, Work: 1}, {At: 100 * ms, Work: 2}}})
+		{"a cold cache collapses, two thirds of the work after its router was informed", Cold, func(c *Checker) {
+			c.Told(100*ms, 0, startUpdate(1, 50*ms))
+			c.CacheCollapsed(100*ms, &model.Collapse{Server: 1, Started: 50 * ms,
+				Work: []model.ColdWork{{At: 100*ms - 1, Work: 1}, {At: 100 * ms, Work: 2}}})
 		}},
-		{"and by those who did not", "", func(c *Checker) { c.FellOver(0, pushedOver(time.Second)) }},
+		{"a cold cache collapses under uninformed routers", "", func(c *Checker) { c.CacheCollapsed(0, collapseAt(time.Second)) }},
 		{"an origin stopped by misses at cold caches", Origin, func(c *Checker) { c.OriginStopped(0, 0.31, 1.26) }},
-		{"by those that were due there", "", func(c *Checker) { c.OriginStopped(0, 0.31, 1.25) }},
-		{"by others", "", func(c *Checker) { c.OriginStopped(0, 0.3, 9) }},
+		{"an origin stopped by the expected number of misses at cold caches", "", func(c *Checker) { c.OriginStopped(0, 0.31, 1.25) }},
+		{"an origin stopped by other calls", "", func(c *Checker) { c.OriginStopped(0, 0.3, 9) }},
 		{"a server that was never listed", Listed, func(c *Checker) { c.Sent(0, 0, 1, 5) }},
-		{"all the time that is left is told", "", func(c *Checker) { c.TimeTold(ms, 0, 1, 3999*ms, nil) }},
-		{"more than that", TimeLeft, func(c *Checker) { c.TimeTold(ms, 0, 1, 4000*ms, nil) }},
-		{"no time is told", TimeLeft, func(c *Checker) { c.TimeTold(0, 0, 1, 0, errors.New("unreadable")) }},
-		{"a further attempt that tells as much more as the first", TimeLeft, func(c *Checker) {
+		{"an attempt states all the time that is left", "", func(c *Checker) { c.TimeTold(ms, 0, 1, 3999*ms, nil) }},
+		{"an attempt states more time than is left", TimeLeft, func(c *Checker) { c.TimeTold(ms, 0, 1, 4000*ms, nil) }},
+		{"an attempt states no readable time", TimeLeft, func(c *Checker) { c.TimeTold(0, 0, 1, 0, errors.New("unreadable")) }},
+		{"a further attempt states as much excess time as the first", TimeLeft, func(c *Checker) {
 			c.TimeTold(10*ms, 0, 1, 4000*ms, nil)
 			c.TimeTold(500*ms, 0, 1, 3510*ms, nil)
 		}},
-		{"a request that was read late, by what is allowed", "", func(c *Checker) {
+		{"a request read late, and a further attempt with the same excess", "", func(c *Checker) {
 			c.Lag = 10 * ms
 			c.TimeTold(10*ms, 0, 1, 4000*ms, nil)
 			c.Lag = 0
 			c.TimeTold(500*ms, 0, 1, 3510*ms, nil)
 		}},
-		{"a request that was written late", "", func(c *Checker) { c.WrittenLate(0, 1, 10*ms); c.TimeTold(10*ms, 0, 1, 4000*ms, nil) }},
-		{"and later than that", TimeLeft, func(c *Checker) { c.WrittenLate(0, 1, 10*ms); c.TimeTold(11*ms, 0, 1, 4000*ms, nil) }},
-		{"and a further attempt that tells more", TimeLeft, func(c *Checker) {
+		{"a request that was written late", "", func(c *Checker) {
+			c.RequestWrittenLate(0, 1, 10*ms)
+			c.TimeTold(10*ms, 0, 1, 4000*ms, nil)
+		}},
+		{"an attempt states more than the late write explains", TimeLeft, func(c *Checker) {
+			c.RequestWrittenLate(0, 1, 10*ms)
+			c.TimeTold(11*ms, 0, 1, 4000*ms, nil)
+		}},
+		{"a further attempt states more excess than the first", TimeLeft, func(c *Checker) {
 			c.Lag = 10 * ms
 			c.TimeTold(10*ms, 0, 1, 4000*ms, nil)
 			c.Lag = 0
 			c.TimeTold(500*ms, 0, 1, 3511*ms, nil)
 		}},
-		{"as much more as the machine's lag explains", "", func(c *Checker) { c.Lag = 20 * ms; c.TimeTold(20*ms, 0, 1, 4000*ms, nil) }},
-		{"and more", TimeLeft, func(c *Checker) { c.Lag = 20 * ms; c.TimeTold(21*ms, 0, 1, 4000*ms, nil) }},
-		{"as much more as the router stood still", "", func(c *Checker) {
-			c.Paused(100*ms, 0, true)
-			c.Paused(900*ms, 0, false)
+		{"an attempt states as much more as the machine's lag explains", "", func(c *Checker) {
+			c.Lag = 20 * ms
+			c.TimeTold(20*ms, 0, 1, 4000*ms, nil)
+		}},
+		{"an attempt states more than the machine's lag explains", TimeLeft, func(c *Checker) {
+			c.Lag = 20 * ms
+			c.TimeTold(21*ms, 0, 1, 4000*ms, nil)
+		}},
+		{"an attempt states as much more as the router's pause explains", "", func(c *Checker) {
+			c.ProcessPaused(100*ms, 0, true)
+			c.ProcessPaused(900*ms, 0, false)
 			c.TimeTold(900*ms, 0, 1, 3900*ms, nil)
 		}},
-		{"and more than that", TimeLeft, func(c *Checker) {
-			c.Paused(100*ms, 0, true)
-			c.Paused(900*ms, 0, false)
+		{"an attempt states more than the router's pause explains", TimeLeft, func(c *Checker) {
+			c.ProcessPaused(100*ms, 0, true)
+			c.ProcessPaused(900*ms, 0, false)
 			c.TimeTold(900*ms, 0, 1, 3901*ms, nil)
 		}},
 		{"a pause that was over before the request came", TimeLeft, func(c *Checker) {
-			c.Paused(0, 0, true)
-			c.Paused(900*ms, 0, false)
+			c.ProcessPaused(0, 0, true)
+			c.ProcessPaused(900*ms, 0, false)
 			c.Taken(1000*ms, 0, 2, read, 2000*ms)
 			c.TimeTold(1001*ms, 0, 2, 1000*ms, nil)
 		}},
-		{"another router's pause", TimeLeft, func(c *Checker) { c.Paused(0, 1, true); c.TimeTold(900*ms, 0, 1, 4000*ms, nil) }},
-		{"a relay that still holds back what is sent", "", func(c *Checker) {
-			c.HeldBack(0, 0, true)
-			c.HeldBack(200*ms, 0, true) // to another server, too
-			c.HeldBack(300*ms, 0, false)
+		{"another router's pause", TimeLeft, func(c *Checker) { c.ProcessPaused(0, 1, true); c.TimeTold(900*ms, 0, 1, 4000*ms, nil) }},
+		{"a relay that still delays what is sent", "", func(c *Checker) {
+			c.RelayDelaying(0, 0, true)
+			c.RelayDelaying(200*ms, 0, true) // an overlapping delay, to another server
+			c.RelayDelaying(300*ms, 0, false)
 			c.TimeTold(400*ms, 0, 1, 4000*ms, nil)
 		}},
-		{"a request that is over", "", func(c *Checker) { c.TimeTold(0, 0, 9, time.Hour, nil) }},
-		{"five without an answer of 499", "", func(c *Checker) { leave(c, 493, 5) }},
-		{"six of them", Unanswered, func(c *Checker) { leave(c, 492, 6) }},
-		{"seven of 501", Unanswered, func(c *Checker) { leave(c, 493, 7) }},
-		{"six of 500", "", func(c *Checker) { leave(c, 493, 6) }},
-		{"without an answer though the router stood still no longer than they were waited for", Unanswered, func(c *Checker) { standStill(c, MostStandstill) }},
-		{"while it stood still for longer", "", func(c *Checker) { standStill(c, MostStandstill+ms) }},
-		{"without an answer while the router stands still", "", func(c *Checker) { c.Paused(0, 0, true); leave(c, 0, 400) }},
-		{"a router that refuses all for 4 s", Serving, func(c *Checker) { refuse(c, 15, 4000*ms); c.Finish(9 * time.Second) }},
-		{"while no server can see its attempts", "", func(c *Checker) {
-			c.Unreachable(0, true)
-			refuse(c, 15, 4000*ms)
-			c.Unreachable(0, false)
+		{"a request that is done", "", func(c *Checker) { c.TimeTold(0, 0, 9, time.Hour, nil) }},
+		{"5 of 499 requests without an answer", "", func(c *Checker) { finishDay(c, 493, 5) }},
+		{"6 of 499 requests without an answer", Unanswered, func(c *Checker) { finishDay(c, 492, 6) }},
+		{"7 of 501 requests without an answer", Unanswered, func(c *Checker) { finishDay(c, 493, 7) }},
+		{"6 of 500 requests without an answer", "", func(c *Checker) { finishDay(c, 493, 6) }},
+		{"requests without an answer, after a pause of MaxPause", Unanswered, func(c *Checker) { pauseRouter(c, MaxPause) }},
+		{"requests without an answer, after a pause longer than MaxPause", "", func(c *Checker) { pauseRouter(c, MaxPause+ms) }},
+		{"requests without an answer, during a pause", "", func(c *Checker) { c.ProcessPaused(0, 0, true); finishDay(c, 0, 400) }},
+		{"a router that refuses all for 4 s", Serving, func(c *Checker) { refuseRequests(c, 15, 4000*ms); c.Finish(9 * time.Second) }},
+		{"a router that refuses all while no server can observe its attempts", "", func(c *Checker) {
+			c.RouterUnreachable(0, true)
+			refuseRequests(c, 15, 4000*ms)
+			c.RouterUnreachable(0, false)
+			c.Finish(9 * time.Second)
+		}},
+		{"a router that refuses all once its attempts can be observed again", Serving, func(c *Checker) {
+			c.RouterUnreachable(0, true)
+			c.RouterUnreachable(0, false)
+			refuseRequests(c, 15, 4000*ms)
+			c.Finish(9 * time.Second)
+		}},
+		{"a router that refuses all for less than 4 s", "", func(c *Checker) {
+			refuseRequests(c, 15, 3999*ms)
 			c.Finish(9 * time.Second)
 		}},
-		{"once they can be seen again", Serving, func(c *Checker) {
-			c.Unreachable(0, true)
-			c.Unreachable(0, false)
-			refuse(c, 15, 4000*ms)
+		{"a router that refuses all, but too few requests", "", func(c *Checker) {
+			refuseRequests(c, 14, 4000*ms)
 			c.Finish(9 * time.Second)
 		}},
-		{"for less", "", func(c *Checker) { refuse(c, 15, 3999*ms); c.Finish(9 * time.Second) }},
-		{"fewer requests", "", func(c *Checker) { refuse(c, 14, 4000*ms); c.Finish(9 * time.Second) }},
-		{"with an attempt in between", "", func(c *Checker) {
-			refuse(c, 14, 2000*ms)
+		{"a router that refuses all, with an attempt in between", "", func(c *Checker) {
+			refuseRequests(c, 14, 2000*ms)
 			c.Taken(2000*ms, 0, 2, read, 4*time.Second)
 			c.Sent(2000*ms, 0, 2, 1)
 			c.Left(0, 2)
-			refuse(c, 14, 4000*ms)
+			refuseRequests(c, 14, 4000*ms)
 			c.Finish(9 * time.Second)
 		}},
-		{"while no other one serves", "", func(c *Checker) {
+		{"a router that refuses all while no other one serves", "", func(c *Checker) {
 			c.Left(0, 1)
 			for id := range uint32(20) {
 				at := time.Duration(id) * 500 * ms
@@ -250,68 +297,71 @@
 		c.Taken(0, 0, 1, read, 4*time.Second)
 		test.run(c)
 		switch {
-		case test.rule == "" && c.Count > 0:
-			t.Errorf("%s: %v", test.name, c.Found[0])
-		case test.rule != "" && (c.Count != 1 || c.Found[0].Rule != test.rule):
-			t.Errorf("%s: %d breaches, %v, want one of %s", test.name, c.Count, c.Found, test.rule)
+		case test.rule == "" && c.ViolationCount > 0:
+			t.Errorf("%s: %v", test.name, c.Violations[0])
+		case test.rule != "" && (c.ViolationCount != 1 || c.Violations[0].Rule != test.rule):
+			t.Errorf("%s: %d violations, %v, want one of %s", test.name, c.ViolationCount, c.Violations, test.rule)
 		}
 	}
 }
 
-// startOf is news of a server's start.
-func startOf(server int, at time.Duration) model.Update {
+// startUpdate returns an update that lists a server with the given start.
+func startUpdate(server int, at time.Duration) model.Update {
 	return model.Update{Members: []model.Member{{Index: server, Phase: model.Ready, Started: at}}}
 }
 
-// pushedOver is the fall of server 1, of which router 0 has two thirds.
-func pushedOver(started time.Duration) *model.Fall {
-	return &model.Fall{Server: 1, Started: started, Pushes: []model.Push{{Work: 2, Router: 0}, {Work: 1, Router: 1}}}
+// collapseAt returns a collapse of server 1; two thirds of its load came from router 0.
+func collapseAt(started time.Duration) *model.Collapse {
+	return &model.Collapse{Server: 1, Started: started, Work: []model.ColdWork{{Work: 2, Router: 0}, {Work: 1, Router: 1}}}
 }
 
-// begin has router 0 begin a life with the list of the day's first moment, and take a request.
-func begin(c *Checker, now time.Duration) {
-	c.Begins(0)
-	c.Told(now, 0, model.Update{Full: true, Members: []model.Member{{Index: 0, Phase: model.Ready}, {Index: 1, Phase: model.Ready}}})
-	c.Taken(now, 0, 2, 0, now+4*time.Second)
+// startIncarnation starts a new process of router 0, which receives the initial list and accepts a request.
+func startIncarnation(checker *Checker, now time.Duration) {
+	checker.Begins(0)
+	checker.Told(now, 0, model.Update{Full: true, Members: []model.Member{{Index: 0, Phase: model.Ready}, {Index: 1,
+		Phase: model.Ready}}})
+	checker.Taken(now, 0, 2, 0, now+4*time.Second)
 }
 
-// standStill has the router stand still for a time while 20 requests are open, and none of them answered.
-func standStill(c *Checker, span time.Duration) {
+// pauseRouter pauses the router for a time while 20 requests are open, none of which is answered, and ends the
+// day.
+func pauseRouter(c *Checker, pause time.Duration) {
 	const requests = 20
 	c.Left(0, 1)
 	for id := range uint32(requests) {
 		c.Taken(0, 0, 100+id, 0, time.Second)
 	}
-	c.Paused(100*ms, 0, true)
-	c.Paused(100*ms+span, 0, false)
+	c.ProcessPaused(100*ms, 0, true)
+	c.ProcessPaused(100*ms+pause, 0, false)
 	for id := range uint32(requests) {
-		c.Unanswered(1200*ms, 0, 100+id)
+		c.RequestUnanswered(1200*ms, 0, 100+id)
 	}
 	c.Finish(9 * time.Second)
 }
 
-// leave has so many requests answered, so many others not, and the day end.
-func leave(c *Checker, answered, unanswered int) {
+// finishDay answers some requests, leaves others unanswered, and ends the day.
+func finishDay(c *Checker, answered, unanswered int) {
 	c.Left(0, 1)
 	for i := range uint32(answered + unanswered) {
-		id := 100 + uint32(c.taken) + i
+		id := 100 + uint32(c.requestCount) + i
 		if c.Taken(0, 0, id, 0, time.Second); int(i) < answered {
 			c.Sent(0, 0, id, 1)
 			c.Ended(0, 0, id, 0, hoptiller.OK)
 			c.Final(0, 0, id, hoptiller.StepServed)
 		} else {
-			c.Unanswered(0, 0, id)
+			c.RequestUnanswered(0, 0, id)
 		}
 	}
 	c.Finish(9 * time.Second)
 }
 
-// refuse has router 0 refuse so many requests over a time, and router 1 serve one just before its end.
-func refuse(c *Checker, n int, over time.Duration) {
+// refuseRequests makes router 0 refuse the given number of requests, spread over a time span. Router 1 serves
+// one just before the end.
+func refuseRequests(c *Checker, count int, span time.Duration) {
 	c.Left(0, 1)
-	for i := range n {
-		id, at := uint32(100+c.taken), over*time.Duration(i)/time.Duration(n-1)
-		if i == n-1 {
+	for i := range count {
+		id, at := uint32(100+c.requestCount), span*time.Duration(i)/time.Duration(count-1)
+		if i == count-1 {
 			c.Taken(at, 1, id, 0, at+time.Second)
 			c.Sent(at, 1, id, 1)
 			c.Ended(at, 1, id, 0, hoptiller.OK)
@@ -322,15 +372,16 @@
 	}
 }
 
-func calls(c *Checker, n int) {
-	for i := range n {
+func sendCalls(c *Checker, count int) {
+	for i := range count {
 		c.Sent(0, 0, 1, 1)
 		c.Ended(0, 0, 1, i, hoptiller.Full)
 	}
 }
 
-// What is over is forgotten, and of a flood of breaches only the first are kept.
-func TestMemory(t *testing.T) {
+// TestCheckerMemory checks that finished requests are forgotten, and that only the first of many violations
+// are kept.
+func TestCheckerMemory(t *testing.T) {
 	day := model.Prairie()
 	c := New(&day)
 	for id := range uint32(1000) {
@@ -339,7 +390,7 @@
 		c.Final(0, 0, id, hoptiller.StepFail)
 		c.Ended(0, 0, id, 0, hoptiller.Timeout)
 	}
-	if len(c.routers[0].requests) != 0 || c.Count != 1000 || len(c.Found) != keep {
-		t.Errorf("%d requests held, %d breaches, %d kept", len(c.routers[0].requests), c.Count, len(c.Found))
+	if len(c.routers[0].requests) != 0 || c.ViolationCount != 1000 || len(c.Violations) != maxKept {
+		t.Errorf("%d open requests, %d violations, %d kept", len(c.routers[0].requests), c.ViolationCount, len(c.Violations))
 	}
 }
--- a/internal/lab/rules/serving.go
+++ b/internal/lab/rules/serving.go
@@ -6,80 +6,86 @@
 	"time"
 )
 
-// A router serves nobody when it turns away all that it gets, idleLeast requests or more, for idleFor on end with no
-// attempt in between, while others serve. One router in idleOneIn may.
+// A router counts as not serving if it rejects everything, at least minIdleRequests requests in a row, for
+// idleDuration without an attempt in between, while other routers serve. One router in idleAllowedOneIn may do
+// so.
 const (
-	idleFor   = 4 * time.Second
-	idleLeast = 15
-	idleOneIn = 10
-	// othersWithin is how long ago another router has served a request, at the most, for others to serve now. Where
-	// nobody serves, as while the origin has stopped, no router is to blame alone.
-	othersWithin = time.Second
+	idleDuration     = 4 * time.Second
+	minIdleRequests  = 15
+	idleAllowedOneIn = 10
+	// othersServedWithin is the longest time since the last request that another router served for which the
+	// others still count as serving. When no router serves, as while the origin is stopped, a single router is
+	// not to blame.
+	othersServedWithin = time.Second
 )
 
-// service is what a router has done for its clients of late.
-type service struct {
-	served     time.Duration // when it served a request last
-	hasServed  bool
-	turnedAway int           // requests with no attempt, since the last attempt or service
-	since      time.Duration // the first of them
+// recentService tracks what a router has done for its clients recently.
+type recentService struct {
+	lastServed     time.Duration // when the router last served a request
+	hasServed      bool
+	rejections     int // requests rejected without an attempt since the last attempt or served request
+	firstRejection time.Duration
 
-	unreachable bool // no attempt of it is seen by any cache server
+	unreachable bool // no cache server can observe an attempt of this router
 }
 
-// attempts ends the time for which a router serves nobody.
-func (s *service) attempts() { s.turnedAway = 0 }
+// attemptSeen ends a series of rejections.
+func (s *recentService) attemptSeen() { s.rejections = 0 }
 
-// serves notes that a request is served.
-func (s *service) serves(now time.Duration) { s.served, s.hasServed, s.turnedAway = now, true, 0 }
+// requestServed records a served request.
+func (s *recentService) requestServed(now time.Duration) {
+	s.lastServed, s.hasServed, s.rejections = now, true, 0
+}
 
-// turnsAway notes a request that got its final answer with no attempt, and tells whether the router serves nobody by now.
-func (s *service) turnsAway(now time.Duration) bool {
-	if s.turnedAway++; s.turnedAway == 1 {
-		s.since = now
+// requestRejected records a request that got its final answer without an attempt, and reports whether the
+// router now counts as not serving.
+func (s *recentService) requestRejected(now time.Duration) bool {
+	if s.rejections++; s.rejections == 1 {
+		s.firstRejection = now
 	}
-	return s.turnedAway >= idleLeast && now-s.since >= idleFor
+	return s.rejections >= minIdleRequests && now-s.firstRejection >= idleDuration
 }
 
-// Unreachable tells that a relay begins to reset all of a router's connections to cache servers, or that it ends doing so. Attempts are made
-// meanwhile, and no server sees them.
-func (c *Checker) Unreachable(router int, on bool) {
-	s := &c.routers[router].service
-	s.unreachable = on
-	s.attempts()
+// RouterUnreachable records that a relay starts or stops resetting all connections of a router to cache
+// servers. The router makes attempts meanwhile, but no server observes them.
+func (c *Checker) RouterUnreachable(router int, unreachable bool) {
+	service := &c.routers[router].service
+	service.unreachable = unreachable
+	service.attemptSeen()
 }
 
-// turnedAway takes a final answer to a request that no attempt was seen for.
-func (c *Checker) turnedAway(now time.Duration, router int) {
+// recordRejection records a final answer to a request without an observed attempt.
+func (c *Checker) recordRejection(now time.Duration, router int) {
 	if c.routers[router].service.unreachable {
 		return
 	}
-	if !c.routers[router].service.turnsAway(now) || !c.othersServe(now, router) {
+	if !c.routers[router].service.requestRejected(now) || !c.othersServe(now, router) {
 		return
 	}
-	if _, known := c.idle[router]; !known {
-		c.idle[router] = now
+	if _, recorded := c.idleSince[router]; !recorded {
+		c.idleSince[router] = now
 	}
 }
 
-// othersServe tells whether another router than this one serves.
+// othersServe reports whether any other router serves.
 func (c *Checker) othersServe(now time.Duration, router int) bool {
 	for i := range c.routers {
-		if s := &c.routers[i].service; i != router && s.hasServed && now-s.served <= othersWithin {
+		if s := &c.routers[i].service; i != router && s.hasServed && now-s.lastServed <= othersServedWithin {
 			return true
 		}
 	}
 	return false
 }
 
-// judgeServing holds the whole day to the bound.
-func (c *Checker) judgeServing() {
-	most := len(c.routers) / idleOneIn
-	if len(c.idle) <= most {
+// checkServing adds violations if too many routers did not serve during the day.
+func (c *Checker) checkServing() {
+	allowed := len(c.routers) / idleAllowedOneIn
+	if len(c.idleSince) <= allowed {
 		return
 	}
-	for _, router := range slices.Sorted(maps.Keys(c.idle)) {
-		c.breach(Serving, c.idle[router], router, 0, "it turns away all that it gets for %v on end while others serve, as %d of %d routers do; %d may",
-			idleFor, len(c.idle), len(c.routers), most)
+	for _, router := range slices.Sorted(maps.Keys(c.idleSince)) {
+		c.addViolation(Serving, c.idleSince[router], router, 0,
+			"it turns away all that it gets for %v on end while others serve, as %d of %d routers do; %d may",
+			idleDuration, len(c.idleSince), len(c.routers), allowed)
 	}
 }
--- a/internal/lab/rules/timeleft.go
+++ b/internal/lab/rules/timeleft.go
@@ -2,91 +2,94 @@
 
 import "time"
 
-// stopwatch sums up for how long something has lasted, where it may begin again before it has ended.
+// stopwatch adds up how long a condition has lasted. Intervals may overlap; the overlap counts once.
 type stopwatch struct {
-	running int
-	since   time.Duration // when it began to run
-	total   time.Duration // of the runs that are over
+	openIntervals int
+	startedAt     time.Duration // when the current interval started
+	total         time.Duration // sum of the finished intervals
 }
 
-// set starts or stops the stopwatch; a stop with no start before it changes nothing.
-func (s *stopwatch) set(now time.Duration, on bool) {
+// change starts or ends an interval. An end without a start changes nothing.
+func (s *stopwatch) change(now time.Duration, start bool) {
 	switch {
-	case on:
-		if s.running++; s.running == 1 {
-			s.since = now
+	case start:
+		if s.openIntervals++; s.openIntervals == 1 {
+			s.startedAt = now
 		}
-	case s.running > 0:
-		if s.running--; s.running == 0 {
-			s.total += now - s.since
+	case s.openIntervals > 0:
+		if s.openIntervals--; s.openIntervals == 0 {
+			s.total += now - s.startedAt
 		}
 	}
 }
 
-// read is the whole time so far.
+// read returns the total time so far.
 func (s *stopwatch) read(now time.Duration) time.Duration {
-	if s.running == 0 {
+	if s.openIntervals == 0 {
 		return s.total
 	}
-	return s.total + now - s.since
+	return s.total + now - s.startedAt
 }
 
-// obstacle is the time for which a router could not do what the rules ask of it, by no fault of its own.
-type obstacle struct {
-	paused   stopwatch // its process stood still
-	heldBack stopwatch // a relay held back what it sends to servers
+// excusedTime is the time during which a router could not keep the invariants for reasons beyond its control.
+type excusedTime struct {
+	paused     stopwatch // its process was paused
+	relayDelay stopwatch // a relay delayed what it sends to servers
 }
 
-// Paused tells that a router's process is made to stand still, or goes on.
-func (c *Checker) Paused(now time.Duration, router int, on bool) {
-	c.obstacles[router].paused.set(now, on)
+// ProcessPaused records that a router's process is paused or resumed.
+func (c *Checker) ProcessPaused(now time.Duration, router int, paused bool) {
+	c.excused[router].paused.change(now, paused)
 }
 
-// HeldBack tells that a relay begins to hold back what a router sends to servers, or that it ends doing so.
-func (c *Checker) HeldBack(now time.Duration, router int, on bool) {
-	c.obstacles[router].heldBack.set(now, on)
+// RelayDelaying records that a relay starts or stops delaying what a router sends to servers.
+func (c *Checker) RelayDelaying(now time.Duration, router int, delaying bool) {
+	c.excused[router].relayDelay.change(now, delaying)
 }
 
-// Delayed is for how long so far a request's router stood still or a relay held back what it sends.
-func (c *Checker) Delayed(now time.Duration, router int, id uint32) time.Duration {
-	q := c.routers[router].requests[id]
-	if q == nil {
+// ExcusedDelay returns how long a request's router has been paused or delayed by a relay since it accepted the
+// request.
+func (c *Checker) ExcusedDelay(now time.Duration, router int, id uint32) time.Duration {
+	request := c.routers[router].requests[id]
+	if request == nil {
 		return 0
 	}
-	return c.delayed(now, router, q)
+	return c.excusedDelayOf(now, router, request)
 }
 
-// delayed is for how much of a request's time its router stood still or what it sends was held back. A router that was
-// paused has read the request so much later, and a server has got an attempt so much after it was written.
-func (c *Checker) delayed(now time.Duration, router int, q *request) time.Duration {
-	o := &c.obstacles[router]
-	return o.paused.read(now) - q.pausedBefore + o.heldBack.read(now) - q.heldBackBefore
+// excusedDelayOf returns how much of a request's time its router was paused or delayed by a relay. A paused
+// router has read the request later by this time, and a server has received an attempt later by this time.
+func (c *Checker) excusedDelayOf(now time.Duration, router int, request *requestState) time.Duration {
+	excused := &c.excused[router]
+	return excused.paused.read(now) - request.pausedBefore + excused.relayDelay.read(now) - request.relayDelayBefore
 }
 
-// WrittenLate tells how much later a client wrote a request than it worked out the time that is left to it.
-func (c *Checker) WrittenLate(router int, id uint32, by time.Duration) {
-	if q := c.routers[router].requests[id]; q != nil {
-		q.writtenLate = by
+// RequestWrittenLate records the time between a client's computation of its remaining time and its write of
+// the request.
+func (c *Checker) RequestWrittenLate(router int, id uint32, delay time.Duration) {
+	if request := c.routers[router].requests[id]; request != nil {
+		request.writtenLate = delay
 	}
 }
 
-// TimeTold tells how much time an attempt told its server that the client still has, as the server got it now, or why
-// that could not be read. By as much as the first attempt tells more, the router has read the request late: what further
-// attempts tell more than that is their own.
-func (c *Checker) TimeTold(now time.Duration, router int, id uint32, told time.Duration, unreadable error) {
-	q := c.routers[router].requests[id]
-	if q == nil || q.final {
-		return // Sent tells of it
+// TimeTold records the remaining time that an attempt stated when its server received it, or why the statement
+// was unreadable. If the first attempt states too much time, the router must have read the request late by the
+// excess; a larger excess of a later attempt is a violation.
+func (c *Checker) TimeTold(now time.Duration, router int, id uint32, sent time.Duration, unreadable error) {
+	request := c.routers[router].requests[id]
+	if request == nil || request.answered {
+		return // Sent reports calls after the final answer
 	}
 	if unreadable != nil {
-		c.breach(TimeLeft, now, router, id, "an attempt tells its server no time that can be read: %v", unreadable)
+		c.addViolation(TimeLeft, now, router, id, "an attempt tells its server no time that can be read: %v", unreadable)
 		return
 	}
-	excess := told - (q.end - now) - c.delayed(now, router, q) - q.writtenLate
-	if excess > q.readLate+c.day.Rules.TimeSlack.D()+c.Lag {
-		c.breach(TimeLeft, now, router, id, "an attempt tells its server that %v are left, and %v are", told, q.end-now)
+	excess := sent - (request.deadline - now) - c.excusedDelayOf(now, router, request) - request.writtenLate
+	if excess > request.firstExcess+c.day.Rules.TimeSlack.D()+c.Lag {
+		c.addViolation(TimeLeft, now, router, id, "an attempt tells its server that %v are left, and %v are", sent,
+			request.deadline-now)
 	}
-	if !q.told {
-		q.told, q.readLate = true, max(excess, 0)
+	if !request.timeSent {
+		request.timeSent, request.firstExcess = true, max(excess, 0)
 	}
 }
--- a/internal/lab/rules/unanswered.go
+++ b/internal/lab/rules/unanswered.go
@@ -2,44 +2,46 @@
 
 import "time"
 
-// Of a day's requests, one in unansweredOneIn and unansweredMore beside them may be without an answer when their time is
-// up. On sockets that covers what nobody can help: a request that is written in the moment in which a router that ends
-// shuts its connection.
+// On a day, one request in unansweredOneIn, and unansweredExtra more, may have no answer at their deadline. On
+// sockets this covers an unavoidable case: a request that is written at the moment at which a stopping router
+// closes its connection.
 const (
 	unansweredOneIn = 500
-	unansweredMore  = 5
+	unansweredExtra = 5
 )
 
-// MostStandstill is by how much an answer may be late at the most since its router stood still meanwhile: what comes half a second after
-// its time earns nothing, and what comes later is lost.
-const MostStandstill = 500 * time.Millisecond
+// MaxPause is how late an answer may be because its router was paused meanwhile. An answer that comes within
+// half a second after its deadline earns nothing; one that comes later counts as lost.
+const MaxPause = 500 * time.Millisecond
 
-// Standstill is for how long its router has stood still since a request was taken.
-func (c *Checker) Standstill(now time.Duration, router int, id uint32) time.Duration {
-	q := c.routers[router].requests[id]
-	if q == nil {
+// PausedFor returns how long the router has been paused since it accepted a request.
+func (c *Checker) PausedFor(now time.Duration, router int, id uint32) time.Duration {
+	request := c.routers[router].requests[id]
+	if request == nil {
 		return 0
 	}
-	return c.obstacles[router].paused.read(now) - q.pausedBefore
+	return c.excused[router].paused.read(now) - request.pausedBefore
 }
 
-// Unanswered tells that the time of a request is up, with the grace and what its router stood still for, or its connection has ended,
-// and no final answer has come: nothing is owed any more. A router that stands still, or did for longer than an answer is waited for,
-// could not answer.
-func (c *Checker) Unanswered(now time.Duration, router int, id uint32) {
-	q := c.routers[router].requests[id]
-	if q == nil || q.final {
+// RequestUnanswered records that a request has no final answer although its connection has ended, or its
+// deadline, the grace and the pauses of its router are over. The request needs no answer any more. It is not
+// counted if the router is paused or was paused for more than MaxPause, because such a router could not
+// answer.
+func (c *Checker) RequestUnanswered(now time.Duration, router int, id uint32) {
+	request := c.routers[router].requests[id]
+	if request == nil || request.answered {
 		return
 	}
-	if c.obstacles[router].paused.running == 0 && c.Standstill(now, router, id) <= MostStandstill {
-		c.unanswered++
+	if c.excused[router].paused.openIntervals == 0 && c.PausedFor(now, router, id) <= MaxPause {
+		c.unansweredCount++
 	}
 	c.Left(router, id)
 }
 
-// judgeUnanswered holds the whole day to the bound.
-func (c *Checker) judgeUnanswered(now time.Duration) {
-	if most := c.taken/unansweredOneIn + unansweredMore; c.unanswered > most {
-		c.breach(Unanswered, now, -1, 0, "%d of %d requests have no answer when their time is up, %d may", c.unanswered, c.taken, most)
+// checkUnanswered adds a violation if too many requests of the day had no answer.
+func (c *Checker) checkUnanswered(now time.Duration) {
+	if allowed := c.requestCount/unansweredOneIn + unansweredExtra; c.unansweredCount > allowed {
+		c.addViolation(Unanswered, now, -1, 0, "%d of %d requests have no answer when their time is up, %d may", c.unansweredCount,
+			c.requestCount, allowed)
 	}
 }
--- a/internal/lab/standin/cause.go
+++ b/internal/lab/standin/cause.go
@@ -53,7 +53,7 @@
 func (e *Engine) cachesFull() bool {
 	now, can := e.World.Now(), 0.0
 	for _, c := range e.World.Caches {
-		if c.Serves() {
+		if c.AcceptsWork() {
 			can += c.Capacity(now)
 		}
 	}
@@ -97,7 +97,7 @@
 	switch {
 	case r.life != n.life || n.lost(r): // its process has ended
 		return ownTrouble
-	case e.Check.Delayed(now, n.index, r.number) > 0: // stood still, or was held back by a relay
+	case e.Check.ExcusedDelay(now, n.index, r.number) > 0: // stood still, or was held back by a relay
 		return ownTrouble
 	case r.calling.slow || r.calling.failed:
 		return ownTrouble
@@ -116,7 +116,7 @@
 // blame counts a request that is over against its router, unless it was answered as fast as its calls allowed or something else explains
 // its end. e.mu is held.
 func (e *Engine) blame(r *request, end model.Final) {
-	if r.try.Op.Left {
+	if r.try.Op.Disconnected {
 		return
 	}
 	took := e.World.Now() - r.try.At
@@ -126,8 +126,8 @@
 	}
 	switch e.causeOf(r) {
 	case routerAlone:
-		e.Tally.Unexplained(e.World.Now())
+		e.Tally.RequestUnexplained(e.World.Now())
 	case momentAlone:
-		e.Tally.ByTheMoment(e.World.Now())
+		e.Tally.RequestExplainedByTiming(e.World.Now())
 	}
 }
--- a/internal/lab/standin/client.go
+++ b/internal/lab/standin/client.go
@@ -62,13 +62,13 @@
 		return // it has been answered, or lost
 	}
 	n := e.nodes[r.try.Router]
-	stoodStill := min(e.Check.Standstill(e.World.Now(), n.index, r.number), rules.MostStandstill)
+	stoodStill := min(e.Check.PausedFor(e.World.Now(), n.index, r.number), rules.MaxPause)
 	if last := r.end + e.grace() + min(n.recentLag(), mostLag) + stoodStill; e.World.Now() < last {
 		e.World.At(last, func() { e.expire(r) })
 		return
 	}
 	e.blame(r, model.Lost)
-	e.Check.Unanswered(e.World.Now(), n.index, r.number)
+	e.Check.RequestUnanswered(e.World.Now(), n.index, r.number)
 	if r.conn != nil {
 		r.conn.c.Close()
 	}
@@ -91,11 +91,11 @@
 		if err != nil {
 			f = model.Lost
 			if errors.Is(err, errNoRoute) {
-				f = model.NoRoute
+				f = model.FinalNoRouter
 				e.Check.Left(n.index, r.number)
 			}
 		}
-		if f != model.NoRoute {
+		if f != model.FinalNoRouter {
 			e.blame(r, f)
 		}
 		if f == model.Lost && e.opt.Lost != nil {
@@ -103,12 +103,12 @@
 		}
 		if err != nil {
 			if errors.Is(err, errCutOff) && !n.lost(r) {
-				e.Check.CutOff(e.World.Now(), n.index, r.number, r.answer != nil && r.answer.broken())
+				e.Check.AnswerTruncated(e.World.Now(), n.index, r.number, r.answer != nil && r.answer.broken())
 			}
 			if errors.Is(err, errNoAnswer) && !n.lost(r) && r.calls > 0 {
-				e.Check.Dropped(e.World.Now(), n.index, r.number)
+				e.Check.ConnectionDropped(e.World.Now(), n.index, r.number)
 			}
-			e.Check.Unanswered(e.World.Now(), n.index, r.number) // what it had taken before it was killed the rules have forgotten
+			e.Check.RequestUnanswered(e.World.Now(), n.index, r.number) // what it had taken before it was killed the rules have forgotten
 			if r.conn != nil {
 				r.conn.c.Close()
 				delete(e.closers, r.conn.c)
@@ -201,7 +201,7 @@
 		defer time.AfterFunc(after, func() { n.leave(r) }).Stop()
 	}
 	n.e.mu.Lock()
-	n.e.Check.WrittenLate(n.index, r.number, time.Since(counted))
+	n.e.Check.RequestWrittenLate(n.index, r.number, time.Since(counted))
 	n.e.mu.Unlock()
 	line, err := c.r.ReadString('\n')
 	if err != nil && line == "" {
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -282,7 +282,7 @@
 		if err := n.listenDirectory(); err != nil {
 			return err
 		}
-		for s := range e.World.Servers() {
+		for s := range e.World.ServerCount() {
 			if err := n.listenServer(s); err != nil {
 				return err
 			}
@@ -357,7 +357,7 @@
 	}
 	work := e.day.Classes[class].Work.Seconds()
 	e.nextID++
-	op := &model.Op{ID: e.nextID, Class: class, Key: k, Work: work, Size: 1, Write: write, At: e.World.Now()}
+	op := &model.Operation{ID: e.nextID, Class: class, Key: k, Work: work, Size: 1, Write: write, CreatedAt: e.World.Now()}
 	r := &request{sent: map[*model.Call]time.Duration{}, ended: map[*model.Call]time.Time{}, try: &model.Try{Op: op, At: e.World.Now()}, id: id, number: uint32(e.nextID)}
 	e.tries[id] = r
 	e.World.After(e.day.Classes[class].Deadline.D(), func() { delete(e.tries, id) })
--- a/internal/lab/standin/leave.go
+++ b/internal/lab/standin/leave.go
@@ -13,13 +13,13 @@
 type endedRequest struct {
 	router int
 	number uint32
-	ending rules.Ending
+	ending rules.RequestEnd
 }
 
 // ends notes the end of a request for its client. e.mu is held.
 func (e *Engine) ends(r *request, left bool) {
 	router := r.try.Router
-	e.ended[r.id] = endedRequest{router, r.number, e.Check.Ends(time.Since(e.begun), router, left)}
+	e.ended[r.id] = endedRequest{router, r.number, e.Check.RequestEnded(time.Since(e.begun), router, left)}
 	e.over(r)
 }
 
@@ -31,7 +31,7 @@
 		return
 	}
 	e.Check.Lag = 2 * e.lag.most(time.Since(e.begun)) // the router's own is no excuse: it is to look again when it goes on
-	e.Check.Begun(a.at.Sub(e.begun), past.router, past.number, l.server, past.ending)
+	e.Check.AttemptAfterEnd(a.at.Sub(e.begun), past.router, past.number, l.server, past.ending)
 }
 
 // mostPatience is how long a client that leaves early has waited at the most. Most answers come sooner.
@@ -54,7 +54,7 @@
 			return
 		}
 		r.conn.c.Close()
-		r.try.Op.Left = true
+		r.try.Op.Disconnected = true
 		e.Check.Left(n.index, r.number)
 		e.ends(r, true)
 	})
--- a/internal/lab/standin/node.go
+++ b/internal/lab/standin/node.go
@@ -295,7 +295,7 @@
 		}
 		entry := map[string]any{"id": name(m.ID), "addr": addr, "zone": zone(m.Zone),
 			"kind": kind, "cell": m.Cell, "weight": m.Weight, "started_ms": 0,
-			"state": [...]string{model.Gone: "left", model.Draining: "leaving", model.Ready: "active"}[m.Phase]}
+			"state": [...]string{model.Removed: "left", model.Draining: "leaving", model.Ready: "active"}[m.Phase]}
 		if m.Started > 0 {
 			entry["started_ms"] = n.e.begun.Add(m.Started).UnixMilli()
 		}
--- a/internal/lab/standin/overlap.go
+++ b/internal/lab/standin/overlap.go
@@ -13,7 +13,7 @@
 	call *model.Call
 	link *link
 	at   time.Time // when its first byte came
-	came *rules.Came
+	came *rules.CallTrace
 }
 
 // alone sees to it that no other call of the request was out together with this one. All times are those of the sockets: on a busy
@@ -21,7 +21,7 @@
 // went on is read after a later one.
 func (l *link) alone(r *request, call *model.Call, at time.Time) {
 	e, before := l.n.e, r.out
-	latest := &outCall{call, l, at, &rules.Came{Attempt: call.Attempt, Server: l.server, Connected: l.accepted, Written: at.Sub(e.begun), Read: e.World.Now()}}
+	latest := &outCall{call, l, at, &rules.CallTrace{Attempt: call.Attempt, Server: l.server, Connected: l.accepted, Written: at.Sub(e.begun), Read: e.World.Now()}}
 	if r.out = latest; before == nil || e.day.Rules.Copies {
 		return
 	}
@@ -30,14 +30,14 @@
 			return
 		}
 		now := time.Since(e.begun)
-		e.Check.Together(e.World.Now(), l.n.index, r.number, before.came, latest.came, l.n.lag.most(now), e.lag.most(now))
+		e.Check.CallsOverlapped(e.World.Now(), l.n.index, r.number, before.came, latest.came, l.n.lag.most(now), e.lag.most(now))
 	})
 }
 
 // overlaps tells whether a call had not ended when another one came.
 func (r *request) overlaps(first, second *outCall) bool {
 	end, ended := r.endOf(first)
-	if first.came.Open = !ended; ended {
+	if first.came.InFlight = !ended; ended {
 		first.came.Ended = end.Sub(first.link.n.e.begun)
 	}
 	return !ended || end.Sub(second.at) > arrival.Uncertainty
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -198,7 +198,7 @@
 		},
 		Begun: func(c Control, _ time.Time) { e = (*Engine)(c.(*steward)) },
 		Steps: []Step{{At: 100 * time.Millisecond, Do: func() {
-			try := &model.Try{Op: &model.Op{Key: 0xaa, Work: 0.2, Size: 1, At: e.World.Now()}, At: e.World.Now()}
+			try := &model.Try{Op: &model.Operation{Key: 0xaa, Work: 0.2, Size: 1, CreatedAt: e.World.Now()}, At: e.World.Now()}
 			r := e.newRequest(try)
 			r.life = e.nodes[0].life
 			e.Check.Taken(e.World.Now(), 0, r.number, 0, e.World.Now()+time.Second)
@@ -279,7 +279,7 @@
 	got := make(chan error, 1)
 	byHand(t, func(c Control) {
 		e := (*Engine)(c.(*steward))
-		r := e.newRequest(&model.Try{Op: &model.Op{Key: 0xab, At: e.World.Now()}, At: e.World.Now()})
+		r := e.newRequest(&model.Try{Op: &model.Operation{Key: 0xab, CreatedAt: e.World.Now()}, At: e.World.Now()})
 		r.life = e.nodes[0].life
 		near, far := net.Pipe()
 		far.Close()
@@ -326,11 +326,11 @@
 						return n.life > life && n.process.Load() != nil
 					})
 					e.do(func() {
-						before := e.Check.Count
+						before := e.Check.ViolationCount
 						e.Check.Taken(e.World.Now(), 0, 99, 0, e.World.Now()+time.Second)
 						e.Check.Sent(e.World.Now(), 0, 99, 7)
-						if e.Check.Count != before+1 || e.Check.Found[len(e.Check.Found)-1].Rule != rules.Listed {
-							t.Errorf("what only the former process was told counts for the next one: %v", e.Check.Found)
+						if e.Check.ViolationCount != before+1 || e.Check.Violations[len(e.Check.Violations)-1].Rule != rules.Listed {
+							t.Errorf("what only the former process was told counts for the next one: %v", e.Check.Violations)
 						}
 					})
 				}()
--- a/internal/lab/standin/watch.go
+++ b/internal/lab/standin/watch.go
@@ -47,7 +47,7 @@
 		return
 	}
 	e := (*Engine)(s)
-	paused := func(on bool) { e.do(func() { e.Check.Paused(e.World.Now(), i, on) }) }
+	paused := func(on bool) { e.do(func() { e.Check.ProcessPaused(e.World.Now(), i, on) }) }
 	go func() { // whoever calls may hold e.mu
 		paused(true)
 		pause(e.ctx, span)
@@ -84,7 +84,7 @@
 func (s *steward) Signal(i int, sig os.Signal) {
 	s.nodes[i].signal(sig)
 	if sig == syscall.SIGSTOP || sig == syscall.SIGCONT {
-		s.Check.Paused(s.World.Now(), i, sig == syscall.SIGSTOP)
+		s.Check.ProcessPaused(s.World.Now(), i, sig == syscall.SIGSTOP)
 	}
 }
 
@@ -98,10 +98,10 @@
 }
 
 // Unreachable implements Control.
-func (s *steward) Unreachable(i int, on bool) { s.Check.Unreachable(i, on) }
+func (s *steward) Unreachable(i int, on bool) { s.Check.RouterUnreachable(i, on) }
 
 // HeldBack implements Control.
-func (s *steward) HeldBack(i int, on bool) { s.Check.HeldBack(s.World.Now(), i, on) }
+func (s *steward) HeldBack(i int, on bool) { s.Check.RelayDelaying(s.World.Now(), i, on) }
 
 // Stop implements model.Steward.
 func (s *steward) Stop(i int) { s.nodes[i].stop() }
@@ -132,7 +132,7 @@
 	e.do(func() {
 		for _, m := range e.World.Directory.Present() {
 			if name(m.ID) == cache {
-				e.Check.Aside(e.World.Now(), router, m.Index, yes)
+				e.Check.ServerDrained(e.World.Now(), router, m.Index, yes)
 			}
 		}
 	})
--- a/internal/lab/tally/tally.go
+++ b/internal/lab/tally/tally.go
@@ -1,5 +1,5 @@
-// Package tally counts what becomes of a day, whichever engine plays it, and sums it
-// up in a Result. It sees all that happens and must not be shown to a router.
+// Package tally counts the events of a day, whichever engine plays it, and computes a Result with its score.
+// It sees everything that happens and must not be visible to a router.
 package tally
 
 import (
@@ -15,39 +15,45 @@
 	"hoptiller/internal/lab/rules"
 )
 
-// Result is what became of a day. Only what clients asked after the warm-up counts.
+// Result is the outcome of a day. Only what clients asked for after the warm-up counts, except where a field
+// says otherwise.
 type Result struct {
-	Service float64 `json:"service"` // worth answered within its aim over worth asked for, worth counted by work
-	Worst   float64 `json:"worst"`   // the same in the worst 10 s
-	Score   float64 `json:"score"`   // 0.45 of the whole, 0.35 of the worst 10 s, 0.2 of the worst class
+	// Service is the worth answered within the aim over the worth asked for; each request's worth is
+	// multiplied by its work.
+	Service     float64 `json:"service"`
+	WorstWindow float64 `json:"worst"` // the same for the worst 10 s
+	Score       float64 `json:"score"` // 0.45 of Service, 0.35 of the worst 10 s, 0.2 of the worst class
 
 	Unserved Unserved `json:"unserved"`
-	// Unexplained is the part of the requests taken that were refused, failed, lost or late with no cause but their router.
+	// Unexplained is the share of accepted requests that were refused, failed, lost or late with no cause but
+	// their router.
 	Unexplained float64 `json:"unexplained"`
-	// ByTheMoment is the part of them that only trouble at the time explains, of which nothing shows that it met the request.
+	// ByTheMoment is the share of accepted requests that were refused, failed, lost or late and that only a
+	// fault at the same time explains, with no sign that the fault affected the request.
 	ByTheMoment float64        `json:"by_the_moment"`
-	Asked       int            `json:"asked"`    // by clients, repeats not counted
-	Tries       float64        `json:"tries"`    // of a client for each
-	Taken       int            `json:"taken"`    // by routers, warm-up included
-	Calls       float64        `json:"calls"`    // for each request taken
+	Asked       int            `json:"asked"`    // operations of clients, not counting retries
+	Tries       float64        `json:"tries"`    // mean number of a client's tries per operation
+	Taken       int            `json:"taken"`    // requests accepted by routers, warm-up included
+	Calls       float64        `json:"calls"`    // per accepted request
 	CallP50     float64        `json:"call_p50"` // ms until a call was answered
 	CallP99     float64        `json:"call_p99"`
-	Answers     map[string]int `json:"answers"`  // final ones of routers
-	Outcomes    map[string]int `json:"outcomes"` // of calls
-
-	Fetches   float64           `json:"fetches"`    // a second
-	FetchPeak float64           `json:"fetch_peak"` // most in a second, over the mean
-	Waste     float64           `json:"waste"`      // work done for nobody, over work asked for
-	NewConns  float64           `json:"new_conns"`  // for each request taken
-	CrossZone float64           `json:"cross_zone"` // calls to other zones, for each request taken
-	PeerBytes float64           `json:"peer_bytes"` // between routers, for each request taken
-	ColdPeak  float64           `json:"cold_peak"`  // most work sent to a cold cache in a second, over its capacity then
-	Stops     int               `json:"stops"`      // of the origin
-	Falls     int               `json:"falls"`      // of cold caches
-	Courses   []rules.Violation `json:"-"`          // of those falls, whether they break a rule or not
+	Answers     map[string]int `json:"answers"`  // final answers of routers, by kind
+	Outcomes    map[string]int `json:"outcomes"` // calls, by how they ended
+
+	Fetches   float64 `json:"fetches"`    // per second
+	FetchPeak float64 `json:"fetch_peak"` // largest number of fetches in one second, over the mean
+	Waste     float64 `json:"waste"`      // work whose result nobody waited for, over work asked for
+	NewConns  float64 `json:"new_conns"`  // per accepted request
+	CrossZone float64 `json:"cross_zone"` // calls to other zones, per accepted request
+	PeerBytes float64 `json:"peer_bytes"` // bytes between routers, per accepted request
+	// ColdPeak is the largest work received by a cold cache in one second, over its capacity at that time.
+	ColdPeak float64           `json:"cold_peak"`
+	Stops    int               `json:"stops"` // how often the origin stopped under its load or by a fault
+	Falls    int               `json:"falls"` // collapses of cold caches
+	Courses  []rules.Violation `json:"-"`     // descriptions of the collapses, whether or not they are violations
 
 	Classes    []ClassResult     `json:"classes"`
-	Broken     int               `json:"broken"` // breaches of the rules
+	Broken     int               `json:"broken"` // number of violations of the invariants
 	Violations []rules.Violation `json:"violations,omitempty"`
 
 	Series *Series  `json:"series,omitempty"`
@@ -55,8 +61,7 @@
 	Log    []string `json:"-"`
 }
 
-// ClassResult is what became of one class. Times are from the client's first
-// asking to its answer, in ms.
+// ClassResult is the outcome of one class. Times are in ms, from the client's first try to its answer.
 type ClassResult struct {
 	Name    string  `json:"name"`
 	Service float64 `json:"service"`
@@ -68,72 +73,72 @@
 	P999    float64 `json:"p999"`
 }
 
-// Series is what happened second by second. The first value is the first second of the day proper.
+// Series holds values for each second. The first value is for the first second after the warm-up.
 type Series struct {
-	Service  []float64     `json:"service"` // of what was asked in that second
+	Service  []float64     `json:"service"` // of what was asked for in that second
 	Asked    []int         `json:"asked"`
 	Refused  []int         `json:"refused"`
 	Fetches  []int         `json:"fetches"`
-	Latency  []float64     `json:"latency"`  // mean ms until a call was answered
-	Sent     [][]float64   `json:"sent"`     // by cache: work sent a second
+	Latency  []float64     `json:"latency"`  // mean time until a call was answered, in ms
+	Sent     [][]float64   `json:"sent"`     // by cache: work received per second
 	Capacity [][]float64   `json:"capacity"` // by cache
 	Faults   []SeriesFault `json:"faults"`
 }
 
-// SeriesFault is the beginning or end of a fault.
+// SeriesFault marks the start or end of a fault.
 type SeriesFault struct {
-	At   float64 `json:"at"` // seconds
+	At   float64 `json:"at"` // seconds since the end of the warm-up
 	Text string  `json:"text"`
 }
 
-// Tally counts. Make one with New; it is not safe for concurrent use.
+// Tally counts the events of a day. Create one with New; it is not safe for concurrent use.
 type Tally struct {
-	day       *model.Day
-	series    *Series
-	from      time.Duration // of the day proper
-	seconds   []second
-	classes   []class
-	taken     int
-	calls     int
-	cross     int
-	asked     int
-	tries     int
-	falls     int
-	peerBytes int
-	work      float64
-	unserved  Unserved // by worth
-	proper    int      // requests taken in the day proper
-	blamed    int      // of them, those that nothing explains but their router
-	excused   int      // and those that only trouble at the time explains
-	ends      [hoptiller.Miss + 1]int
-	times     *hdrhistogram.Histogram // of calls that were answered
-	finals    [model.NoRoute + 1]int
-	coldPeak  float64
-	sent      []float64 // by cache, at the last sample of a second
-	sampled   time.Duration
-	logs      []string
+	day               *model.Day
+	series            *Series
+	measuredFrom      time.Duration // end of the warm-up
+	seconds           []secondCounts
+	classes           []classCounts
+	requestsTaken     int
+	calls             int
+	crossZoneCalls    int
+	operations        int
+	tries             int
+	collapses         int
+	peerBytes         int
+	workAsked         float64
+	unserved          Unserved // by worth
+	measuredRequests  int      // requests accepted after the warm-up
+	unexplained       int      // of measuredRequests: those that went wrong with no cause but their router
+	explainedByTiming int      // of measuredRequests: those that only a fault at the same time explains
+	callResults       [hoptiller.Miss + 1]int
+	callTimes         *hdrhistogram.Histogram // durations of answered calls, in microseconds
+	finalAnswers      [model.FinalNoRouter + 1]int
+	coldPeak          float64
+	workSent          []float64 // by cache: WorkReceived at the last sample
+	sampledAt         time.Duration
+	logLines          []string
 }
 
-type second struct {
-	asked, served float64
-	ops, refused  int
-	fetches       int
-	answers       int           // of calls
-	waited        time.Duration // for them in sum
+type secondCounts struct {
+	worthAsked, worthServed float64
+	operations, refused     int
+	fetches                 int
+	answeredCalls           int           // number of calls answered
+	callTime                time.Duration // sum of their durations
 }
 
-type class struct {
-	asked, served float64
-	ops, ok       int
-	times         *hdrhistogram.Histogram
+type classCounts struct {
+	worthAsked, worthServed float64
+	operations, answered    int
+	times                   *hdrhistogram.Histogram
 }
 
-// New returns a Tally of a day; series tells whether to keep what happens second by second.
+// New returns a Tally of a day; series says whether to keep values for each second.
 func New(day *model.Day, series bool) *Tally {
-	t := &Tally{day: day, from: day.Warm.D(), sampled: day.Warm.D(), times: hdrhistogram.New(1, 600e6, 3)}
-	t.seconds = make([]second, int(day.Length.Seconds())+1)
+	t := &Tally{day: day, measuredFrom: day.Warm.D(), sampledAt: day.Warm.D(), callTimes: hdrhistogram.New(1, 600e6, 3)}
+	t.seconds = make([]secondCounts, int(day.Length.Seconds())+1)
 	for range day.Classes {
-		t.classes = append(t.classes, class{times: hdrhistogram.New(1, 600e6, 3)})
+		t.classes = append(t.classes, classCounts{times: hdrhistogram.New(1, 600e6, 3)})
 	}
 	if series {
 		t.series = &Series{}
@@ -141,241 +146,247 @@
 	return t
 }
 
-// at finds the second of a time; nil before the day proper or after it.
-func (t *Tally) at(now time.Duration) *second {
-	if i := int((now - t.from) / time.Second); now >= t.from && i < len(t.seconds) {
+// secondAt returns the counts of the second that contains a time, or nil outside the measured time.
+func (t *Tally) secondAt(now time.Duration) *secondCounts {
+	if i := int((now - t.measuredFrom) / time.Second); now >= t.measuredFrom && i < len(t.seconds) {
 		return &t.seconds[i]
 	}
 	return nil
 }
 
-// Ended takes the end of what a client wanted.
-func (t *Tally) Ended(op *model.Op) {
-	s := t.at(op.At)
-	if s == nil {
+// OperationEnded counts the end of a client's operation.
+func (t *Tally) OperationEnded(op *model.Operation) {
+	counts := t.secondAt(op.CreatedAt)
+	if counts == nil {
 		return
 	}
-	set := &t.day.Classes[op.Class]
-	worth := set.Worth * op.Work
-	c := &t.classes[op.Class]
-	t.asked++
-	t.tries += op.Tries
-	t.work += op.Work
-	s.ops++
-	c.ops++
-	s.asked += worth
-	c.asked += worth
-	took := op.Served - op.At
-	if op.Served == 0 || took > set.Aim.D() {
+	settings := &t.day.Classes[op.Class]
+	worth := settings.Worth * op.Work
+	class := &t.classes[op.Class]
+	t.operations++
+	t.tries += op.TryCount
+	t.workAsked += op.Work
+	counts.operations++
+	class.operations++
+	counts.worthAsked += worth
+	class.worthAsked += worth
+	took := op.AnsweredAt - op.CreatedAt
+	if op.AnsweredAt == 0 || took > settings.Aim.D() {
 		t.unserved.add(op, worth)
 	}
-	if op.Served == 0 {
+	if op.AnsweredAt == 0 {
 		return
 	}
-	c.ok++
-	c.times.RecordValue(max(1, took.Microseconds()))
-	if took > set.Aim.D() {
-		worth *= set.Late
+	class.answered++
+	class.times.RecordValue(max(1, took.Microseconds()))
+	if took > settings.Aim.D() {
+		worth *= settings.Late
 	}
-	s.served += worth
-	c.served += worth
+	counts.worthServed += worth
+	class.worthServed += worth
 }
 
-// Answered takes a router's final answer.
-func (t *Tally) Answered(now time.Duration, f model.Final) {
-	t.finals[f]++
-	if s := t.at(now); s != nil && f == model.Refused {
+// Answered counts a router's final answer.
+func (t *Tally) Answered(now time.Duration, answer model.Final) {
+	t.finalAnswers[answer]++
+	if s := t.secondAt(now); s != nil && answer == model.Refused {
 		s.refused++
 	}
 }
 
-// Fetched takes a call that has come to the origin.
-func (t *Tally) Fetched(now time.Duration, call *model.Call) {
-	if s := t.at(now); s != nil && !call.Try.Op.Write {
+// OriginCall counts a call that the origin has received.
+func (t *Tally) OriginCall(now time.Duration, call *model.Call) {
+	if s := t.secondAt(now); s != nil && !call.Try.Op.Write {
 		s.fetches++
 	}
 }
 
-// Taken takes a request that has come to a router.
+// Taken counts a request that a router has accepted.
 func (t *Tally) Taken(now time.Duration) {
-	t.taken++
-	if t.at(now) != nil {
-		t.proper++
+	t.requestsTaken++
+	if t.secondAt(now) != nil {
+		t.measuredRequests++
 	}
 }
 
-// Unexplained takes a request that was refused, failed, lost or late with no cause but its router.
-func (t *Tally) Unexplained(now time.Duration) {
-	if t.at(now) != nil {
-		t.blamed++
+// RequestUnexplained counts a request that was refused, failed, lost or late with no cause but its router.
+func (t *Tally) RequestUnexplained(now time.Duration) {
+	if t.secondAt(now) != nil {
+		t.unexplained++
 	}
 }
 
-// ByTheMoment takes a request that was refused, failed, lost or late, which only trouble at the time explains.
-func (t *Tally) ByTheMoment(now time.Duration) {
-	if t.at(now) != nil {
-		t.excused++
+// RequestExplainedByTiming counts a request that was refused, failed, lost or late and that only a fault at
+// the same time explains.
+func (t *Tally) RequestExplainedByTiming(now time.Duration) {
+	if t.secondAt(now) != nil {
+		t.explainedByTiming++
 	}
 }
 
-// Called takes a call; cross tells that it goes to another zone.
-func (t *Tally) Called(cross bool) {
+// Called counts a call; crossZone says whether it goes to another zone.
+func (t *Tally) Called(crossZone bool) {
 	t.calls++
-	if cross {
-		t.cross++
+	if crossZone {
+		t.crossZoneCalls++
 	}
 }
 
-// Closed takes the end of a call, and how long it took.
-func (t *Tally) Closed(now time.Duration, s hoptiller.Status, took time.Duration) {
-	t.ends[s]++
-	if s != hoptiller.OK && s != hoptiller.Miss || now < t.from {
+// Closed counts the end of a call and its duration.
+func (t *Tally) Closed(now time.Duration, status hoptiller.Status, took time.Duration) {
+	t.callResults[status]++
+	if status != hoptiller.OK && status != hoptiller.Miss || now < t.measuredFrom {
 		return
 	}
-	t.times.RecordValue(max(1, took.Microseconds()))
-	if x := t.at(now); x != nil {
-		x.answers++
-		x.waited += took
+	t.callTimes.RecordValue(max(1, took.Microseconds()))
+	if counts := t.secondAt(now); counts != nil {
+		counts.answeredCalls++
+		counts.callTime += took
 	}
 }
 
-// Fell takes the fall of a cold cache.
-func (t *Tally) Fell() { t.falls++ }
+// CacheCollapsed counts the collapse of a cold cache.
+func (t *Tally) CacheCollapsed() { t.collapses++ }
 
-// Told takes a message between routers of so many bytes.
+// Told counts the bytes of a message between routers.
 func (t *Tally) Told(bytes int) { t.peerBytes += bytes }
 
-// Fault takes the beginning or end of a fault.
-func (t *Tally) Fault(now time.Duration, text string) {
+// FaultChanged records the start or end of a fault.
+func (t *Tally) FaultChanged(now time.Duration, text string) {
 	if t.series != nil {
-		t.series.Faults = append(t.series.Faults, SeriesFault{(now - t.from).Seconds(), text})
+		t.series.Faults = append(t.series.Faults, SeriesFault{(now - t.measuredFrom).Seconds(), text})
 	}
 }
 
-// Log keeps the first lines that routers log.
+// Log keeps the first 200 lines that routers log.
 func (t *Tally) Log(now time.Duration, router int, text string) {
-	if len(t.logs) < 200 {
-		t.logs = append(t.logs, fmt.Sprintf("%10.3f s  router %d: %s", (now-t.from).Seconds(), router, text))
+	if len(t.logLines) < 200 {
+		t.logLines = append(t.logLines, fmt.Sprintf("%10.3f s  router %d: %s", (now-t.measuredFrom).Seconds(), router, text))
 	}
 }
 
-// Sample looks at the caches once a second.
+// Sample measures the caches once a second.
 func (t *Tally) Sample(w *model.World) {
 	now := w.Now()
-	if now < t.sampled+time.Second {
-		if now <= t.from { // what was sent in the warm-up is not the first second's
-			t.sent = t.sent[:0]
+	if now < t.sampledAt+time.Second {
+		if now <= t.measuredFrom { // work received in the warm-up does not count for the first second
+			t.workSent = t.workSent[:0]
 			for _, c := range w.Caches {
-				t.sent = append(t.sent, c.Sent)
+				t.workSent = append(t.workSent, c.WorkReceived)
 			}
 		}
 		return
 	}
-	span := (now - t.sampled).Seconds()
-	t.sampled = now
-	for len(t.sent) < len(w.Caches) {
-		t.sent = append(t.sent, 0)
+	elapsed := (now - t.sampledAt).Seconds()
+	t.sampledAt = now
+	for len(t.workSent) < len(w.Caches) {
+		t.workSent = append(t.workSent, 0)
 	}
-	if s := t.series; s != nil {
-		for len(s.Sent) < len(w.Caches) {
-			s.Sent, s.Capacity = append(s.Sent, nil), append(s.Capacity, nil)
+	if series := t.series; series != nil {
+		for len(series.Sent) < len(w.Caches) {
+			series.Sent, series.Capacity = append(series.Sent, nil), append(series.Capacity, nil)
 		}
 	}
 	for i, c := range w.Caches {
-		sent, capacity := (c.Sent-t.sent[i])/span, c.Capacity(now)
-		t.sent[i] = c.Sent
+		sent, capacity := (c.WorkReceived-t.workSent[i])/elapsed, c.Capacity(now)
+		t.workSent[i] = c.WorkReceived
 		if capacity > 0 && c.Warmth(now) < 1 {
 			t.coldPeak = max(t.coldPeak, sent/capacity)
 		}
-		if s := t.series; s != nil {
-			for len(s.Sent[i]) < int((now-t.from)/time.Second)-1 { // it has joined since
-				s.Sent[i], s.Capacity[i] = append(s.Sent[i], 0), append(s.Capacity[i], 0)
+		if series := t.series; series != nil {
+			for len(series.Sent[i]) < int((now-t.measuredFrom)/time.Second)-1 { // zeros for the seconds before the cache joined
+				series.Sent[i], series.Capacity[i] = append(series.Sent[i], 0), append(series.Capacity[i], 0)
 			}
-			s.Sent[i], s.Capacity[i] = append(s.Sent[i], sent), append(s.Capacity[i], capacity)
+			series.Sent[i], series.Capacity[i] = append(series.Sent[i], sent), append(series.Capacity[i], capacity)
 		}
 	}
 }
 
-// Second is what happened in one second of the day proper.
+// Second is a summary of one second after the warm-up.
 type Second struct {
 	Asked, Refused, Fetches int
-	Service                 float64 // of what was asked in it and has ended
+	Service                 float64 // service of the operations that were created in it and have ended
 }
 
-// Last tells of a second that is over, counted from 0.
-func (t *Tally) Second(i int) (s Second, ok bool) {
+// Second returns the summary of a second, counted from 0; ok is false outside the measured time.
+func (t *Tally) Second(i int) (summary Second, ok bool) {
 	if i < 0 || i >= len(t.seconds) {
-		return s, false
+		return summary, false
 	}
-	x := &t.seconds[i]
-	return Second{x.ops, x.refused, x.fetches, part(x.served, x.asked)}, true
+	counts := &t.seconds[i]
+	return Second{counts.operations, counts.refused, counts.fetches, ratioOrOne(counts.worthServed, counts.worthAsked)}, true
 }
 
-// part is a over b, or 1 where nothing was asked for.
-func part(a, b float64) float64 {
-	if b <= 0 {
+// ratioOrOne returns numerator over denominator, or 1 if the denominator is 0 or less.
+func ratioOrOne(numerator, denominator float64) float64 {
+	if denominator <= 0 {
 		return 1
 	}
-	return a / b
+	return numerator / denominator
 }
 
-// Result sums up, when the day is over.
+// Result returns the outcome when the day is over.
 func (t *Tally) Result(w *model.World, check *rules.Checker) *Result {
-	r := &Result{Asked: t.asked, Tries: float64(t.tries) / float64(max(t.asked, 1)), Taken: t.taken, Waste: w.Waste / max(t.work, 1e-9),
-		Stops: w.Origin.Stops, Falls: t.falls, Broken: check.Count, Violations: check.Found, Courses: check.Falls, ColdPeak: t.coldPeak,
-		Answers: map[string]int{}, Outcomes: map[string]int{}, Log: t.logs, Series: t.series,
-		Unexplained: float64(t.blamed) / float64(max(t.proper, 1)), ByTheMoment: float64(t.excused) / float64(max(t.proper, 1))}
-	taken := float64(max(t.taken, 1))
-	r.Calls, r.CrossZone = float64(t.calls)/taken, float64(t.cross)/taken
-	r.CallP50, r.CallP99 = float64(t.times.ValueAtQuantile(50))/1000, float64(t.times.ValueAtQuantile(99))/1000
-	r.NewConns, r.PeerBytes = float64(w.Handshakes)/taken, float64(t.peerBytes)/taken
-	for f, name := range [...]string{"served", "refused", "failed"} {
-		r.Answers[name] = t.finals[f]
+	result := &Result{Asked: t.operations, Tries: float64(t.tries) / float64(max(t.operations, 1)), Taken: t.requestsTaken,
+		Waste: w.WastedWork / max(t.workAsked, 1e-9),
+		Stops: w.Origin.StopCount, Falls: t.collapses, Broken: check.ViolationCount, Violations: check.Violations,
+		Courses: check.Collapses, ColdPeak: t.coldPeak,
+		Answers: map[string]int{}, Outcomes: map[string]int{}, Log: t.logLines, Series: t.series,
+		Unexplained: float64(t.unexplained) / float64(max(t.measuredRequests, 1)),
+		ByTheMoment: float64(t.explainedByTiming) / float64(max(t.measuredRequests, 1))}
+	taken := float64(max(t.requestsTaken, 1))
+	result.Calls, result.CrossZone = float64(t.calls)/taken, float64(t.crossZoneCalls)/taken
+	result.CallP50, result.CallP99 = float64(t.callTimes.ValueAtQuantile(50))/1000, float64(t.callTimes.ValueAtQuantile(99))/1000
+	result.NewConns, result.PeerBytes = float64(w.Handshakes)/taken, float64(t.peerBytes)/taken
+	for answer, name := range [...]string{"served", "refused", "failed"} {
+		result.Answers[name] = t.finalAnswers[answer]
 	}
-	for s, n := range t.ends {
-		r.Outcomes[StatusNames[s]] = n
+	for status, n := range t.callResults {
+		result.Outcomes[StatusNames[status]] = n
 	}
 	var asked, served float64
 	fetches, peak := 0, 0
-	for _, s := range t.seconds {
-		asked, served = asked+s.asked, served+s.served
-		fetches, peak = fetches+s.fetches, max(peak, s.fetches)
+	for _, counts := range t.seconds {
+		asked, served = asked+counts.worthAsked, served+counts.worthServed
+		fetches, peak = fetches+counts.fetches, max(peak, counts.fetches)
 	}
-	r.Service, r.Worst = part(served, asked), 1
-	r.Unserved = t.unserved.over(asked)
+	result.Service, result.WorstWindow = ratioOrOne(served, asked), 1
+	result.Unserved = t.unserved.dividedBy(asked)
 	const window = 10
 	for i := 0; i+window <= len(t.seconds)-1; i++ {
-		var a, b float64
-		for _, s := range t.seconds[i : i+window] {
-			a, b = a+s.served, b+s.asked
+		var windowServed, windowAsked float64
+		for _, counts := range t.seconds[i : i+window] {
+			windowServed, windowAsked = windowServed+counts.worthServed, windowAsked+counts.worthAsked
 		}
-		r.Worst = min(r.Worst, part(a, b))
+		result.WorstWindow = min(result.WorstWindow, ratioOrOne(windowServed, windowAsked))
 	}
-	r.Worst = min(r.Worst, r.Service)
-	r.Fetches = float64(fetches) / t.day.Length.Seconds()
-	r.FetchPeak = float64(peak) / max(r.Fetches, 1e-9)
-	worst := 1.0
+	result.WorstWindow = min(result.WorstWindow, result.Service)
+	result.Fetches = float64(fetches) / t.day.Length.Seconds()
+	result.FetchPeak = float64(peak) / max(result.Fetches, 1e-9)
+	worstClass := 1.0
 	for i := range t.classes {
-		c := &t.classes[i]
-		ms := func(q float64) float64 { return float64(c.times.ValueAtQuantile(q)) / 1000 }
-		cr := ClassResult{Name: t.day.Classes[i].Name, Service: part(c.served, c.asked), Asked: c.ops, Served: c.ok,
-			P50: ms(50), P90: ms(90), P99: ms(99), P999: ms(99.9)}
-		r.Classes = append(r.Classes, cr)
-		worst = min(worst, cr.Service)
+		class := &t.classes[i]
+		millis := func(quantile float64) float64 { return float64(class.times.ValueAtQuantile(quantile)) / 1000 }
+		entry := ClassResult{Name: t.day.Classes[i].Name, Service: ratioOrOne(class.worthServed, class.worthAsked),
+			Asked: class.operations, Served: class.answered,
+			P50: millis(50), P90: millis(90), P99: millis(99), P999: millis(99.9)}
+		result.Classes = append(result.Classes, entry)
+		worstClass = min(worstClass, entry.Service)
 	}
-	r.Score = 0.45*r.Service + 0.35*r.Worst + 0.2*worst
-	if s := t.series; s != nil {
-		for _, x := range t.seconds[:len(t.seconds)-1] {
-			s.Service, s.Asked = append(s.Service, part(x.served, x.asked)), append(s.Asked, x.ops)
-			s.Refused, s.Fetches = append(s.Refused, x.refused), append(s.Fetches, x.fetches)
-			s.Latency = append(s.Latency, x.waited.Seconds()*1000/float64(max(x.answers, 1)))
+	result.Score = 0.45*result.Service + 0.35*result.WorstWindow + 0.2*worstClass
+	if series := t.series; series != nil {
+		for _, counts := range t.seconds[:len(t.seconds)-1] {
+			series.Service, series.Asked = append(series.Service, ratioOrOne(counts.worthServed, counts.worthAsked)),
+				append(series.Asked, counts.operations)
+			series.Refused, series.Fetches = append(series.Refused, counts.refused), append(series.Fetches, counts.fetches)
+			series.Latency = append(series.Latency, counts.callTime.Seconds()*1000/float64(max(counts.answeredCalls, 1)))
 		}
 	}
-	slices.SortStableFunc(r.Violations, func(a, b rules.Violation) int { return cmp.Compare(a.At, b.At) })
-	return r
+	slices.SortStableFunc(result.Violations, func(a, b rules.Violation) int { return cmp.Compare(a.At, b.At) })
+	return result
 }
 
-// StatusNames are the ends of a call in words.
+// StatusNames are the names of the results of a call.
 var StatusNames = [...]string{hoptiller.OK: "served", hoptiller.ServerError: "error", hoptiller.Full: "turned away",
 	hoptiller.Timeout: "timed out", hoptiller.ConnectFailed: "no connection", hoptiller.Reset: "reset",
 	hoptiller.Cancelled: "cancelled", hoptiller.Moot: "moot", hoptiller.Miss: "miss"}
--- a/internal/lab/tally/tally_test.go
+++ b/internal/lab/tally/tally_test.go
@@ -11,74 +11,83 @@
 	"hoptiller/internal/unit"
 )
 
-// nobody is a day's routers, where there are none.
-type nobody struct{ model.Watcher }
+// noRouters stands for the routers of a day that has none.
+type noRouters struct{ model.Observer }
 
-func (nobody) Take(*model.Try) bool { return true }
-func (nobody) Leave(*model.Try)     {}
-func (nobody) Kill(int)             {}
-func (nobody) Stop(int)             {}
-func (nobody) Start(int)            {}
-func (nobody) Listed(model.Member)  {}
-func (nobody) Ended(*model.Op)      {}
-func (nobody) Fault(string)         {}
+func (noRouters) Take(*model.Try) bool   { return true }
+func (noRouters) Leave(*model.Try)       {}
+func (noRouters) Kill(int)               {}
+func (noRouters) Stop(int)               {}
+func (noRouters) Start(int)              {}
+func (noRouters) Listed(model.Member)    {}
+func (noRouters) Ended(*model.Operation) {}
+func (noRouters) Fault(string)           {}
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// Worth counts by work, within the aim, in the second in which it was asked for; the warm-up does not count; the
-// score is that of the whole, of the worst ten seconds and of the worst class.
+// TestResult checks the score: worth is weighted by work, counts if answered within the aim, and belongs to
+// the second in which it was asked for. The warm-up does not count. The score combines the service of the
+// whole day, of the worst ten seconds and of the worst class.
 func TestResult(t *testing.T) {
 	day := model.Prairie()
 	day.Warm, day.Length = unit.Duration(time.Second), unit.Duration(20*time.Second)
 	day.Load.Level = 0
-	w := model.New(&day, nobody{}, nobody{}, nobody{})
-	c := New(&day, true)
-	c.Sample(w)
-	for s := range 20 {
-		at := time.Duration(s+1)*time.Second + time.Millisecond
-		op := &model.Op{At: at, Work: 1, Tries: 1, Served: at + time.Second}
-		if s < 5 { // late
-			op.Served = at + 2*time.Second
+	world := model.New(&day, noRouters{}, noRouters{}, noRouters{})
+	scorer := New(&day, true)
+	scorer.Sample(world)
+	for second := range 20 {
+		at := time.Duration(second+1)*time.Second + time.Millisecond
+		op := &model.Operation{CreatedAt: at, Work: 1, TryCount: 1, AnsweredAt: at + time.Second}
+		if second < 5 { // late
+			op.AnsweredAt = at + 2*time.Second
 		}
-		c.Ended(op)
+		scorer.OperationEnded(op)
 	}
-	c.Ended(&model.Op{At: 2 * time.Second, Work: 0.5, Class: 1, Tries: 3})                            // a booking, not served
-	c.Ended(&model.Op{At: 500 * time.Millisecond, Work: 99, Tries: 1})                                // in the warm-up
-	c.Ended(&model.Op{At: 3 * time.Second, Work: 1, Class: 1, Tries: 1, Served: 3*time.Second + 1e9}) // and one that is
-	c.Taken(2 * time.Second)
-	c.Called(true)
-	c.Called(false)
-	c.Closed(2*time.Second, hoptiller.Miss, 40*time.Millisecond)
-	c.Closed(2*time.Second, hoptiller.Timeout, time.Second)
-	c.Closed(0, hoptiller.OK, time.Second)
-	c.Answered(2*time.Second, model.Refused)
-	c.Unexplained(500 * time.Millisecond) // in the warm-up
-	w.RunUntil(2 * time.Second)
-	w.Caches[3].Sent += 7
-	c.Sample(w)
-	c.Unexplained(2 * time.Second)
-	c.ByTheMoment(500 * time.Millisecond) // in the warm-up
-	c.ByTheMoment(2 * time.Second)
-	r := c.Result(w, rules.New(&day))
-	if r.Unexplained != 1 {
-		t.Errorf("%v are unexplained, of the one that was taken", r.Unexplained)
+	// a booking, not served
+	scorer.OperationEnded(&model.Operation{CreatedAt: 2 * time.Second, Work: 0.5, Class: 1, TryCount: 3})
+	// in the warm-up
+	scorer.OperationEnded(&model.Operation{CreatedAt: 500 * time.Millisecond, Work: 99, TryCount: 1})
+	// a served booking
+	scorer.OperationEnded(&model.Operation{CreatedAt: 3 * time.Second, Work: 1, Class: 1, TryCount: 1,
+		AnsweredAt: 3*time.Second + 1e9})
+	scorer.Taken(2 * time.Second)
+	scorer.Called(true)
+	scorer.Called(false)
+	scorer.Closed(2*time.Second, hoptiller.Miss, 40*time.Millisecond)
+	scorer.Closed(2*time.Second, hoptiller.Timeout, time.Second)
+	scorer.Closed(0, hoptiller.OK, time.Second)
+	scorer.Answered(2*time.Second, model.Refused)
+	scorer.RequestUnexplained(500 * time.Millisecond) // in the warm-up
+	world.RunUntil(2 * time.Second)
+	world.Caches[3].WorkReceived += 7
+	scorer.Sample(world)
+	scorer.RequestUnexplained(2 * time.Second)
+	scorer.RequestExplainedByTiming(500 * time.Millisecond) // in the warm-up
+	scorer.RequestExplainedByTiming(2 * time.Second)
+	result := scorer.Result(world, rules.New(&day))
+	if result.Unexplained != 1 {
+		t.Errorf("unexplained share is %v, want 1", result.Unexplained)
 	}
-	if r.ByTheMoment != 1 {
-		t.Errorf("%v are explained by the moment, of the one that was taken", r.ByTheMoment)
+	if result.ByTheMoment != 1 {
+		t.Errorf("share explained by timing is %v, want 1", result.ByTheMoment)
 	}
 	asked, served := 20+3*1.5, 15.0+3
-	worst, class := (5.0+3)/(10+4.5), 3/4.5
-	if !near(r.Service, served/asked) || !near(r.Worst, worst) || !near(r.Score, 0.45*served/asked+0.35*worst+0.2*class) {
-		t.Errorf("service %v, worst %v, score %v", r.Service, r.Worst, r.Score)
+	worstWindow, worstClass := (5.0+3)/(10+4.5), 3/4.5
+	if !almostEqual(result.Service, served/asked) || !almostEqual(result.WorstWindow, worstWindow) ||
+		!almostEqual(result.Score, 0.45*served/asked+0.35*worstWindow+0.2*worstClass) {
+		t.Errorf("service %v, worst %v, score %v", result.Service, result.WorstWindow, result.Score)
 	}
-	if r.Asked != 22 || !near(r.Tries, 24.0/22) || !near(r.Calls, 2) || !near(r.CrossZone, 1) || r.Outcomes["miss"] != 1 ||
-		r.Classes[0].Served != 20 || math.Abs(r.Classes[0].P50-1000) > 2 || r.Answers["refused"] != 1 || math.Abs(r.CallP99-40) > 1 {
-		t.Errorf("%+v", r)
+	if result.Asked != 22 || !almostEqual(result.Tries, 24.0/22) || !almostEqual(result.Calls, 2) ||
+		!almostEqual(result.CrossZone, 1) || result.Outcomes["miss"] != 1 ||
+		result.Classes[0].Served != 20 || math.Abs(result.Classes[0].P50-1000) > 2 || result.Answers["refused"] != 1 ||
+		math.Abs(result.CallP99-40) > 1 {
+		t.Errorf("%+v", result)
 	}
-	if s := r.Series; len(s.Service) != 20 || s.Service[0] != 0 || s.Service[9] != 1 || s.Refused[1] != 1 || s.Sent[3][0] != 7 || s.Sent[0][0] != 0 || s.Latency[1] != 40 {
-		t.Errorf("%+v", r.Series)
+	if series := result.Series; len(series.Service) != 20 || series.Service[0] != 0 || series.Service[9] != 1 ||
+		series.Refused[1] != 1 || series.Sent[3][0] != 7 || series.Sent[0][0] != 0 || series.Latency[1] != 40 {
+		t.Errorf("%+v", result.Series)
 	}
-	if s, ok := c.Second(9); !ok || s.Asked != 1 || s.Service != 1 {
-		t.Errorf("%+v, %v", s, ok)
+	if summary, ok := scorer.Second(9); !ok || summary.Asked != 1 || summary.Service != 1 {
+		t.Errorf("%+v, %v", summary, ok)
 	}
 }
--- a/internal/lab/tally/unserved.go
+++ b/internal/lab/tally/unserved.go
@@ -7,63 +7,65 @@
 	"hoptiller/internal/lab/model"
 )
 
-// Unserved is what was asked for and not served within its aim, by what became of the last try of each: parts of the worth asked for.
+// Unserved is what was asked for and not served within its aim, by how the last try ended. Values are shares
+// of the worth asked for.
 type Unserved struct {
 	Late       float64 `json:"late"`       // answered after the aim
-	Left       float64 `json:"left"`       // its client closed its connection early, of its own accord
-	Refused    float64 `json:"refused"`    // by a router
-	Failed     float64 `json:"failed"`     // by a router
-	Lost       float64 `json:"lost"`       // its connection ended
-	NoRouter   float64 `json:"no_router"`  // none was there
-	Unanswered float64 `json:"unanswered"` // its time was up
-	Unended    float64 `json:"unended"`    // the day was over
+	Left       float64 `json:"left"`       // the client closed its connection early for reasons of its own
+	Refused    float64 `json:"refused"`    // refused by a router
+	Failed     float64 `json:"failed"`     // answered with a failure by a router
+	Lost       float64 `json:"lost"`       // the connection was closed without an answer
+	NoRouter   float64 `json:"no_router"`  // no router was reachable
+	Unanswered float64 `json:"unanswered"` // the time ran out
+	Unended    float64 `json:"unended"`    // still in progress at the end of the day
 }
 
-// add counts the worth of one that was not served, or served late.
-func (u *Unserved) add(op *model.Op, worth float64) {
+// add counts the worth of an operation that was not served or was served late.
+func (u *Unserved) add(op *model.Operation, worth float64) {
 	switch {
-	case op.Served > 0:
+	case op.AnsweredAt > 0:
 		u.Late += worth
-	case op.Left:
+	case op.Disconnected:
 		u.Left += worth
 	default:
-		*u.of(op.Last) += worth
+		*u.shareFor(op.LastEnding) += worth
 	}
 }
 
-func (u *Unserved) of(how model.Ending) *float64 {
-	switch how {
-	case model.WasRefused:
+func (u *Unserved) shareFor(ending model.TryEnding) *float64 {
+	switch ending {
+	case model.EndingRefused:
 		return &u.Refused
-	case model.WasFailed:
+	case model.EndingFailed:
 		return &u.Failed
-	case model.WasLost:
+	case model.EndingLost:
 		return &u.Lost
-	case model.FoundNoRoute:
+	case model.EndingNoRouter:
 		return &u.NoRouter
-	case model.Unanswered:
+	case model.EndingUnanswered:
 		return &u.Unanswered
 	}
 	return &u.Unended
 }
 
-// over divides by what was asked for.
-func (u Unserved) over(asked float64) Unserved {
-	for _, part := range []*float64{&u.Late, &u.Left, &u.Refused, &u.Failed, &u.Lost, &u.NoRouter, &u.Unanswered, &u.Unended} {
-		*part /= max(asked, 1e-9)
+// dividedBy returns the values divided by the worth asked for.
+func (u Unserved) dividedBy(asked float64) Unserved {
+	for _, share := range []*float64{&u.Late, &u.Left, &u.Refused, &u.Failed, &u.Lost, &u.NoRouter, &u.Unanswered, &u.Unended} {
+		*share /= max(asked, 1e-9)
 	}
 	return u
 }
 
-// OfRouters is what routers refused, failed, answered late or not at all; not what clients gave up, nor what found no router.
+// OfRouters returns the share that routers refused, failed, answered late or did not answer. It leaves out
+// what clients cancelled and what reached no router.
 func (u *Unserved) OfRouters() float64 { return u.Late + u.Refused + u.Failed + u.Lost + u.Unanswered }
 
-// String names the parts of at least a thousandth.
+// String lists the shares of at least 0.0005, which round to a thousandth or more.
 func (u *Unserved) String() string {
-	var parts []string
-	add := func(name string, part float64) {
-		if part >= 0.0005 {
-			parts = append(parts, fmt.Sprintf("%s %.3f", name, part))
+	var shares []string
+	add := func(name string, share float64) {
+		if share >= 0.0005 {
+			shares = append(shares, fmt.Sprintf("%s %.3f", name, share))
 		}
 	}
 	add("late", u.Late)
@@ -74,5 +76,5 @@
 	add("no router", u.NoRouter)
 	add("unanswered", u.Unanswered)
 	add("unended", u.Unended)
-	return strings.Join(parts, ", ")
+	return strings.Join(shares, ", ")
 }
