--- a/internal/lab/model/day.go
+++ b/internal/lab/model/day.go
@@ -95,7 +95,7 @@
 	Cross    unit.Duration `toml:"cross"`
 	Client   unit.Duration `toml:"client"`
 	Jitter   float64       `toml:"jitter"`
-	Loss     float64       `toml:"loss"`   // share of segments that are lost; each arrives after Resend
+	Loss     float64       `toml:"loss"`   // share of segments that are lost; each is sent again after Resend
 	Resend   unit.Duration `toml:"resend"` // minimum retransmission timeout of the sender
 	Peer     unit.Duration `toml:"peer"`   // one-way delay of a message between routers
 	PeerLoss float64       `toml:"peer_loss"`
@@ -143,10 +143,10 @@
 	Leave    float64       `toml:"leave"`     // share of clients that close their connection before the answer, on sockets
 }
 
-// Rules holds the limits of the invariants.
+// InvariantLimits holds the limits of the invariants.
 type InvariantLimits struct {
 	Attempts  int           `toml:"attempts"`
-	Drain     unit.Duration `toml:"drain"` // time after the listing of a drain from which routers must respect it
+	Drain     unit.Duration `toml:"drain"` // how long a router may still send to a server after it has learned of its drain or end
 	Overload  float64       `toml:"overload"`
 	Fall      unit.Duration `toml:"fall"`
 	Grace     unit.Duration `toml:"grace"`
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -159,7 +159,7 @@
 	w.expect(t, "served", "missed")
 }
 
-// TestCancelByClosing checks that closing a connection stops the work on it, and that waiting work then starts
+// TestCloseCancelsWork checks that closing a connection stops the work on it, and that waiting work then starts
 // at once.
 func TestCloseCancelsWork(t *testing.T) {
 	w := newTestWorld(t, func(d *Day) { d.Kinds = d.Kinds[:1]; d.Kinds[0].Cores = 1; d.Kinds[0].Queue = 2 })
@@ -201,7 +201,7 @@
 	w.expect(t)
 }
 
-// TestFallsOver checks that a cold cache tolerates 2.5 times its capacity for 1.5 s and collapses above that,
+// TestColdCacheCollapses checks that a cold cache tolerates 2.5 times its capacity for 1.5 s and collapses above that,
 // while a warm cache rejects the excess.
 func TestColdCacheCollapses(t *testing.T) {
 	for _, beforeDay := range []bool{true, false} {
@@ -273,7 +273,7 @@
 	}
 }
 
-// TestStaleFetch checks that the origin drops calls that have waited too long, and never executes them.
+// TestStaleCalls checks that the origin drops calls that have waited too long, and never executes them.
 func TestStaleCalls(t *testing.T) {
 	w := newTestWorld(t, func(d *Day) { d.Origin.Headroom = 1000; d.Origin.Queue = unit.Duration(time.Second) })
 	w.Origin.slowdown = 100
@@ -344,7 +344,7 @@
 	}
 }
 
-// TestDirectory checks that a watch reports changes, that it breaks when discovery goes down, and that the
+// TestDiscoveryWatch checks that a watch reports changes, that it breaks when discovery goes down, and that the
 // next watch reports the changes missed meanwhile.
 func TestDiscoveryWatch(t *testing.T) {
 	w := newTestWorld(t, nil)
@@ -373,7 +373,7 @@
 	}
 }
 
-// TestCut checks that a cut between zones delays what is sent until the cut ends, and that a message between
+// TestZoneCut checks that a cut between zones delays what is sent until the cut ends, and that a message between
 // routers is lost.
 func TestZoneCut(t *testing.T) {
 	w := newTestWorld(t, nil)
@@ -390,7 +390,7 @@
 	}
 }
 
-// TestCheckDay checks that an error names the setting with an impossible value.
+// TestInvalidDay checks that an error names the setting with an impossible value.
 func TestInvalidDay(t *testing.T) {
 	for want, change := range map[string]func(*Day){
 		"fleet.caches is 0: 1 to 20000 is possible":         func(d *Day) { d.Fleet.Caches = 0 },
@@ -406,7 +406,7 @@
 	}
 }
 
-// TestHits checks that the approximated hit rate agrees with that of a real store.
+// TestHitRate checks that the approximated hit rate agrees with that of a real store.
 func TestHitRate(t *testing.T) {
 	zipf, random, lru := NewZipf(600, 1, 3), Stream(1, "test", 0), newStore(300)
 	hits, draws := 0, 200000
--- a/internal/lab/model/net.go
+++ b/internal/lab/model/net.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// linkCut is an interruption of the network between two zones. What is sent meanwhile arrives after its end.
+// zoneCut is an interruption of the network between two zones. What is sent meanwhile arrives after its end.
 type zoneCut struct {
 	zoneA, zoneB int
 	until        time.Duration
--- a/internal/lab/model/store.go
+++ b/internal/lab/model/store.go
@@ -18,7 +18,7 @@
 	return &store{maxSize: maxSize, byRecency: list.New(), byKey: map[uint64]*list.Element{}}
 }
 
-// contains reports whether the store holds a key, and counts the lookup as a use.
+// lookUp reports whether the store holds a key, and counts the lookup as a use.
 func (s *store) lookUp(key uint64) bool {
 	e, ok := s.byKey[key]
 	if ok {
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -37,6 +37,7 @@
 	Text    string        `json:"text"`
 }
 
+// String returns the violation as one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%v: %s: router %d, request %d: %s", v.At, v.Rule, v.Router, v.Request, v.Text)
 }
@@ -222,6 +223,7 @@
 	InFlight        bool          // its connection is open and it has no answer
 }
 
+// String returns the trace as part of the text of a violation.
 func (m *CallTrace) String() string {
 	text := fmt.Sprintf("call %d to server %d came at %v and was read at %v, on a connection of %v", m.Attempt, m.Server,
 		m.Written, m.Read, m.Connected)
