--- a/internal/lab/arrival/arrival.go
+++ b/internal/lab/arrival/arrival.go
@@ -1,6 +1,6 @@
 // Package arrival records when the bytes of a TCP connection reached its socket and when the peer ended the
-// connection. The times are the kernel's: how long bytes or an end waited for a reader that had no core does
-// not count. What two processes did can so be put in order, however late the observer is.
+// connection. The times are the kernel's, so they do not include the time for which bytes or an end waited for a reader that had
+// no core. They allow putting the actions of two processes in order, however late the observer is.
 //
 // The time of bytes is that of their segment (SO_TIMESTAMPING), exact to microseconds. The time of an end is kept in
 // ticks of the kernel's clock, which a busy virtual machine may hold back for some ticks.
@@ -14,35 +14,36 @@
 	"unsafe"
 )
 
-// Uncertainty is by how much two times of this package may be apart though both events came at once: the
+// Uncertainty is the largest difference between two times of this package for events that happened at once. The
 // kernel keeps the end of a connection in whole ticks of its clock.
 const Uncertainty = 10 * time.Millisecond
 
-// mostParts bounds the arrivals that are kept until somebody asks for them.
-const mostParts = 4096
+// maxArrivals is the largest number of arrivals that a Log keeps for calls of At.
+const maxArrivals = 4096
 
-// Log is a connection that records what it reads. Read is for one goroutine at a time, all else for any.
+// Log is a connection that records when the bytes that it reads arrived. Only one goroutine at a time may call Read. All other
+// methods may be called at any time.
 type Log struct {
 	net.Conn
 
-	mu       sync.Mutex
-	received int64 // bytes
-	parts    []part
-	last     time.Time // when the latest read bytes came
-	ended    time.Time // zero while the connection is open
-	closed   bool      // by its holder, before the peer ended it
+	mu            sync.Mutex
+	received      int64 // bytes
+	arrivals      []byteArrival
+	lastReceived  time.Time // when the latest of the bytes that were read arrived
+	ended         time.Time // zero while the connection is open
+	closedLocally bool      // whether the holder of the connection closed it before the peer ended it
 }
 
-// part says that the bytes up to an offset came at a time, as far as no earlier part has them.
-type part struct {
+// byteArrival states when the bytes up to the offset end arrived, except those that an earlier byteArrival covers.
+type byteArrival struct {
 	end int64
 	at  time.Time
 }
 
-// NewLog returns a Log of a connection of which nothing has been read.
+// NewLog returns a Log of a connection from which nothing has been read yet.
 func NewLog(c net.Conn) *Log {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		keepTimes(tcp)
+		enableTimestamps(tcp)
 	}
 	return &Log{Conn: c}
 }
@@ -53,18 +54,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if n > 0 {
-		l.last = at
+		l.lastReceived = at
 		l.received += int64(n)
-		l.parts = append(l.parts, part{l.received, l.last})
-		l.parts = l.parts[max(0, len(l.parts)-mostParts):]
+		l.arrivals = append(l.arrivals, byteArrival{l.received, l.lastReceived})
+		l.arrivals = l.arrivals[max(0, len(l.arrivals)-maxArrivals):]
 	}
-	if err != nil { // before the holder closes its side: the kernel may forget with it
-		l.lookForEnd()
+	if err != nil { // before the holder closes its side, because the kernel may drop the time then
+		l.checkEnded()
 	}
 	return n, err
 }
 
-// receive reads and tells when the latest of the bytes came.
+// receive reads and returns when the latest of the bytes arrived.
 func (l *Log) receive(b []byte) (n int, at time.Time, err error) {
 	tcp, ok := l.Conn.(*net.TCPConn)
 	if !ok {
@@ -73,68 +74,68 @@
 	}
 	n, at, err = receive(tcp, b)
 	if n > 0 && at.IsZero() {
-		at = receivedAt(tcp)
+		at = lastDataTime(tcp)
 	}
 	return n, at, err
 }
 
-// Last is when the bytes of the latest Read came.
+// Last returns when the bytes of the latest Read arrived.
 func (l *Log) Last() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.last
+	return l.lastReceived
 }
 
-// At is when the byte at an offset came, which has been read. Bytes in front of it are not asked for any more.
+// At returns when the byte at an offset arrived. The byte must have been read. Later calls must not use a smaller offset.
 func (l *Log) At(offset int64) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.parts) > 1 && l.parts[0].end <= offset {
-		l.parts = l.parts[1:]
+	for len(l.arrivals) > 1 && l.arrivals[0].end <= offset {
+		l.arrivals = l.arrivals[1:]
 	}
-	if len(l.parts) == 0 {
-		return l.last
+	if len(l.arrivals) == 0 {
+		return l.lastReceived
 	}
-	return l.parts[0].at
+	return l.arrivals[0].at
 }
 
-// EndsNow tells that the holder of the connection is about to close it.
+// EndsNow must be called by the holder of the connection just before it closes the connection.
 func (l *Log) EndsNow() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lookForEnd(); l.ended.IsZero() {
-		l.ended, l.closed = time.Now(), true
+	if l.checkEnded(); l.ended.IsZero() {
+		l.ended, l.closedLocally = time.Now(), true
 	}
 }
 
-// Closed tells whether the holder of the connection closed it before the peer ended it.
+// Closed reports whether the holder of the connection closed it before the peer ended it.
 func (l *Log) Closed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.closed
+	return l.closedLocally
 }
 
-// End is when the peer ended the connection or its holder closed it; false: it is open. Of a connection that
-// the peer reset it is the time of the last segment before the reset: the kernel records no other.
+// End returns when the peer ended the connection or its holder closed it, or false if it is open. If the peer reset the
+// connection this is the time of the last segment before the reset, because the kernel records no other.
 func (l *Log) End() (at time.Time, ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lookForEnd()
+	l.checkEnded()
 	return l.ended, !l.ended.IsZero()
 }
 
 // lookForEnd asks the kernel whether the peer has ended the connection. l.mu is held.
-func (l *Log) lookForEnd() {
+func (l *Log) checkEnded() {
 	if !l.ended.IsZero() {
 		return
 	}
-	info, now, known := infoOf(l.Conn)
+	info, now, known := readInfo(l.Conn)
 	if !known || !info.peerEnded() {
 		return
 	}
 	l.ended = now.Add(-milliseconds(info.lastAckReceived))
-	if l.ended.Before(l.last) { // a peer ends a connection behind its bytes
-		l.ended = l.last
+	if l.ended.Before(l.lastReceived) { // the end can't arrive before the last bytes
+		l.ended = l.lastReceived
 	}
 }
 
@@ -147,15 +148,16 @@
 	stateClosing   = 11
 )
 
-// tcpInfo is the part of the kernel's struct tcp_info (linux/tcp.h) up to what is needed here.
+// tcpInfo is the beginning of the kernel's struct tcp_info (linux/tcp.h), up to the last field that is needed here.
 type tcpInfo struct {
 	state            uint8
 	_                [7]uint8
 	_                [11]uint32
 	lastDataReceived uint32 // ms ago
-	lastAckReceived  uint32 // ms ago; the end of a connection is a segment with an acknowledgement as well
+	lastAckReceived  uint32 // ms ago; the segment that ends a connection carries an acknowledgement as well
 }
 
+// peerEnded reports whether the socket is in a state that it enters when the peer ends the connection.
 func (i *tcpInfo) peerEnded() bool {
 	switch i.state {
 	case stateTimeWait, stateClosed, stateCloseWait, stateLastAck, stateClosing:
@@ -166,8 +168,9 @@
 
 func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// infoOf asks the kernel for the state of a connection, and tells when; false: it is no TCP connection, or closed on this side.
-func infoOf(c net.Conn) (info tcpInfo, at time.Time, known bool) {
+// readInfo asks the kernel for the state of a connection and returns the time of the answer. It returns false if c is no TCP
+// connection or is closed on this side.
+func readInfo(c net.Conn) (info tcpInfo, at time.Time, known bool) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return info, at, false
@@ -177,7 +180,7 @@
 		return info, at, false
 	}
 	raw.Control(func(fd uintptr) {
-		for range mostLooks { // until the process was not held up between the clock and the answer
+		for range maxInfoReads { // until the process is not paused between reading the clock and the answer
 			at = time.Now()
 			known = info.read(fd)
 			if time.Since(at) < Uncertainty/10 {
@@ -188,10 +191,10 @@
 	return info, at, known
 }
 
-// mostLooks bounds how often the kernel is asked again.
-const mostLooks = 5
+// maxInfoReads is how often readInfo asks the kernel at most.
+const maxInfoReads = 5
 
-// read asks the kernel for the state of a socket.
+// read reads the state of a socket from the kernel. It returns false if the kernel does not give all the fields.
 func (i *tcpInfo) read(fd uintptr) (known bool) {
 	size := uint32(unsafe.Sizeof(*i))
 	_, _, failed := syscall.Syscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, syscall.TCP_INFO,
@@ -199,9 +202,10 @@
 	return failed == 0 && uintptr(size) >= unsafe.Sizeof(*i)
 }
 
-// receivedAt is when the kernel got the latest bytes of a connection, to its tick; now where it does not tell.
-func receivedAt(c net.Conn) time.Time {
-	info, at, known := infoOf(c)
+// lastDataTime returns when the kernel received the latest bytes of a connection, exact to a tick of its clock. It returns the
+// current time if the kernel does not report it.
+func lastDataTime(c net.Conn) time.Time {
+	info, at, known := readInfo(c)
 	if !known {
 		return time.Now()
 	}
--- a/internal/lab/arrival/arrival_test.go
+++ b/internal/lab/arrival/arrival_test.go
@@ -10,7 +10,7 @@
 	"hoptiller/internal/testprog"
 )
 
-// pair opens a TCP connection: what is written far is read near.
+// pair opens a TCP connection. What is written to far can be read from near.
 func pair(t *testing.T) (near *Log, far net.Conn) {
 	l := testprog.Listen(t)
 	KeepTimes(l)
@@ -27,10 +27,10 @@
 	return NewLog(c), far
 }
 
-// sinceReceived is how long ago the latest bytes of a connection came.
-func sinceReceived(l *Log) time.Duration { return time.Since(receivedAt(l.Conn)) }
+// sinceReceived returns how long ago the latest bytes of a connection arrived.
+func sinceReceived(l *Log) time.Duration { return time.Since(lastDataTime(l.Conn)) }
 
-// On a socket, what has waited for its reader is noted as having come before that.
+// The arrival time of bytes doesn't include the time for which they waited on the socket for a reader.
 func TestSinceReceived(t *testing.T) {
 	near, far := pair(t)
 	io.WriteString(far, "x")
@@ -41,7 +41,7 @@
 	}
 }
 
-// Each byte has the time at which it came, though all of them are read later and asked for later still.
+// At returns the arrival time of each byte, although the bytes are read later and At is called later still.
 func TestAt(t *testing.T) {
 	near, far := pair(t)
 	var before, after [2]time.Time
@@ -63,8 +63,8 @@
 	}
 }
 
-// No byte is noted as having come before it was written, whenever it is read: not by a tick of the kernel's clock either, which may stand
-// for some 20 ms while a virtual machine is held up.
+// No byte has an arrival time before it was written, whenever it is read. The time must not even be early by a tick of the
+// kernel's clock, which may stop for some 20 ms while a virtual machine is paused.
 func TestNotBeforeWritten(t *testing.T) {
 	const (
 		bytes     = 50
@@ -93,7 +93,7 @@
 	}
 }
 
-// awaitTimes waits until the kernel notes when bytes come: it begins to a moment after it is asked to.
+// awaitTimes waits until the kernel records arrival times. It begins to do so some time after it is asked to.
 func awaitTimes(t *testing.T, near *Log, far net.Conn) {
 	testprog.Until(t, "a byte that has a time", func() bool {
 		far.Write([]byte{0})
@@ -102,7 +102,7 @@
 	})
 }
 
-// The end of a connection is seen before anybody reads it, with the time at which it came.
+// End returns the time at which the peer ended a connection, even if nobody has read from it since.
 func TestEnd(t *testing.T) {
 	near, far := pair(t)
 	if _, ended := near.End(); ended {
@@ -123,7 +123,7 @@
 	}
 }
 
-// A holder that closes a connection itself ends it then.
+// If the holder closes a connection itself, the connection ends at that time.
 func TestEndsNow(t *testing.T) {
 	near, _ := pair(t)
 	before := time.Now()
--- a/internal/lab/arrival/receive.go
+++ b/internal/lab/arrival/receive.go
@@ -9,34 +9,37 @@
 	"unsafe"
 )
 
-// Flags of SO_TIMESTAMPING (linux/net_tstamp.h): note the time at which a segment is received, and report it with the bytes.
+// Flags of SO_TIMESTAMPING (linux/net_tstamp.h): record the time at which a segment is received, and report it with the bytes.
 const (
-	timestampReceived = 1 << 3
-	timestampReported = 1 << 4
+	timestampOnReceive = 1 << 3
+	timestampInMessage = 1 << 4
 )
 
-// timestampControl is the length of the control message that carries the time: three timespecs, of which the first is the software's.
-var timestampControl = syscall.CmsgSpace(3 * int(unsafe.Sizeof(syscall.Timespec{})))
+// timestampMessageSize is the length of the control message that carries the time. It has three timespecs, of which the first
+// is the software timestamp.
+var timestampMessageSize = syscall.CmsgSpace(3 * int(unsafe.Sizeof(syscall.Timespec{})))
 
-// KeepTimes asks the kernel to note when bytes come on the connections of a listener, also of those that wait to be accepted.
-// Where the kernel doesn't, the times are those of its tick.
+// KeepTimes asks the kernel to record when bytes arrive on the connections of a listener, including those that wait to be
+// accepted. If the kernel doesn't, arrival times are exact only to a tick of its clock.
 func KeepTimes(l net.Listener) {
 	if holder, ok := l.(syscall.Conn); ok {
-		keepTimes(holder)
+		enableTimestamps(holder)
 	}
 }
 
-func keepTimes(holder syscall.Conn) {
+// enableTimestamps sets SO_TIMESTAMPING on a socket and ignores errors.
+func enableTimestamps(holder syscall.Conn) {
 	raw, err := holder.SyscallConn()
 	if err != nil {
 		return
 	}
 	raw.Control(func(fd uintptr) {
-		syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_TIMESTAMPING, timestampReceived|timestampReported)
+		syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_TIMESTAMPING, timestampOnReceive|timestampInMessage)
 	})
 }
 
-// receive reads from a TCP connection and tells when the latest of the bytes came; zero: the kernel has not noted it.
+// receive reads from a TCP connection and returns when the latest of the bytes arrived, or the zero time if the kernel has not
+// recorded it.
 func receive(c *net.TCPConn, b []byte) (n int, at time.Time, err error) {
 	if len(b) == 0 {
 		return 0, at, nil
@@ -45,7 +48,7 @@
 	if err != nil {
 		return 0, at, err
 	}
-	control := make([]byte, timestampControl)
+	control := make([]byte, timestampMessageSize)
 	var controls int
 	var failed error
 	err = raw.Read(func(fd uintptr) (done bool) {
@@ -57,18 +60,18 @@
 		}
 	})
 	switch {
-	case err != nil: // a deadline, or closed on this side
+	case err != nil: // the deadline has passed, or this side is closed
 		return 0, at, err
 	case failed != nil:
 		return 0, at, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("recvmsg", failed)}
 	case n == 0:
 		return 0, at, io.EOF
 	}
-	return n, timestampIn(control[:controls]), nil
+	return n, parseTimestamp(control[:controls]), nil
 }
 
-// timestampIn finds the time among control messages; zero: there is none.
-func timestampIn(control []byte) (at time.Time) {
+// parseTimestamp returns the timestamp in control messages, or the zero time if there is none.
+func parseTimestamp(control []byte) (at time.Time) {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
 		return at
@@ -88,7 +91,7 @@
 	return at
 }
 
-// onMonotonicClock turns a time of the wall clock that has just been into one that compares with time.Now.
+// onMonotonicClock converts a recent time of the wall clock to one with a monotonic reading, which compares with time.Now.
 func onMonotonicClock(wall time.Time) time.Time {
 	now := time.Now()
 	return now.Add(min(0, wall.Sub(now.Round(0))))
--- a/internal/lab/drill/file.go
+++ b/internal/lab/drill/file.go
@@ -1,8 +1,8 @@
-// Package drill plays a day on sockets with several processes of the router, puts faults between them and on them, and
-// holds what comes of it against claims: what must always hold, and what must hold again within a time.
+// Package drill plays a day on sockets with several router processes, injects faults into the processes and into the network
+// paths between all parties, and checks claims: what must always hold, and what must hold again within a given time.
 //
-// The day is the lab's, with the stand-ins that play it; the ways between all parties are package faultproxy's. A drill ends
-// every process that it started.
+// Package model describes the day and package standin plays its clients and servers. Package faultproxy has the network paths.
+// A drill ends every process that it started.
 package drill
 
 import (
@@ -19,62 +19,62 @@
 	"hoptiller/internal/unit"
 )
 
-// File is a drill.
+// File is a drill as its TOML file describes it.
 type File struct {
-	Title  string    `toml:"title"`
-	Day    model.Day `toml:"day"`    // what differs from model.Prairie; its faults are played too
-	Absent int       `toml:"absent"` // routers of which the list tells and that don't exist
-	File   string    `toml:"file"`   // the operator's file of all routers; none if it is empty
-	Plan   *Plan     `toml:"release"`
-	Lists  []List    `toml:"list"`
-	Steps  []Step    `toml:"step"`
-	Claims []Claim   `toml:"claim"`
+	Title          string          `toml:"title"`
+	Day            model.Day       `toml:"day"`    // only what differs from model.Prairie; its faults are played too
+	AbsentRouters  int             `toml:"absent"` // routers that the peer lists contain but that don't exist
+	OperatorsFile  string          `toml:"file"`   // text of the operators' file that all routers read; empty: they have none
+	Plan           *ReleasePlan    `toml:"release"`
+	PeerListFaults []PeerListFault `toml:"list"`
+	Steps          []Step          `toml:"step"`
+	Claims         []Claim         `toml:"claim"`
 
-	Name string `toml:"-"` // of the file, without its ending
+	Name string `toml:"-"` // base name of the file, without its extension
 	path string
 	text []byte
 }
 
-// List is what is wrong with what one router is told of the others.
-type List struct {
-	Router int   `toml:"router"`
-	Swap   []int `toml:"swap,omitempty"` // two routers whose addresses it has the wrong way round
-	As     *int  `toml:"as,omitempty"`   // another router, whose number and address it is given
+// PeerListFault is an error in the list of peers that one router gets.
+type PeerListFault struct {
+	Router         int   `toml:"router"`
+	SwappedRouters []int `toml:"swap,omitempty"` // two routers whose addresses are swapped in its list
+	Impersonates   *int  `toml:"as,omitempty"`   // another router whose number and address it gets
 }
 
-// Step is something that is done to processes, or to the ways between them. All that it sets is taken back after For; a
-// later step on the same way goes before it.
+// Step is an action on processes or a fault of the network paths between them. After Duration the drill undoes all that the
+// step has set. A later step on the same path replaces the faults of an earlier one.
 type Step struct {
-	Kind    string        `toml:"kind,omitempty"`
-	At      unit.Duration `toml:"at,omitempty"` // after the warm-up
-	For     unit.Duration `toml:"for,omitempty"`
-	Routers []int         `toml:"routers,omitempty"` // by number from 0; none: all
-	To      []int         `toml:"to,omitempty"`      // datagrams: the receivers; none: all others
-	Both    bool          `toml:"both,omitempty"`    // datagrams: the way back as well
+	Kind           string        `toml:"kind,omitempty"`
+	At             unit.Duration `toml:"at,omitempty"` // start, counted from the end of the warm-up
+	Duration       unit.Duration `toml:"for,omitempty"`
+	Routers        []int         `toml:"routers,omitempty"` // numbers from 0; empty: all
+	Receivers      []int         `toml:"to,omitempty"`      // datagrams: numbers of the receiving routers; empty: all others
+	BothDirections bool          `toml:"both,omitempty"`    // datagrams: the faults apply to the opposite direction as well
 
-	Drop   float64       `toml:"drop,omitempty"` // datagrams: parts of them
-	Double float64       `toml:"double,omitempty"`
-	Spoil  float64       `toml:"spoil,omitempty"`
-	Late   float64       `toml:"late,omitempty"`   // and of them those that come behind the next one
-	Jitter unit.Duration `toml:"jitter,omitempty"` // up to so much more delay
-	Cut    bool          `toml:"cut,omitempty"`    // all are lost
+	Loss      float64       `toml:"drop,omitempty"` // datagrams: probability of a loss; the next three are probabilities too
+	Duplicate float64       `toml:"double,omitempty"`
+	Corrupt   float64       `toml:"spoil,omitempty"`
+	Reorder   float64       `toml:"late,omitempty"`   // the datagram arrives after the next one
+	Jitter    unit.Duration `toml:"jitter,omitempty"` // datagrams: random additional delay of up to this
+	Blocked   bool          `toml:"cut,omitempty"`    // datagrams: all are lost
 
-	Signals []string `toml:"signals,omitempty"` // restart and reload: what the process is sent, one after another: hup and term
-	Crowd   int      `toml:"crowd,omitempty"`   // crowd: idle connections
+	Signals   []string `toml:"signals,omitempty"` // restart and reload: signals in the order in which they are sent: hup, term
+	IdleConns int      `toml:"crowd,omitempty"`   // crowd: number of idle connections
 
-	Path string `toml:"path,omitempty"` // call: what operators post to each router
+	Path string `toml:"path,omitempty"` // call: path that operators post to on each router
 
-	Do   string `toml:"do,omitempty"`   // release: start, resume, back or halt
-	Away bool   `toml:"away,omitempty"` // release: on another machine, which has no journal of it
+	ReleaseCommand string `toml:"do,omitempty"`   // release: start, resume, back (roll back) or halt
+	OtherMachine   bool   `toml:"away,omitempty"` // release: on another machine, which has no journal of the release
 
-	Delay  unit.Duration `toml:"delay,omitempty"`  // of each datagram, or of each piece
-	Stall  bool          `toml:"stall,omitempty"`  // TCP: nothing passes, and nobody is told
-	Refuse bool          `toml:"refuse,omitempty"` // TCP: connections are reset
-	After  int           `toml:"after,omitempty"`  // TCP: bytes after which a connection is reset
-	Rate   int           `toml:"rate,omitempty"`   // TCP: bytes a second
+	Delay          unit.Duration `toml:"delay,omitempty"`  // datagrams and TCP: delay of each datagram or of each chunk of a stream
+	Stall          bool          `toml:"stall,omitempty"`  // TCP: nothing passes, and neither side gets an error
+	Reset          bool          `toml:"refuse,omitempty"` // TCP: open and new connections are reset
+	ResetAfter     int           `toml:"after,omitempty"`  // TCP: bytes after which a connection is reset; 0: never
+	BytesPerSecond int           `toml:"rate,omitempty"`   // TCP: limit in bytes per second; 0: unlimited
 }
 
-// stepKinds are the kinds of step, each with what it does.
+// stepKinds lists the kinds of step, each with a description.
 var stepKinds = [][2]string{
 	{"pause", "processes stand still (SIGSTOP) and go on after for"},
 	{"kill", "processes are killed and started anew after for"},
@@ -93,19 +93,19 @@
 	{"admin", "the same of operators' ways to them"},
 }
 
-// Claim is what must hold.
+// Claim is a condition that a drill checks. Kind selects the condition, the other fields are its parameters.
 type Claim struct {
-	Kind    string        `toml:"kind,omitempty"`
-	Text    string        `toml:"text,omitempty"`    // never and said: an expression for lines of the log; viewed: for views
-	Routers []int         `toml:"routers,omitempty"` // whom it is about; none: all
-	Least   float64       `toml:"least,omitempty"`   // service
-	Most    int           `toml:"most,omitempty"`    // permits and drains
-	Share   float64       `toml:"share,omitempty"`   // unserved and unexplained
-	None    bool          `toml:"none,omitempty"`    // permits and drains: holds also where nobody ever is out
-	Within  unit.Duration `toml:"within,omitempty"`  // of the end of the last step or fault
+	Kind       string        `toml:"kind,omitempty"`
+	Pattern    string        `toml:"text,omitempty"`    // a regular expression for log lines, views, release output or commands
+	Routers    []int         `toml:"routers,omitempty"` // numbers of the routers that the claim is about; empty: all
+	MinService float64       `toml:"least,omitempty"`   // service: the lowest service that counts, from 0 to 1
+	MaxAtOnce  int           `toml:"most,omitempty"`    // permits and drains: the largest number that may be out of service at once
+	MaxShare   float64       `toml:"share,omitempty"`   // unserved and unexplained: the largest fraction
+	AllowNone  bool          `toml:"none,omitempty"`    // permits and drains: holds also if nothing is ever out of service
+	Within     unit.Duration `toml:"within,omitempty"`  // time limit, counted from the end of the last step or fault
 }
 
-// claimKinds are the kinds of claim, each with what it says.
+// claimKinds lists the kinds of claim, each with the condition that it requires.
 var claimKinds = [][2]string{
 	{"rules", "always: no rule is broken"},
 	{"alive", "always: no process ends but by a step"},
@@ -124,10 +124,10 @@
 	{"service", "each second of five in a row has a service of least, within the time"},
 }
 
-// Kinds lists the kinds of step and of claim, each with what it means.
+// Kinds returns the kinds of steps and of claims, each as a pair of name and description.
 func Kinds() (steps, claims [][2]string) { return stepKinds, claimKinds }
 
-// Load reads a drill from a file.
+// Load reads and checks the drill file at path.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -136,7 +136,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of a drill; path is for its messages, which name line and figure.
+// Parse reads and checks the text of a drill. Its errors name path, the line and the setting.
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{Day: model.Prairie(), path: path, text: text}
 	if err := experiment.Strict(path, text, f); err != nil {
@@ -149,42 +149,44 @@
 	if f.Day.Routers > 60 {
 		return nil, experiment.Fault(path, text, "day.routers", fmt.Sprintf("routers is %d: a machine has room for 60 processes", f.Day.Routers))
 	}
-	if f.Absent < 0 || f.Absent > 1000 {
-		return nil, experiment.Fault(path, text, "absent", fmt.Sprintf("absent is %d: 0 to 1000 is possible", f.Absent))
+	if f.AbsentRouters < 0 || f.AbsentRouters > 1000 {
+		return nil, experiment.Fault(path, text, "absent", fmt.Sprintf("absent is %d: 0 to 1000 is possible", f.AbsentRouters))
 	}
-	for i, l := range f.Lists {
-		about := append([]int{l.Router}, l.Swap...)
-		if l.As != nil {
-			about = append(about, *l.As)
+	for i, l := range f.PeerListFaults {
+		about := append([]int{l.Router}, l.SwappedRouters...)
+		if l.Impersonates != nil {
+			about = append(about, *l.Impersonates)
 		}
-		if why := unknown(about, &f.Day); why != "" || len(l.Swap) != 2 && l.As == nil {
-			return nil, experiment.Fault(path, text, fmt.Sprintf("list %d: router", i+1), fmt.Sprintf("list %d: swap wants two routers, or as one. %s", i+1, why))
+		if why := checkNumbers(about, &f.Day); why != "" || len(l.SwappedRouters) != 2 && l.Impersonates == nil {
+			return nil, experiment.Fault(path, text, fmt.Sprintf("list %d: router", i+1),
+				fmt.Sprintf("list %d: swap needs two routers, or as needs one. %s", i+1, why))
 		}
 	}
 	for i, s := range f.Steps {
-		if figure, what := s.wrong(&f.Day); what != "" {
+		if figure, what := s.validate(&f.Day); what != "" {
 			return nil, experiment.Fault(path, text, fmt.Sprintf("step %d: %s", i+1, figure), fmt.Sprintf("step %d: %s", i+1, what))
 		}
 	}
 	if i := slices.IndexFunc(f.Steps, func(s Step) bool { return s.Kind == "release" }); i >= 0 && f.Plan == nil {
-		return nil, experiment.Fault(path, text, fmt.Sprintf("step %d: kind", i+1), fmt.Sprintf("step %d: a release wants a plan: [release]", i+1))
+		return nil, experiment.Fault(path, text, fmt.Sprintf("step %d: kind", i+1),
+			fmt.Sprintf("step %d: a release step needs a plan in [release]", i+1))
 	}
 	for i, c := range f.Claims {
-		if figure, what := c.wrong(&f.Day); what != "" {
+		if figure, what := c.validate(&f.Day); what != "" {
 			return nil, experiment.Fault(path, text, fmt.Sprintf("claim %d: %s", i+1, figure), fmt.Sprintf("claim %d: %s", i+1, what))
 		}
 	}
 	if len(f.Claims) == 0 {
-		return nil, experiment.Fault(path, text, "title", "no claim: a drill that claims nothing shows nothing")
+		return nil, experiment.Fault(path, text, "title", "no claim: a drill needs at least one")
 	}
 	return f, nil
 }
 
-func has(kinds [][2]string, kind string) bool {
+func containsKind(kinds [][2]string, kind string) bool {
 	return slices.ContainsFunc(kinds, func(k [2]string) bool { return k[0] == kind })
 }
 
-func names(kinds [][2]string) string {
+func kindNames(kinds [][2]string) string {
 	var all []string
 	for _, k := range kinds {
 		all = append(all, k[0])
@@ -192,53 +194,57 @@
 	return strings.Join(all, ", ")
 }
 
-// wrong tells which figure of a step is impossible, and why; nothing is if why is empty.
-func (s *Step) wrong(day *model.Day) (figure, why string) {
-	tcp := s.Kind == "directory" || s.Kind == "cache" || s.Kind == "origin" || s.Kind == "admin"
-	grams := s.Kind == "datagrams"
+// validate returns the name of the first invalid setting of a step and the reason. An empty reason means that the step is
+// valid.
+func (s *Step) validate(day *model.Day) (setting, reason string) {
+	streams := s.Kind == "directory" || s.Kind == "cache" || s.Kind == "origin" || s.Kind == "admin"
+	datagrams := s.Kind == "datagrams"
 	switch {
-	case !has(stepKinds, s.Kind):
-		return "kind", fmt.Sprintf("kind is %q: one of %s is meant", s.Kind, names(stepKinds))
-	case s.At.D()+s.For.D() > day.Length.D():
-		return "at", fmt.Sprintf("it ends %v after the warm-up, and the day is over after %v", s.At.D()+s.For.D(), day.Length.D())
-	case !grams && (len(s.To) > 0 || s.Both || s.Drop+s.Double+s.Spoil+s.Late > 0 || s.Jitter > 0 || s.Cut):
-		return "kind", "to, both, drop, double, spoil, late, jitter and cut are for datagrams"
-	case !tcp && (s.Stall || s.Refuse || s.After > 0 || s.Rate > 0):
-		return "kind", "stall, refuse, after and rate are for TCP: " + names(stepKinds[len(stepKinds)-4:])
-	case (s.Kind == "call") != (s.Path != "") || s.Path != "" && (s.Path[0] != '/' || s.For > 0):
-		return "path", "call wants a path that begins with /, and no time; no other step has a path"
-	case (s.Kind == "release") != (s.Do != "") || s.Do != "" && (day == nil || !slices.Contains([]string{"start", "resume", "back", "halt"}, s.Do)):
-		return "do", "release wants do to be start, resume, back or halt, and no other step has it"
-	case (s.Kind == "restart" || s.Kind == "reload") != (len(s.Signals) > 0) || !s.endsBy("term") && s.Kind == "restart" || s.Kind == "reload" && s.endsBy("term"):
-		return "signals", "restart wants signals with a term among them, reload some without, and no other step has them"
+	case !containsKind(stepKinds, s.Kind):
+		return "kind", fmt.Sprintf("kind is %q: must be one of %s", s.Kind, kindNames(stepKinds))
+	case s.At.D()+s.Duration.D() > day.Length.D():
+		return "at", fmt.Sprintf("it ends %v after the warm-up, but the day ends after %v", s.At.D()+s.Duration.D(), day.Length.D())
+	case !datagrams && (len(s.Receivers) > 0 || s.BothDirections || s.Loss+s.Duplicate+s.Corrupt+s.Reorder > 0 ||
+		s.Jitter > 0 || s.Blocked):
+		return "kind", "to, both, drop, double, spoil, late, jitter and cut are for datagrams only"
+	case !streams && (s.Stall || s.Reset || s.ResetAfter > 0 || s.BytesPerSecond > 0):
+		return "kind", "stall, refuse, after and rate are for TCP: " + kindNames(stepKinds[len(stepKinds)-4:])
+	case (s.Kind == "call") != (s.Path != "") || s.Path != "" && (s.Path[0] != '/' || s.Duration > 0):
+		return "path", "call needs a path that begins with / and must not have a duration; no other step has a path"
+	case (s.Kind == "release") != (s.ReleaseCommand != "") || s.ReleaseCommand != "" && (day == nil ||
+		!slices.Contains([]string{"start", "resume", "back", "halt"}, s.ReleaseCommand)):
+		return "do", "release needs do to be start, resume, back or halt, and no other step has it"
+	case (s.Kind == "restart" || s.Kind == "reload") != (len(s.Signals) > 0) || !s.sendsSignal("term") &&
+		s.Kind == "restart" || s.Kind == "reload" && s.sendsSignal("term"):
+		return "signals", "restart needs signals that include term, reload needs signals without term, and no other step has signals"
 	case slices.ContainsFunc(s.Signals, func(name string) bool { return name != "hup" && name != "term" }):
-		return "signals", "hup and term are possible signals"
-	case (s.Kind == "crowd") != (s.Crowd > 0) || s.Crowd > 10000:
-		return "crowd", "crowd wants a number of connections from 1 to 10000, and no other step has one"
-	case !tcp && !grams && s.Delay > 0:
-		return "delay", "delay is for ways"
-	case s.After < 0 || s.Rate < 0:
+		return "signals", "the possible signals are hup and term"
+	case (s.Kind == "crowd") != (s.IdleConns > 0) || s.IdleConns > 10000:
+		return "crowd", "crowd needs a number of connections from 1 to 10000, and no other step has one"
+	case !streams && !datagrams && s.Delay > 0:
+		return "delay", "delay is for datagrams and TCP only"
+	case s.ResetAfter < 0 || s.BytesPerSecond < 0:
 		return "after", "after and rate can't be negative"
-	case tcp && !s.Stall && !s.Refuse && s.After == 0 && s.Rate == 0 && s.Delay == 0:
-		return "kind", "nothing goes wrong: stall, refuse, after, rate or delay is meant"
-	case grams && !s.Cut && s.Drop+s.Double+s.Spoil+s.Late == 0 && s.Delay == 0 && s.Jitter == 0:
-		return "kind", "nothing goes wrong: cut, drop, double, spoil, late, delay or jitter is meant"
+	case streams && !s.Stall && !s.Reset && s.ResetAfter == 0 && s.BytesPerSecond == 0 && s.Delay == 0:
+		return "kind", "the step has no fault: it needs stall, refuse, after, rate or delay"
+	case datagrams && !s.Blocked && s.Loss+s.Duplicate+s.Corrupt+s.Reorder == 0 && s.Delay == 0 && s.Jitter == 0:
+		return "kind", "the step has no fault: it needs cut, drop, double, spoil, late, delay or jitter"
 	}
-	for name, x := range map[string]float64{"drop": s.Drop, "double": s.Double, "spoil": s.Spoil, "late": s.Late} {
+	for name, x := range map[string]float64{"drop": s.Loss, "double": s.Duplicate, "spoil": s.Corrupt, "late": s.Reorder} {
 		if !(x >= 0 && x <= 1) {
 			return name, fmt.Sprintf("%s is %g: 0 to 1 is possible", name, x)
 		}
 	}
-	if why := unknown(append(slices.Clone(s.Routers), s.To...), day); why != "" {
+	if why := checkNumbers(append(slices.Clone(s.Routers), s.Receivers...), day); why != "" {
 		return "routers", why
 	}
 	return "", ""
 }
 
-// endsBy tells whether a signal is among those that a step sends.
-func (s *Step) endsBy(name string) bool { return slices.Contains(s.Signals, name) }
+// sendsSignal reports whether the step sends a signal of this name.
+func (s *Step) sendsSignal(name string) bool { return slices.Contains(s.Signals, name) }
 
-func unknown(routers []int, day *model.Day) string {
+func checkNumbers(routers []int, day *model.Day) string {
 	for _, i := range routers {
 		if i < 0 || i >= day.Routers {
 			return fmt.Sprintf("there is no router %d: the day has %d, counted from 0", i, day.Routers)
@@ -247,31 +253,33 @@
 	return ""
 }
 
-func (c *Claim) wrong(day *model.Day) (figure, why string) {
-	timed := !slices.Contains([]string{"rules", "alive", "never", "permits", "drains", "replaced", "unserved", "unexplained", "stands"}, c.Kind)
-	switch _, err := regexp.Compile(c.Text); {
-	case !has(claimKinds, c.Kind):
-		return "kind", fmt.Sprintf("kind is %q: one of %s is meant", c.Kind, names(claimKinds))
-	case (c.Kind == "never" || c.Kind == "said" || c.Kind == "viewed" || c.Kind == "told" || c.Kind == "replaced") != (c.Text != ""):
-		return "text", "never, said, viewed, told and replaced want a text, and no other claim does"
+func (c *Claim) validate(day *model.Day) (setting, reason string) {
+	hasTimeLimit := !slices.Contains([]string{"rules", "alive", "never", "permits", "drains", "replaced", "unserved",
+		"unexplained", "stands"}, c.Kind)
+	switch _, err := regexp.Compile(c.Pattern); {
+	case !containsKind(claimKinds, c.Kind):
+		return "kind", fmt.Sprintf("kind is %q: must be one of %s", c.Kind, kindNames(claimKinds))
+	case (c.Kind == "never" || c.Kind == "said" || c.Kind == "viewed" || c.Kind == "told" ||
+		c.Kind == "replaced") != (c.Pattern != ""):
+		return "text", "never, said, viewed, told and replaced need a text, and no other claim does"
 	case err != nil:
-		return "text", fmt.Sprintf("text is no expression: %v", err)
-	case timed != (c.Within > 0):
-		return "within", "said, told, ready, view, viewed and service want a time, and no other claim does"
-	case (c.Kind == "permits" || c.Kind == "drains") != (c.Most > 0):
-		return "most", "it wants a most of 1 or more where it is about permits or drains, and no other claim does"
-	case (c.Kind == "unserved" || c.Kind == "unexplained") != (c.Share > 0) || c.Share > 1:
-		return "share", "unserved and unexplained want a share over 0 and up to 1, and no other claim does"
-	case (c.Kind == "service") != (c.Least > 0) || c.Least > 1:
-		return "least", "service wants a least over 0 and up to 1, and no other claim does"
+		return "text", fmt.Sprintf("text is no valid regular expression: %v", err)
+	case hasTimeLimit != (c.Within > 0):
+		return "within", "said, told, ready, view, viewed and service need a time limit, and no other claim does"
+	case (c.Kind == "permits" || c.Kind == "drains") != (c.MaxAtOnce > 0):
+		return "most", "permits and drains need a most of 1 or more, and no other claim does"
+	case (c.Kind == "unserved" || c.Kind == "unexplained") != (c.MaxShare > 0) || c.MaxShare > 1:
+		return "share", "unserved and unexplained need a share over 0 and up to 1, and no other claim does"
+	case (c.Kind == "service") != (c.MinService > 0) || c.MinService > 1:
+		return "least", "service needs a least over 0 and up to 1, and no other claim does"
 	}
-	return "routers", unknown(c.Routers, day)
+	return "routers", checkNumbers(c.Routers, day)
 }
 
-// calm is when the last step or fault is over, after the warm-up.
-func (f *File) calm() (at time.Duration) {
+// lastFaultEnd returns when the last step or fault ends, counted from the end of the warm-up.
+func (f *File) lastFaultEnd() (at time.Duration) {
 	for _, s := range f.Steps {
-		at = max(at, s.At.D()+s.For.D())
+		at = max(at, s.At.D()+s.Duration.D())
 	}
 	for _, x := range f.Day.Faults {
 		at = max(at, x.At.D()+x.For.D())
@@ -279,13 +287,14 @@
 	return at
 }
 
-// ends is how the others see a router once all is calm: what a step ends without an end of its own stays ended.
-func (f *File) ends(router int) string {
-	if f.self(router) != router {
+// expectedState returns the state in which all others must see a router after the last fault. A router that a step without
+// a duration ends is not started again.
+func (f *File) expectedState(router int) string {
+	if f.assignedNumber(router) != router {
 		return "unknown"
 	}
 	for _, s := range f.Steps {
-		if s.For == 0 && (len(s.Routers) == 0 || slices.Contains(s.Routers, router)) {
+		if s.Duration == 0 && (len(s.Routers) == 0 || slices.Contains(s.Routers, router)) {
 			if s.Kind == "kill" {
 				return "dead"
 			} else if s.Kind == "term" {
@@ -296,20 +305,20 @@
 	return "alive"
 }
 
-// self is the number that a router is told to have.
-func (f *File) self(router int) int {
-	for _, l := range f.Lists {
-		if l.Router == router && l.As != nil {
-			return *l.As
+// assignedNumber returns the number that a router gets in its configuration: its own, or that of the router it impersonates.
+func (f *File) assignedNumber(router int) int {
+	for _, l := range f.PeerListFaults {
+		if l.Router == router && l.Impersonates != nil {
+			return *l.Impersonates
 		}
 	}
 	return router
 }
 
-func (f *File) runs(router int) bool { return f.ends(router) == "alive" }
+func (f *File) expectedAlive(router int) bool { return f.expectedState(router) == "alive" }
 
-// first is when the first step or fault begins, after the warm-up.
-func (f *File) first() time.Duration {
+// firstFaultStart returns when the first step or fault begins, counted from the end of the warm-up.
+func (f *File) firstFaultStart() time.Duration {
 	at := f.Day.Length.D()
 	for _, s := range f.Steps {
 		at = min(at, s.At.D())
--- a/internal/lab/drill/known_red_test.go
+++ b/internal/lab/drill/known_red_test.go
@@ -2,34 +2,38 @@
 
 import "testing"
 
-// A soak's day on which a cold cache server was pushed over by routers that had been told of its start, once in seven plays.
-func TestColdServerUnderHoldUps(t *testing.T) { playKnownRed(t, "cold-after-crash") }
+// On this soak day routers overloaded a cold cache server although they had been notified of its start. This happened once
+// in seven runs.
+func TestColdServerUnderPauses(t *testing.T) { playKnownRedDrill(t, "cold-after-crash") }
 
-// A soak's day on which two attempts of a request were out at once, in one of 19 plays.
-func TestOneCallUnderHoldUps(t *testing.T) { playKnownRed(t, "one-call") }
+// On this soak day two attempts of one request were in flight at once, in one of 19 runs.
+func TestOneAttemptInFlightUnderPauses(t *testing.T) { playKnownRedDrill(t, "one-call") }
 
-// On the same day a cache server that comes back cold is pushed over before anybody is told of its start, mostly by routers that have just
-// begun themselves.
-func TestColdServerStandsBeforeItsNews(t *testing.T) { playKnownRed(t, "cold-server-stands") }
+// On the same day a cache server that restarts cold collapses under load before any router is notified of its start. The load
+// comes mostly from routers that have just started themselves.
+func TestColdServerBeforeRoutersAreNotified(t *testing.T) { playKnownRedDrill(t, "cold-server-stands") }
 
-// A router whose ways to all caches stood still turns away all reads for seconds after they are free again.
-func TestServesAgainAfterStalledWays(t *testing.T) { playKnownRed(t, "stalled-ways") }
+// A router whose network paths to all caches stalled refuses all reads for seconds after the paths work again.
+func TestServesAgainAfterStalledPaths(t *testing.T) { playKnownRedDrill(t, "stalled-ways") }
 
-// On a day that leaves the caches no room, routers leave more of what is asked unserved than a soak may.
-func TestUnservedOnAFullDay(t *testing.T) { playKnownRed(t, "full-day") }
+// On a day that leaves the caches no spare capacity, routers leave a larger fraction of the requested worth unserved than a
+// soak test allows.
+func TestUnservedOnAFullDay(t *testing.T) { playKnownRedDrill(t, "full-day") }
 
-// A few requests with far more work than the mean push a cold cache server over, though all routers were told of its start long before.
-func TestColdServerUnderHeavyRequests(t *testing.T) { playKnownRed(t, "cold-heavy-requests") }
+// A few requests with far more work than the mean overload a cold cache server, although all routers were notified of its
+// start long before.
+func TestColdServerUnderHeavyRequests(t *testing.T) { playKnownRedDrill(t, "cold-heavy-requests") }
 
-// While caches hang and ways are reset two routers refuse, fail or answer late more than 2% of what they take, with no trouble that explains it.
-func TestUnexplainedRefusals(t *testing.T) { playKnownRed(t, "unexplained-refusals") }
+// While caches hang and connections are reset, two routers refuse, fail or answer late more than 2% of the requests that they
+// accept, with no fault that explains it.
+func TestUnexplainedRefusals(t *testing.T) { playKnownRedDrill(t, "unexplained-refusals") }
 
-func playKnownRed(t *testing.T, name string) {
+func playKnownRedDrill(t *testing.T, name string) {
 	f, err := Load("../../../lab/drills/known-red/" + name + ".toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	report, err := Play(t.Context(), f, Options{Router: router})
+	report, err := Play(t.Context(), f, Options{Router: routerProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/drill/play.go
+++ b/internal/lab/drill/play.go
@@ -23,29 +23,30 @@
 	"hoptiller/internal/lab/tally"
 )
 
-// Options say how a drill is played.
+// Options configures how a drill is played.
 type Options struct {
-	Router string // the router's program
+	Router string // path of the router's program
 
-	listening func(admin string) // for tests: told where each router takes operators' calls,
-	begun     func()             // and when the day has begun
+	onAdminAddr func(admin string) // for tests: called with the admin address of each router; may be nil
+	onBegin     func()             // for tests: called when the day has begun; may be nil
 }
 
-// Report is what came of a drill.
+// Report is the result of a drill.
 type Report struct {
 	Verdicts []Verdict
 	Events   []Event
-	Lag      time.Duration // the longest time for which the machine kept the drill itself from running
+	Lag      time.Duration // the longest time by which the machine delayed the drill's own process
 	Result   *tally.Result
 }
 
-// busy is the lag from which a drill says nothing: a router may have stood still for as long, by no fault of anyone's.
-const busy = 400 * time.Millisecond
+// maxLag is the largest lag with which verdicts count. With a larger one the machine may have paused a router for as long,
+// which is no fault of the router.
+const maxLag = 400 * time.Millisecond
 
-// Busy tells whether the machine was too busy for a verdict.
-func (r *Report) Busy() bool { return r.Lag > busy }
+// Busy reports whether the machine was too busy for the verdicts to count.
+func (r *Report) Busy() bool { return r.Lag > maxLag }
 
-// Broken are the claims that don't hold.
+// Broken returns the verdicts of the claims that don't hold.
 func (r *Report) Broken() (all []Verdict) {
 	for _, v := range r.Verdicts {
 		if !v.Holds {
@@ -55,44 +56,45 @@
 	return all
 }
 
-// player is one drill that is played.
+// player is the state of one drill while it is played.
 type player struct {
-	f        *File
-	timeline *Timeline
-	mesh     *faultproxy.Mesh
-	admins   []string // operators' addresses of the routers themselves
-
-	folder  string // for what belongs to this drill alone
-	program string
-	drivers sync.WaitGroup
-
-	mu      sync.Mutex
-	driver  *os.Process   // the latest
-	started []*os.Process // all
-	ways    map[wayKey][]*faultproxy.StreamProxy
-	state   map[wayKey]faultproxy.StreamFaults // that new ways begin with
-	crowds  map[int]func()                     // by router: ends its crowd
-	hand    standin.Control
+	drill      *File
+	timeline   *Timeline
+	mesh       *faultproxy.Mesh
+	adminAddrs []string // by router: its own admin address, which the admin proxy forwards to
+
+	folder      string // temporary folder with this drill's files; empty if it needs none
+	program     string
+	driverWaits sync.WaitGroup
+
+	mu             sync.Mutex
+	currentDriver  *os.Process   // the latest process that drives the release; nil if there is none
+	drivers        []*os.Process // all processes of release commands
+	proxies        map[proxyKey][]*faultproxy.StreamProxy
+	streamFaults   map[proxyKey]faultproxy.StreamFaults // the faults that new proxies begin with
+	closeIdleConns map[int]func()                       // by router: closes its idle connections
+	control        standin.Control
 }
 
-type wayKey struct {
+type proxyKey struct {
 	router int
-	to     standin.Party
+	party  standin.Party
 }
 
-// admin is the operators' way to a router, which the stand-ins know nothing of.
+// admin is the party behind the proxy for operators' calls to a router. Package standin doesn't know it.
 const admin standin.Party = "admin"
 
-// endedByItself begins the text of an event that tells of a process that no step and no fault has ended.
-const endedByItself = "ended by itself: "
+// unexpectedEndPrefix begins the text of an event for a process that ended without a step or fault that ends it.
+const unexpectedEndPrefix = "ended by itself: "
 
-// Play plays a drill once. When ctx ends, so does every process that it started.
+// Play plays a drill once and checks its claims. When ctx ends it ends every process that it started.
 func Play(ctx context.Context, f *File, opt Options) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	p := &player{f: f, timeline: &Timeline{}, ways: map[wayKey][]*faultproxy.StreamProxy{}, state: map[wayKey]faultproxy.StreamFaults{}, crowds: map[int]func(){}}
+	p := &player{drill: f, timeline: &Timeline{}, proxies: map[proxyKey][]*faultproxy.StreamProxy{},
+		streamFaults: map[proxyKey]faultproxy.StreamFaults{}, closeIdleConns: map[int]func(){}}
 	defer p.close()
-	if err := p.files(); err != nil {
+	if err := p.writeFiles(); err != nil {
 		return nil, err
 	}
 	p.program = opt.Router
@@ -101,11 +103,11 @@
 		if err != nil {
 			return nil, err
 		}
-		p.admins = append(p.admins, addr)
-		if opt.listening != nil {
-			opt.listening(p.admins[i])
+		p.adminAddrs = append(p.adminAddrs, addr)
+		if opt.onAdminAddr != nil {
+			opt.onAdminAddr(p.adminAddrs[i])
 		}
-		if _, err := p.way(i, admin, p.admins[i]); err != nil {
+		if _, err := p.openProxy(i, admin, p.adminAddrs[i]); err != nil {
 			return nil, err
 		}
 	}
@@ -114,66 +116,66 @@
 		return nil, err
 	}
 	day := f.Day
-	o := standin.Options{Router: opt.Router, Series: true, Way: p.way, Arrivals: p.arrivals,
-		Logs:  func(i int) io.Writer { return &log{t: p.timeline, router: i, heard: p.heard} },
-		Peers: p.peers, Self: f.self,
-		Admin:   func(i int) string { return p.admins[i] },
-		Variant: p.variant,
+	o := standin.Options{Router: opt.Router, Series: true, Way: p.openProxy, Arrivals: p.arrivals,
+		Logs:  func(i int) io.Writer { return &lineWriter{timeline: p.timeline, router: i, onLine: p.onLogLine} },
+		Peers: p.peerSettings, Self: f.assignedNumber,
+		Admin:   func(i int) string { return p.adminAddrs[i] },
+		Variant: p.variantEnv,
 		Lost:    func(i int, text string) { p.timeline.add(time.Now(), 50*time.Millisecond, "client", i, text) },
 		Ended: func(i int, how string) {
-			p.timeline.add(time.Now(), 50*time.Millisecond, "watch", i, endedByItself+how)
+			p.timeline.add(time.Now(), 50*time.Millisecond, "watch", i, unexpectedEndPrefix+how)
 		},
 	}
 	for i := range f.Steps {
 		s := &f.Steps[i]
-		o.Steps = append(o.Steps, standin.Step{At: day.Warm.D() + s.At.D(), Do: func() { p.begin(i, s) }})
-		if s.For > 0 {
-			o.Steps = append(o.Steps, standin.Step{At: day.Warm.D() + s.At.D() + s.For.D(), Do: func() { p.end(i, s) }})
+		o.Steps = append(o.Steps, standin.Step{At: day.Warm.D() + s.At.D(), Do: func() { p.beginStep(i, s) }})
+		if s.Duration > 0 {
+			o.Steps = append(o.Steps, standin.Step{At: day.Warm.D() + s.At.D() + s.Duration.D(), Do: func() { p.endStep(i, s) }})
 		}
 	}
 	var watch sync.WaitGroup
 	var lag time.Duration
 	o.Begun = func(c standin.Control, at time.Time) {
 		p.mu.Lock()
-		p.hand = c
+		p.control = c
 		p.mu.Unlock()
-		p.timeline.begin(at.Add(day.Warm.D()))
-		if opt.begun != nil {
-			opt.begun()
+		p.timeline.setWarmUpEnd(at.Add(day.Warm.D()))
+		if opt.onBegin != nil {
+			opt.onBegin()
 		}
 		for i := range day.Routers {
-			watch.Go(func() { p.watchReady(ctx, i) })
-			watch.Go(func() { p.watchView(ctx, i) })
+			watch.Go(func() { p.pollReady(ctx, i) })
+			watch.Go(func() { p.pollView(ctx, i) })
 		}
-		watch.Go(func() { lag = p.watchLag(ctx) })
-		watch.Go(func() { p.watchAsked(ctx, c) })
+		watch.Go(func() { lag = p.measureLag(ctx) })
+		watch.Go(func() { p.pollCommands(ctx, c) })
 	}
 	result, err := standin.Run(ctx, &day, o)
 	cancel()
 	watch.Wait()
-	p.endDrivers()
+	p.killDrivers()
 	if err != nil {
 		return nil, err
 	}
 	for _, v := range slices.Concat(result.Violations, result.Courses) {
-		p.timeline.add(p.timeline.from.Add(v.At-day.Warm.D()), 50*time.Millisecond, "rules", v.Router, v.String())
+		p.timeline.add(p.timeline.warmUpEnd.Add(v.At-day.Warm.D()), 50*time.Millisecond, "rules", v.Router, v.String())
 	}
 	r := &Report{Events: p.timeline.Events(), Lag: lag, Result: result}
-	r.Verdicts = judge(f, r.Events, result)
+	r.Verdicts = checkClaims(f, r.Events, result)
 	return r, nil
 }
 
-// peers is what a router is told of the others, right or wrong.
-func (p *player) peers(router int) (listen string, addrs []string) {
-	self := p.f.self(router)
+// peerSettings returns the address at which a router listens for its peers and its list of them, with the drill's errors.
+func (p *player) peerSettings(router int) (listen string, addrs []string) {
+	self := p.drill.assignedNumber(router)
 	addrs = p.mesh.PeerAddrs(self)
-	for _, l := range p.f.Lists {
-		if l.Router == router && len(l.Swap) == 2 {
-			addrs[l.Swap[0]], addrs[l.Swap[1]] = addrs[l.Swap[1]], addrs[l.Swap[0]]
+	for _, l := range p.drill.PeerListFaults {
+		if l.Router == router && len(l.SwappedRouters) == 2 {
+			addrs[l.SwappedRouters[0]], addrs[l.SwappedRouters[1]] = addrs[l.SwappedRouters[1]], addrs[l.SwappedRouters[0]]
 		}
 	}
-	for i := range p.f.Absent { // of the host that a router would have, and nobody listens there
-		host, err := loopback.Host(loopback.Peers, p.f.Day.Routers+i)
+	for i := range p.drill.AbsentRouters { // the host that a router of this number would have; nobody listens there
+		host, err := loopback.Host(loopback.Peers, p.drill.Day.Routers+i)
 		if err != nil {
 			break
 		}
@@ -182,8 +184,8 @@
 	return p.mesh.RouterAddr(self), addrs
 }
 
-// way puts a relay before a party.
-func (p *player) way(router int, to standin.Party, addr string) (string, error) {
+// openProxy opens a proxy from a router to the address of a party and returns the proxy's address.
+func (p *player) openProxy(router int, party standin.Party, addr string) (string, error) {
 	host, err := loopback.Host(loopback.Parties, router)
 	if err != nil {
 		return "", err
@@ -194,22 +196,22 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := wayKey{router, to}
-	w.SetFaults(p.state[k])
-	p.ways[k] = append(p.ways[k], w)
+	k := proxyKey{router, party}
+	w.SetFaults(p.streamFaults[k])
+	p.proxies[k] = append(p.proxies[k], w)
 	return w.Addr(), nil
 }
 
-// arrivals finds the relay whose connection to a stand-in goes from one address to another.
+// arrivals returns the arrival log of the proxied connection whose server side goes from one address to another, or nil.
 func (p *player) arrivals(router int, from, to string) *arrival.Log {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key, ways := range p.ways {
+	for key, proxies := range p.proxies {
 		if key.router != router {
 			continue
 		}
-		for _, way := range ways {
-			if log := way.Arrivals(from, to); log != nil {
+		for _, proxy := range proxies {
+			if log := proxy.Arrivals(from, to); log != nil {
 				return log
 			}
 		}
@@ -218,31 +220,31 @@
 }
 
 func (p *player) close() {
-	p.endDrivers()
+	p.killDrivers()
 	if p.folder != "" {
 		os.RemoveAll(p.folder)
 	}
 	if p.mesh != nil {
 		p.mesh.Close()
 	}
-	for _, addr := range p.admins {
+	for _, addr := range p.adminAddrs {
 		loopback.Release(addr)
 	}
-	for _, list := range p.ways {
+	for _, list := range p.proxies {
 		for _, w := range list {
 			w.Close()
 		}
 	}
 }
 
-func (p *player) say(router int, format string, args ...any) {
+func (p *player) record(router int, format string, args ...any) {
 	p.timeline.add(time.Now(), time.Millisecond, "drill", router, fmt.Sprintf(format, args...))
 }
 
-// each calls for the routers that a step is about.
-func (p *player) each(list []int, do func(router int)) {
+// forRouters calls do for each router of the list, or for all routers if the list is empty.
+func (p *player) forRouters(list []int, do func(router int)) {
 	if len(list) == 0 {
-		for i := range p.f.Day.Routers {
+		for i := range p.drill.Day.Routers {
 			do(i)
 		}
 		return
@@ -252,96 +254,98 @@
 	}
 }
 
-func (p *player) begin(n int, s *Step) {
-	p.say(-1, "step %d: %s begins", n+1, s.Kind)
-	p.each(s.who(), func(i int) { p.set(i, s, true) })
+func (p *player) beginStep(n int, s *Step) {
+	p.record(-1, "step %d: %s begins", n+1, s.Kind)
+	p.forRouters(s.targets(), func(i int) { p.applyStep(i, s, true) })
 }
 
-func (p *player) end(n int, s *Step) {
-	p.say(-1, "step %d: %s ends", n+1, s.Kind)
-	p.each(s.who(), func(i int) { p.set(i, s, false) })
+func (p *player) endStep(n int, s *Step) {
+	p.record(-1, "step %d: %s ends", n+1, s.Kind)
+	p.forRouters(s.targets(), func(i int) { p.applyStep(i, s, false) })
 }
 
-// who are the routers that a step is about; those about none are done once.
-func (s *Step) who() []int {
+// targets returns the routers that the step is applied to. A step that concerns no router is applied once, as if to router 0.
+func (s *Step) targets() []int {
 	if s.Kind == "release" || s.Kind == "driver" {
 		return []int{0}
 	}
 	return s.Routers
 }
 
-// set does a step to one router, or takes it back.
-func (p *player) set(i int, s *Step, on bool) {
+// applyStep applies a step to one router, or undoes it if on is false.
+func (p *player) applyStep(i int, s *Step, on bool) {
 	p.mu.Lock()
-	hand := p.hand
+	control := p.control
 	p.mu.Unlock()
 	switch s.Kind {
 	case "pause":
-		p.say(i, "paused: %v", on)
-		hand.Signal(i, map[bool]os.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[on])
+		p.record(i, "paused: %v", on)
+		control.Signal(i, map[bool]os.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[on])
 	case "kill", "term":
-		switch p.say(i, "%s: %v", s.Kind, on); {
+		switch p.record(i, "%s: %v", s.Kind, on); {
 		case !on:
-			hand.Start(i)
+			control.Start(i)
 		case s.Kind == "kill":
-			hand.Kill(i)
+			control.Kill(i)
 		default:
-			hand.Signal(i, syscall.SIGTERM)
+			control.Signal(i, syscall.SIGTERM)
 		}
 	case "restart":
-		p.restart(i, s, on, hand)
+		p.restart(i, s, on, control)
 	case "reload":
 		if on {
-			p.signals(i, s.Signals, hand)
+			p.sendSignals(i, s.Signals, control)
 		}
 	case "interrupt":
 		if on {
-			p.interrupt(i, s, hand)
+			p.pauseRepeatedly(i, s, control)
 		}
 	case "crowd":
-		p.crowd(i, s, on, hand)
+		p.setIdleConns(i, s, on, control)
 	case "call":
 		if on {
-			go p.post(i, place(s.Path, hand.Cache))
+			go p.post(i, expandCacheNames(s.Path, control.Cache))
 		}
 	case "release":
 		if on {
-			p.release(s, hand)
+			p.runRelease(s, control)
 		}
 	case "driver":
 		p.signalDriver(s, on)
 	case "datagrams":
-		p.each(s.To, func(j int) {
+		p.forRouters(s.Receivers, func(j int) {
 			if i == j {
 				return
 			}
 			var d faultproxy.DatagramFaults
 			if on {
-				d = faultproxy.DatagramFaults{Loss: s.Drop, Duplicate: s.Double, Corrupt: s.Spoil, Reorder: s.Late, Delay: s.Delay.D(), Jitter: s.Jitter.D(), Blocked: s.Cut}
+				d = faultproxy.DatagramFaults{Loss: s.Loss, Duplicate: s.Duplicate, Corrupt: s.Corrupt, Reorder: s.Reorder,
+					Delay: s.Delay.D(), Jitter: s.Jitter.D(), Blocked: s.Blocked}
 			}
-			if p.mesh.SetFaults(i, j, d); s.Both {
+			if p.mesh.SetFaults(i, j, d); s.BothDirections {
 				p.mesh.SetFaults(j, i, d)
 			}
 		})
 	default:
 		var x faultproxy.StreamFaults
 		if on {
-			x = faultproxy.StreamFaults{Stall: s.Stall, Reset: s.Refuse, ResetAfter: s.After, Delay: s.Delay.D(), BytesPerSecond: s.Rate}
+			x = faultproxy.StreamFaults{Stall: s.Stall, Reset: s.Reset, ResetAfter: s.ResetAfter, Delay: s.Delay.D(),
+				BytesPerSecond: s.BytesPerSecond}
 		}
 		p.mu.Lock()
-		k := wayKey{i, standin.Party(s.Kind)}
-		held, disturbed, refused := p.state[k].HoldsBack(), p.state[k].Any(), p.state[k].Reset
-		p.state[k] = x
-		list := p.ways[k]
+		k := proxyKey{i, standin.Party(s.Kind)}
+		held, disturbed, refused := p.streamFaults[k].DelaysForwarding(), p.streamFaults[k].HasFaults(), p.streamFaults[k].Reset
+		p.streamFaults[k] = x
+		list := p.proxies[k]
 		p.mu.Unlock()
-		if holds := x.HoldsBack(); holds != held && (k.to == standin.Cache || k.to == standin.Origin) {
-			hand.HeldBack(i, holds)
+		if holds := x.DelaysForwarding(); holds != held && (k.party == standin.Cache || k.party == standin.Origin) {
+			control.HeldBack(i, holds)
 		}
-		if x.Reset != refused && k.to == standin.Cache {
-			hand.Unreachable(i, x.Reset)
+		if x.Reset != refused && k.party == standin.Cache {
+			control.Unreachable(i, x.Reset)
 		}
-		if disturbs := x.Any(); disturbs != disturbed && (k.to == standin.Cache || k.to == standin.Origin) {
-			hand.Disturbed(i, disturbs)
+		if disturbs := x.HasFaults(); disturbs != disturbed && (k.party == standin.Cache || k.party == standin.Origin) {
+			control.Disturbed(i, disturbs)
 		}
 		for _, w := range list {
 			w.SetFaults(x)
@@ -349,57 +353,61 @@
 	}
 }
 
-// heard holds a router to what it says of slot caches that it sends nothing new.
-func (p *player) heard(router int, line string) {
+// onLogLine passes on to which slot caches a router says that it sends no new requests. The stand-ins then check that it
+// keeps to that.
+func (p *player) onLogLine(router int, line string) {
 	p.mu.Lock()
-	hand := p.hand
+	control := p.control
 	p.mu.Unlock()
-	if hand == nil {
+	if control == nil {
 		return
 	}
-	switch cache, what := saidOfCache(line); what {
+	switch cache, what := parseCacheLine(line); what {
 	case "gets nothing new":
-		hand.Aside(router, cache, true)
+		control.Aside(router, cache, true)
 	case "drained no more":
-		hand.Aside(router, cache, false)
+		control.Aside(router, cache, false)
 	}
 }
 
-// cachePlace is what stands in a path for the name of a slot cache, by its number.
-var cachePlace = regexp.MustCompile(`\{cache (\d{1,4})\}`)
+// cachePlaceholder matches {cache N}, which stands for the name of slot cache N in the path of a call.
+var cachePlaceholder = regexp.MustCompile(`\{cache (\d{1,4})\}`)
 
-func place(path string, cache func(n int) string) string {
-	return cachePlace.ReplaceAllStringFunc(path, func(x string) string {
-		n, _ := strconv.Atoi(cachePlace.FindStringSubmatch(x)[1])
+// expandCacheNames replaces the placeholders of a path by the names of slot caches.
+func expandCacheNames(path string, cache func(n int) string) string {
+	return cachePlaceholder.ReplaceAllStringFunc(path, func(x string) string {
+		n, _ := strconv.Atoi(cachePlaceholder.FindStringSubmatch(x)[1])
 		return cache(n)
 	})
 }
 
-// operators is where a router takes operators' calls, by way of the relay.
-func (p *player) operators(i int) string {
+// adminProxyAddr returns the address of the proxy that forwards operators' calls to a router.
+func (p *player) adminProxyAddr(i int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ways[wayKey{i, admin}][0].Addr()
+	return p.proxies[proxyKey{i, admin}][0].Addr()
 }
 
-// post carries out an operators' call, and tells what was answered.
+// post makes an operators' call to a router and records the answer.
 func (p *player) post(i int, path string) {
-	addr := p.operators(i)
+	addr := p.adminProxyAddr(i)
 	client := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := client.Post("http://"+addr+path, "", nil)
 	if err != nil {
-		p.say(i, "called %s: %v", path, err)
+		p.record(i, "called %s: %v", path, err)
 		return
 	}
 	defer r.Body.Close()
 	body, _ := io.ReadAll(io.LimitReader(r.Body, 4096))
-	p.say(i, "called %s: %s %s", path, r.Status, strings.TrimSpace(string(body)))
+	p.record(i, "called %s: %s %s", path, r.Status, strings.TrimSpace(string(body)))
 }
 
-// watch asks a router all the time, and tells of each change of what it says. The operators' way is the drill's as well: what
-// can't be asked gives no text, or one that says so.
-func (p *player) watch(ctx context.Context, i int, from string, every time.Duration, ask func(addr string) (text string, ok bool)) {
-	addr := p.operators(i)
+// pollChanges calls ask for a router at an interval until ctx ends and records each change of the text that ask returns. The
+// calls go through the same proxy as those of operators, so its faults affect them: ask then returns false, or a text that
+// says that there was no answer.
+func (p *player) pollChanges(ctx context.Context, i int, from string, every time.Duration,
+	ask func(addr string) (text string, ok bool)) {
+	addr := p.adminProxyAddr(i)
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for last := ""; ; {
@@ -421,10 +429,10 @@
 	}
 }
 
-// watchReady tells of each change of whether a router is ready: one that can't be asked is not.
-func (p *player) watchReady(ctx context.Context, i int) {
+// pollReady records each change of whether a router is ready. A router that does not answer counts as not ready.
+func (p *player) pollReady(ctx context.Context, i int) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	p.watch(ctx, i, "watch", 100*time.Millisecond, func(addr string) (string, bool) {
+	p.pollChanges(ctx, i, "watch", 100*time.Millisecond, func(addr string) (string, bool) {
 		r, err := client.Get("http://" + addr + "/v1/readyz")
 		if err != nil {
 			return "not ready", true
@@ -434,9 +442,9 @@
 	})
 }
 
-// watchView tells of each change of how a router sees the fleet.
-func (p *player) watchView(ctx context.Context, i int) {
-	p.watch(ctx, i, "view", 200*time.Millisecond, func(addr string) (string, bool) {
+// pollView records each change of a router's view of the fleet.
+func (p *player) pollView(ctx context.Context, i int) {
+	p.pollChanges(ctx, i, "view", 200*time.Millisecond, func(addr string) (string, bool) {
 		a := peers.Ask(ctx, addr)
 		if a.View == nil {
 			return "", false
@@ -445,7 +453,7 @@
 	})
 }
 
-// viewText is a view as the timeline has it: its sum, the state of each router, and what is seen of slot caches.
+// viewText formats a view for the timeline: its checksum, the state of each router, and the observations of slot caches.
 func viewText(v *peers.Report) string {
 	var b strings.Builder
 	b.WriteString(v.Sum)
@@ -458,8 +466,8 @@
 	return b.String()
 }
 
-// watchLag tells the longest time for which a process that wants next to nothing was kept from running.
-func (p *player) watchLag(ctx context.Context) (most time.Duration) {
+// measureLag returns the longest time by which a timer of this process was late until ctx ended.
+func (p *player) measureLag(ctx context.Context) (maxDelay time.Duration) {
 	const every = 20 * time.Millisecond
 	for {
 		begun := time.Now()
@@ -467,9 +475,9 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return most
+			return maxDelay
 		case <-timer.C:
 		}
-		most = max(most, time.Since(begun)-every)
+		maxDelay = max(maxDelay, time.Since(begun)-every)
 	}
 }
--- a/internal/lab/drill/process.go
+++ b/internal/lab/drill/process.go
@@ -9,66 +9,66 @@
 )
 
 const (
-	killMargin       = 700 * time.Millisecond // between the longest deadline after SIGTERM and SIGKILL, as the platform has it
-	longestDeadline  = 3 * time.Second        // that counts for SIGKILL
-	leastInterrupt   = 75 * time.Millisecond  // for which a process is held up at once
-	mostInterrupt    = 150 * time.Millisecond
-	betweenInterrupt = 350 * time.Millisecond // from the beginning of one to the next, in the mean
+	killMargin      = 700 * time.Millisecond // SIGKILL follows the longest deadline after SIGTERM by this, as on the platform
+	maxKillDeadline = 3 * time.Second        // longer deadlines don't delay SIGKILL further
+	minPause        = 75 * time.Millisecond  // shortest pause of a process that is paused repeatedly
+	maxPause        = 150 * time.Millisecond
+	pauseInterval   = 350 * time.Millisecond // mean time from the beginning of one pause to the next
 )
 
-// killAfter is how long after SIGTERM the platform kills a process at the earliest.
-func (f *File) killAfter() time.Duration {
+// killDelay returns the shortest time after SIGTERM after which the platform kills a process.
+func (f *File) killDelay() time.Duration {
 	var longest time.Duration
 	for _, c := range f.Day.Classes {
 		longest = max(longest, c.Deadline.D())
 	}
-	return min(longest, longestDeadline) + killMargin
+	return min(longest, maxKillDeadline) + killMargin
 }
 
-// signals sends a process signals, one right after another.
-func (p *player) signals(router int, names []string, hand standin.Control) {
+// sendSignals sends signals to a router's process, one right after another.
+func (p *player) sendSignals(router int, names []string, control standin.Control) {
 	for _, name := range names {
-		p.say(router, "signal: %s", name)
-		hand.Signal(router, map[string]syscall.Signal{"hup": syscall.SIGHUP, "term": syscall.SIGTERM}[name])
+		p.record(router, "signal: %s", name)
+		control.Signal(router, map[string]syscall.Signal{"hup": syscall.SIGHUP, "term": syscall.SIGTERM}[name])
 	}
 }
 
-// restart ends a process as the platform does, as early as it may, and starts it anew when the step ends.
-func (p *player) restart(router int, s *Step, on bool, hand standin.Control) {
+// restart ends a process as early as the platform may, and starts it again when the step ends.
+func (p *player) restart(router int, s *Step, on bool, control standin.Control) {
 	if !on {
-		p.say(router, "started")
-		hand.Start(router)
+		p.record(router, "started")
+		control.Start(router)
 		return
 	}
-	p.signals(router, s.Signals, hand)
-	time.AfterFunc(p.f.killAfter(), func() {
-		p.say(router, "killed if it still runs")
-		hand.KillTerminated(router)
+	p.sendSignals(router, s.Signals, control)
+	time.AfterFunc(p.drill.killDelay(), func() {
+		p.record(router, "killed if it still runs")
+		control.KillTerminated(router)
 	})
 }
 
-// interrupt holds a process up again and again while the step lasts, at times that the day's seed gives.
-func (p *player) interrupt(router int, s *Step, hand standin.Control) {
-	r := rand.New(rand.NewPCG(p.f.Day.Seed, uint64(router)))
-	end := time.Now().Add(s.For.D())
+// pauseRepeatedly pauses a process again and again while the step lasts, at random times that derive from the day's seed.
+func (p *player) pauseRepeatedly(router int, s *Step, control standin.Control) {
+	r := rand.New(rand.NewPCG(p.drill.Day.Seed, uint64(router)))
+	end := time.Now().Add(s.Duration.D())
 	var next func()
 	next = func() {
 		if time.Now().After(end) {
 			return
 		}
-		hand.Interrupt(router, leastInterrupt+time.Duration(r.Int64N(int64(mostInterrupt-leastInterrupt))))
-		time.AfterFunc(mostInterrupt+time.Duration(r.Int64N(int64(2*(betweenInterrupt-mostInterrupt)))), next)
+		control.Interrupt(router, minPause+time.Duration(r.Int64N(int64(maxPause-minPause))))
+		time.AfterFunc(maxPause+time.Duration(r.Int64N(int64(2*(pauseInterval-maxPause)))), next)
 	}
 	next()
 }
 
-// crowd has idle connections come to a router, or leaves.
-func (p *player) crowd(router int, s *Step, on bool, hand standin.Control) {
+// setIdleConns opens the step's idle connections to a router, or closes them if on is false.
+func (p *player) setIdleConns(router int, s *Step, on bool, control standin.Control) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if on {
-		p.crowds[router] = hand.Crowd(router, s.Crowd)
-	} else if release := p.crowds[router]; release != nil {
+		p.closeIdleConns[router] = control.Crowd(router, s.IdleConns)
+	} else if release := p.closeIdleConns[router]; release != nil {
 		release()
 	}
 }
--- a/internal/lab/drill/soak.go
+++ b/internal/lab/drill/soak.go
@@ -9,120 +9,125 @@
 	"hoptiller/internal/lab/model"
 )
 
-// The shape of a soak's days.
+// Parameters of the days that Soak draws.
 const (
-	soakLength          = 30.0 // seconds
-	soakMostRouters     = 6
-	soakLongBytes       = 40_000 // mean bytes of a value where some are long: those over 64 KiB are passed on as they come
-	soakUnsized         = 0.2    // part of the origin's values without a length, where some are long
-	soakCrowd           = 900    // idle connections, of 1,024 descriptors
-	soakShortestTerm    = 0.4    // the least deadline of all classes, in seconds
-	soakMostUnserved    = 0.55   // of the worth asked for, by routers
-	soakMostUnexplained = 0.02   // of the requests taken
+	soakLength         = 30.0 // seconds
+	soakMaxRouters     = 6
+	soakMeanBytes      = 40_000 // mean bytes of a value on days with long ones; routers stream values over 64 KiB
+	soakUnsizedShare   = 0.2    // fraction of the origin's values without a stated length on days with long values
+	soakIdleConns      = 900    // idle connections of a crowd; a process has 1,024 descriptors
+	soakMinDeadline    = 0.4    // lower bound of all classes' deadlines, in seconds
+	soakMaxUnserved    = 0.55   // fraction of the requested worth that routers may leave unserved
+	soakMaxUnexplained = 0.02   // fraction of the accepted requests that may fail for no reason but their router
 )
 
-// soakKinds are the kinds of step of which a soak's days are drawn, each as often as it stands here.
-var soakKinds = []string{"restart", "restart", "restart", "interrupt", "interrupt", "reload", "crowd", "cache", "cache", "origin", "directory", "kill"}
+// soakKinds lists the kinds of step that soakStep draws from. A kind is drawn in proportion to how often it is listed.
+var soakKinds = []string{"restart", "restart", "restart", "interrupt", "interrupt", "reload", "crowd", "cache", "cache",
+	"origin", "directory", "kill"}
 
-// Soak draws a day of a soak from a seed: a few routers in trouble of several kinds at once, with deadlines, values and load that differ
-// from seed to seed. The same seed gives the same day. No rule may be broken, no process may end by itself, all routers are to be
-// ready in the end, and they may leave a stated part of what is asked for unserved.
+// Soak draws a day of a soak test from a seed: a few routers with several kinds of faults at once. Deadlines, values and load
+// differ from seed to seed. The same seed gives the same day. The claims are that no invariant is violated, no process ends
+// by itself, all routers are ready in the end, and the fractions of unserved and unexplained requests stay within their limits.
 func Soak(seed uint64) *File {
 	r := rand.New(rand.NewPCG(seed, 0x736f616b))
 	f := &File{Title: fmt.Sprintf("Soak, seed %d", seed), Name: fmt.Sprintf("soak-%d", seed), Day: soakDay(r)}
 	f.Day.Seed = seed
-	for i := range f.Day.Routers { // one after another, as at a release
-		f.Steps = append(f.Steps, Step{Kind: "interrupt", At: span(1), For: span(20), Routers: []int{i}})
-		f.Steps = append(f.Steps, Step{Kind: "restart", At: span(2 + float64(i)*3 + r.Float64()), For: span(5), Routers: []int{i}, Signals: soakSignals(r)})
+	for i := range f.Day.Routers { // restarted one after another, as in a release
+		f.Steps = append(f.Steps, Step{Kind: "interrupt", At: seconds(1), Duration: seconds(20), Routers: []int{i}})
+		f.Steps = append(f.Steps, Step{Kind: "restart", At: seconds(2 + float64(i)*3 + r.Float64()), Duration: seconds(5),
+			Routers: []int{i}, Signals: soakSignals(r)})
 	}
 	for range 3 + r.IntN(4) {
 		f.Steps = append(f.Steps, soakStep(r, f.Day.Routers))
 	}
-	f.Steps = withoutClashes(f.Steps)
-	f.Day.Faults = soakFaults(r)
-	f.Claims = []Claim{{Kind: "rules"}, {Kind: "alive"}, {Kind: "ready", Within: span(6)}, {Kind: "unserved", Share: soakMostUnserved},
-		{Kind: "unexplained", Share: soakMostUnexplained}}
+	f.Steps = withoutOverlaps(f.Steps)
+	f.Day.Faults = soakCacheFaults(r)
+	f.Claims = []Claim{{Kind: "rules"}, {Kind: "alive"}, {Kind: "ready", Within: seconds(6)}, {Kind: "unserved",
+		MaxShare: soakMaxUnserved},
+		{Kind: "unexplained", MaxShare: soakMaxUnexplained}}
 	return f
 }
 
-// soakDay draws the fleet and its load.
+// soakDay draws the fleet, its load and the deadlines of the classes.
 func soakDay(r *rand.Rand) model.Day {
 	day := model.Prairie()
-	day.Warm, day.Length, day.Fill = span(2), span(soakLength), r.IntN(3) == 0
-	day.Routers = 2 + r.IntN(soakMostRouters-1)
+	day.Warm, day.Length, day.Fill = seconds(2), seconds(soakLength), r.IntN(3) == 0
+	day.Routers = 2 + r.IntN(soakMaxRouters-1)
 	day.Fleet.Caches = 4 + r.IntN(6)
 	day.Load.Level, day.Load.Shape = 0.3+r.Float64()*0.4, "steady"
 	if r.IntN(2) == 0 {
-		day.Load.Bytes, day.Load.Sizes = soakLongBytes, 1
-		day.Origin.Unsized = soakUnsized
+		day.Load.Bytes, day.Load.Sizes = soakMeanBytes, 1
+		day.Origin.Unsized = soakUnsizedShare
 	}
 	day.Clients.Leave = 0.25
-	deadline := soakShortestTerm + r.Float64()*1.5
+	deadline := soakMinDeadline + r.Float64()*1.5
 	for i := range day.Classes {
 		c := &day.Classes[i]
-		c.Deadline = span(deadline * (1 + r.Float64()))
+		c.Deadline = seconds(deadline * (1 + r.Float64()))
 		c.Aim = min(c.Aim, c.Deadline/2)
 	}
 	return day
 }
 
-// soakSignals draws a series of signals that ends with SIGTERM, or goes on behind it.
+// soakSignals draws a series of signals with a SIGTERM at the end, or with more signals after it.
 func soakSignals(r *rand.Rand) []string {
 	series := [][]string{{"term"}, {"hup", "hup", "term"}, {"term", "term"}, {"term", "hup"}, {"hup", "term", "hup", "term"}}
 	return series[r.IntN(len(series))]
 }
 
-// soakStep draws one trouble.
+// soakStep draws one step of a random kind for a random router.
 func soakStep(r *rand.Rand, routers int) Step {
-	s := Step{Kind: soakKinds[r.IntN(len(soakKinds))], At: span(1 + r.Float64()*15), For: span(0.5 + r.Float64()*4), Routers: []int{r.IntN(routers)}}
+	s := Step{Kind: soakKinds[r.IntN(len(soakKinds))], At: seconds(1 + r.Float64()*15),
+		Duration: seconds(0.5 + r.Float64()*4), Routers: []int{r.IntN(routers)}}
 	switch s.Kind {
 	case "restart":
-		s.For, s.Signals = span(5), soakSignals(r)
+		s.Duration, s.Signals = seconds(5), soakSignals(r)
 	case "reload":
-		s.For, s.Signals = 0, slices.Repeat([]string{"hup"}, 1+r.IntN(4))
+		s.Duration, s.Signals = 0, slices.Repeat([]string{"hup"}, 1+r.IntN(4))
 	case "crowd":
-		s.Crowd = soakCrowd
+		s.IdleConns = soakIdleConns
 	case "cache", "origin", "directory":
-		soakWay(r, &s)
+		soakStreamFaults(r, &s)
 	}
 	return s
 }
 
-// soakWay draws what is wrong with the ways to servers.
-func soakWay(r *rand.Rand, s *Step) {
+// soakStreamFaults draws the faults of a router's TCP connections to servers.
+func soakStreamFaults(r *rand.Rand, s *Step) {
 	switch r.IntN(4) {
 	case 0:
 		s.Stall = true
 	case 1:
-		s.Refuse = true
+		s.Reset = true
 	case 2:
-		s.After = 1 + r.IntN(200_000)
+		s.ResetAfter = 1 + r.IntN(200_000)
 	default:
-		s.Delay = span(float64(1+r.IntN(60)) / 1000)
+		s.Delay = seconds(float64(1+r.IntN(60)) / 1000)
 	}
 }
 
-// soakFaults draws what happens to cache servers beside the routers.
-func soakFaults(r *rand.Rand) []model.Fault {
+// soakCacheFaults draws the faults of cache servers, which come in addition to those of routers.
+func soakCacheFaults(r *rand.Rand) []model.Fault {
 	kinds := []model.Fault{
-		{Kind: "crash", At: span(6 + r.Float64()*8), For: span(2 + r.Float64()*3), Part: 0.25},
-		{Kind: "slow", At: span(3 + r.Float64()*10), For: span(3 + r.Float64()*4), Part: 0.3, Size: 0.8},
-		{Kind: "resets", At: span(3 + r.Float64()*8), For: span(5), Size: 5},
+		{Kind: "crash", At: seconds(6 + r.Float64()*8), For: seconds(2 + r.Float64()*3), Part: 0.25},
+		{Kind: "slow", At: seconds(3 + r.Float64()*10), For: seconds(3 + r.Float64()*4), Part: 0.3, Size: 0.8},
+		{Kind: "resets", At: seconds(3 + r.Float64()*8), For: seconds(5), Size: 5},
 	}
-	hang := model.Fault{Kind: "hang", At: span(3 + r.Float64()*5), For: span(6 + r.Float64()*6), Part: 0.3}
+	hang := model.Fault{Kind: "hang", At: seconds(3 + r.Float64()*5), For: seconds(6 + r.Float64()*6), Part: 0.3}
 	return []model.Fault{hang, kinds[r.IntN(len(kinds))]}
 }
 
-// stops tells whether a step ends a process.
-func stops(s Step) bool { return s.Kind == "restart" || s.Kind == "kill" }
+// stopsProcess reports whether a step ends a process.
+func stopsProcess(s Step) bool { return s.Kind == "restart" || s.Kind == "kill" }
 
-// withoutClashes leaves out steps that stop a process while another step does.
-func withoutClashes(steps []Step) (kept []Step) {
+// withoutOverlaps drops each step that would stop a process while another step of the list has stopped it already.
+func withoutOverlaps(steps []Step) (kept []Step) {
 	for _, s := range steps {
-		clash := stops(s) && slices.ContainsFunc(kept, func(o Step) bool {
-			return stops(o) && slices.Equal(o.Routers, s.Routers) && s.At.D() < o.At.D()+o.For.D()+time.Second && o.At.D() < s.At.D()+s.For.D()+time.Second
+		overlaps := stopsProcess(s) && slices.ContainsFunc(kept, func(o Step) bool {
+			return stopsProcess(o) && slices.Equal(o.Routers, s.Routers) && s.At.D() < o.At.D()+o.Duration.D()+time.Second &&
+				o.At.D() < s.At.D()+s.Duration.D()+time.Second
 		})
-		if !clash {
+		if !overlaps {
 			kept = append(kept, s)
 		}
 	}
--- a/internal/lab/drill/soak_test.go
+++ b/internal/lab/drill/soak_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A seed gives the same day each time, each day can be written as a file and read again, and no process is stopped twice at once.
+// A seed gives the same day each time, each day can be written as a file and read again, and no two steps stop a process at
+// the same time.
 func TestSoakDays(t *testing.T) {
 	for seed := range uint64(300) {
 		f := Soak(seed)
@@ -22,7 +23,8 @@
 		}
 		for i, s := range f.Steps {
 			for _, o := range f.Steps[:i] {
-				if stops(s) && stops(o) && s.Routers[0] == o.Routers[0] && s.At.D() < o.At.D()+o.For.D() && o.At.D() < s.At.D()+s.For.D() {
+				if stopsProcess(s) && stopsProcess(o) && s.Routers[0] == o.Routers[0] && s.At.D() < o.At.D()+o.Duration.D() &&
+					o.At.D() < s.At.D()+s.Duration.D() {
 					t.Errorf("seed %d: router %d is stopped at %v and at %v", seed, s.Routers[0], o.At, s.At)
 				}
 			}
--- a/internal/lab/drill/timeline.go
+++ b/internal/lab/drill/timeline.go
@@ -12,49 +12,49 @@
 	"hoptiller/internal/logs"
 )
 
-// Event is something that happened. Times are seconds after the warm-up.
+// Event is an entry of the timeline. Its times are in seconds, At counted from the end of the warm-up.
 type Event struct {
-	At     float64 `json:"at"`
-	Sure   float64 `json:"sure"`             // by which it may have been earlier or later
-	From   string  `json:"from"`             // router, drill, watch, client or rules
-	Router int     `json:"router,omitempty"` // of those that concern one, from 1: 0 is none
-	Text   string  `json:"text"`
+	At          float64 `json:"at"`
+	Uncertainty float64 `json:"sure"`             // the event may have been earlier or later by up to this
+	From        string  `json:"from"`             // who reported it: router, drill, watch, view, release, client or rules
+	Router      int     `json:"router,omitempty"` // number from 1 of the router that it concerns; 0: none
+	Text        string  `json:"text"`
 }
 
-// Timeline is what all parties tell, put in one order by the times that they state themselves.
+// Timeline collects the events that all parties report and orders them by the times that the parties state.
 type Timeline struct {
-	mu     sync.Mutex
-	from   time.Time // the end of the warm-up
-	early  []func()  // what came before that was known
-	events []Event
+	mu        sync.Mutex
+	warmUpEnd time.Time // zero until setWarmUpEnd
+	pending   []func()  // adds the events that came before the end of the warm-up was known
+	events    []Event
 }
 
-// begin says when the warm-up ends.
-func (t *Timeline) begin(from time.Time) {
+// setWarmUpEnd sets the time from which the times of events count.
+func (t *Timeline) setWarmUpEnd(from time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.from = from
-	for _, add := range t.early {
+	t.warmUpEnd = from
+	for _, add := range t.pending {
 		add()
 	}
-	t.early = nil
+	t.pending = nil
 }
 
-// add takes an event that happened at a time, give or take sure. Router counts from 0; -1 is none.
-func (t *Timeline) add(at time.Time, sure time.Duration, from string, router int, text string) {
+// add records an event that happened at a time, give or take an uncertainty. Routers count from 0; -1 is none.
+func (t *Timeline) add(at time.Time, uncertainty time.Duration, from string, router int, text string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	add := func() {
-		t.events = append(t.events, Event{at.Sub(t.from).Seconds(), sure.Seconds(), from, router + 1, text})
+		t.events = append(t.events, Event{at.Sub(t.warmUpEnd).Seconds(), uncertainty.Seconds(), from, router + 1, text})
 	}
-	if t.from.IsZero() {
-		t.early = append(t.early, add)
+	if t.warmUpEnd.IsZero() {
+		t.pending = append(t.pending, add)
 		return
 	}
 	add()
 }
 
-// Events are all that have come, in order.
+// Events returns all events so far, ordered by time.
 func (t *Timeline) Events() []Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,36 +82,37 @@
 	return nil
 }
 
-// log takes what a router writes, line by line. A line is taken to have happened when it says so: all processes of a drill
-// read one clock, which the log writes to the millisecond. What says no time happened before it was read.
-type log struct {
-	t      *Timeline
-	router int
-	from   string                        // empty: a router
-	heard  func(router int, line string) // if set, told of each line
-	part   []byte
+// lineWriter adds what a process writes to the timeline, line by line. A line that states its time counts as of that time,
+// exact to the millisecond that logs have: all processes of a drill read the same clock. Any other line counts as of the
+// time at which it is read, give or take a second.
+type lineWriter struct {
+	timeline    *Timeline
+	router      int
+	source      string                        // source of the events; empty: router
+	onLine      func(router int, line string) // called with each line; may be nil
+	partialLine []byte
 }
 
 // Write implements io.Writer.
-func (l *log) Write(b []byte) (int, error) {
+func (l *lineWriter) Write(b []byte) (int, error) {
 	n := len(b)
 	for {
-		line, rest, whole := bytes.Cut(b, []byte("\n"))
-		if !whole {
-			l.part = append(l.part, b...)
+		line, rest, complete := bytes.Cut(b, []byte("\n"))
+		if !complete {
+			l.partialLine = append(l.partialLine, b...)
 			return n, nil
 		}
-		text := string(append(l.part, line...))
-		l.part, b = nil, rest
-		at, sure := time.Now(), time.Second
+		text := string(append(l.partialLine, line...))
+		l.partialLine, b = nil, rest
+		at, uncertainty := time.Now(), time.Second
 		if said, ok := logs.Field(text, "time"); ok {
 			if x, err := time.Parse(time.RFC3339Nano, said); err == nil {
-				at, sure = x, time.Millisecond
+				at, uncertainty = x, time.Millisecond
 			}
 		}
-		l.t.add(at, sure, cmp.Or(l.from, "router"), l.router, text)
-		if l.heard != nil {
-			l.heard(l.router, text)
+		l.timeline.add(at, uncertainty, cmp.Or(l.source, "router"), l.router, text)
+		if l.onLine != nil {
+			l.onLine(l.router, text)
 		}
 	}
 }
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -12,7 +12,7 @@
 	"hoptiller/internal/testprog"
 )
 
-// routers opens the sockets at which the routers of a mesh listen.
+// routers opens the sockets of a mesh's routers, and a channel for each with the datagrams that it receives.
 func routers(t *testing.T, m *Mesh, n int) (socks []*net.UDPConn, heard []chan string) {
 	for i := range n {
 		addr, err := net.ResolveUDPAddr("udp4", m.RouterAddr(i))
@@ -145,7 +145,7 @@
 	}
 }
 
-// echo answers what comes, in capitals.
+// echo starts a server that answers everything it receives in capitals, and returns its address.
 func echo(t *testing.T) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -201,7 +201,7 @@
 		t.Fatalf("%q, %v", got, err)
 	}
 	w.SetFaults(StreamFaults{Stall: true})
-	other := connect() // comes up, and nothing more
+	other := connect() // the connection opens, but nothing passes
 	io.WriteString(other, "x")
 	io.WriteString(c, "again")
 	other.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
@@ -221,7 +221,7 @@
 		t.Errorf("cut after 7 bytes of 10: %q, %v", got, err)
 	}
 	w.SetFaults(StreamFaults{Reset: true})
-	if c, err := net.Dial("tcp", w.Addr()); err == nil { // it may be reset before it is up, or just after
+	if c, err := net.Dial("tcp", w.Addr()); err == nil { // the connection may be reset before or just after it opens
 		c.SetDeadline(time.Now().Add(testprog.Patience))
 		if got, err := ask(c, "x"); err == nil {
 			t.Errorf("refused: %q", got)
@@ -235,7 +235,7 @@
 	}
 }
 
-// Nothing is bound to or sent anywhere but to this machine.
+// A proxy neither listens on nor forwards to an address outside this machine.
 func TestLoopbackAlone(t *testing.T) {
 	if _, err := NewStreamProxy("0.0.0.0", "127.0.0.1:80"); err == nil {
 		t.Error("a proxy listens elsewhere")
--- a/internal/lab/faultproxy/mesh.go
+++ b/internal/lab/faultproxy/mesh.go
@@ -22,7 +22,7 @@
 	Loss      float64
 	Duplicate float64
 	Corrupt   float64       // one byte is changed
-	Reorder   float64       // it waits until the next one has been sent, or for reorderTimeout
+	Reorder   float64       // the datagram waits until the next one has been sent, or for reorderTimeout
 	Delay     time.Duration // of each datagram
 	Jitter    time.Duration // random delay of up to this, in addition
 	Blocked   bool          // all are lost
@@ -33,8 +33,8 @@
 	maxDatagram    = 2048 // bytes; the platform's routers send at most 256
 )
 
-// Mesh relays datagrams between routers. Each router has an address of its own for each other one,
-// and receives datagrams of another one from the address that it has for it, as on the platform.
+// Mesh relays datagrams between routers. Each router has its own address for each peer, and receives
+// the datagrams of a peer from this address, as on the platform.
 type Mesh struct {
 	routers []netip.AddrPort // where routers listen
 	sockets [][]*net.UDPConn // by sender and receiver; nil on the diagonal
@@ -49,9 +49,9 @@
 type pairState struct {
 	faults    DatagramFaults
 	rng       *rand.Rand
-	held      []byte // a datagram that waits for the next one
+	held      []byte // a datagram that is held back until the next one is sent, or nil
 	processed int    // datagrams whose fate has been decided
-	forwarded int    // datagrams that were sent on, and their bytes
+	forwarded int    // datagrams that were sent on
 	bytes     int
 }
 
@@ -118,7 +118,7 @@
 // RouterAddr returns the address at which a router is to listen for its peers.
 func (m *Mesh) RouterAddr(router int) string { return m.routers[router].String() }
 
-// PeerAddrs returns the addresses that a router has for all routers by number, its own included.
+// PeerAddrs returns the addresses that a router uses for all routers, by number and including its own.
 func (m *Mesh) PeerAddrs(router int) (addrs []string) {
 	for j, socket := range m.sockets[router] {
 		if j == router {
@@ -153,7 +153,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an earlier write was refused, as the router isn't running
+		if err != nil { // an earlier write was refused because the router isn't running
 			continue
 		}
 		m.process(i, j, append([]byte(nil), buffer[:n]...))
@@ -198,12 +198,12 @@
 	}
 }
 
-// chance draws whether an event of a probability happens. An impossible event draws nothing.
+// chance draws whether an event with this probability happens. An impossible event draws no random number.
 func (p *pairState) chance(probability float64) bool {
 	return probability > 0 && p.rng.Float64() < probability
 }
 
-// releaseHeld forwards a datagram that has waited in vain for the next one.
+// releaseHeld forwards a held datagram if no other one was sent in the meantime.
 func (m *Mesh) releaseHeld(i, j int, datagram []byte) {
 	m.mu.Lock()
 	held := m.pairs[i][j].held
@@ -225,11 +225,11 @@
 	time.AfterFunc(delay, func() { m.forward(i, j, datagram) })
 }
 
-// forward sends a datagram to router j from the address that this has for router i.
+// forward sends a datagram to router j from the address that router j uses for router i.
 func (m *Mesh) forward(i, j int, datagram []byte) {
 	m.mu.Lock()
 	pair := &m.pairs[i][j]
-	if m.closed || pair.faults.Blocked { // blocked during its delay
+	if m.closed || pair.faults.Blocked { // the pair was blocked during the delay
 		m.mu.Unlock()
 		return
 	}
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -17,18 +17,18 @@
 type StreamFaults struct {
 	Stall          bool          // nothing passes in either direction, without a sign; connections still come up
 	Reset          bool          // open connections are reset, and new ones as soon as they come
-	ResetAfter     int           // bytes after which a connection is reset, of both directions and from now on; 0: never
+	ResetAfter     int           // bytes in both directions, from now on, after which a connection is reset; 0: never
 	Delay          time.Duration // of each chunk
 	BytesPerSecond int           // in each direction; 0: unlimited
 }
 
-// HoldsBack tells whether the faults delay what is forwarded.
-func (f StreamFaults) HoldsBack() bool {
+// DelaysForwarding reports whether the faults delay what is forwarded.
+func (f StreamFaults) DelaysForwarding() bool {
 	return f.Stall || f.Delay > 0 || f.BytesPerSecond > 0
 }
 
-// Any tells whether there are faults.
-func (f StreamFaults) Any() bool { return f != StreamFaults{} }
+// HasFaults reports whether there are faults.
+func (f StreamFaults) HasFaults() bool { return f != StreamFaults{} }
 
 // chunkSize is the largest number of bytes that are forwarded at once.
 const chunkSize = 4 << 10
@@ -101,8 +101,8 @@
 	return p.forwarded, len(p.open)
 }
 
-// Arrivals returns what is known of when a client's bytes came, of the connection that goes on from one address to another;
-// nil: there is none.
+// Arrivals returns the log of when a client's bytes arrived, for the connection whose server side goes from one address to
+// another. It returns nil if there is no such connection.
 func (p *StreamProxy) Arrivals(from, to string) *arrival.Log {
 	if p.target != to { // the same port may lead to several targets
 		return nil
@@ -141,7 +141,7 @@
 		return
 	}
 	server, err := (&net.Dialer{}).DialContext(p.ctx, "tcp", p.target)
-	if err != nil { // nobody listens at the target, so the client finds nobody either
+	if err != nil { // nobody listens at the target, so the client gets a reset
 		c.reset()
 		return
 	}
@@ -149,7 +149,7 @@
 	p.mu.Lock()
 	c.budget = p.faults.ResetAfter
 	p.open[c] = true
-	if p.resetsAll() { // since the check above
+	if p.resetsAll() { // the faults may have changed since the check above
 		c.reset()
 	}
 	p.mu.Unlock()
@@ -180,7 +180,7 @@
 		if err == nil {
 			continue
 		}
-		p.wait(0) // the end of a stream doesn't overtake a stall
+		p.wait(0) // a stall holds back the end of a stream as well
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,6 +1,6 @@
-// Package loopback gives the lab's processes loopback addresses that no other one uses at the same time. An address
-// that was found free and left to a router's process is taken by nobody in between: who asks for any free port of an
-// address asks for one of another use, and other runs of the lab beside this one have another network.
+// Package loopback gives the lab's processes loopback addresses that no other process of the lab uses at the same time. An
+// address that was found free and reserved for a router's process stays free until the process listens there. Callers that
+// ask for any free port get hosts of another use, and other runs of the lab beside this one use another network.
 package loopback
 
 import (
@@ -11,50 +11,51 @@
 	"sync"
 )
 
-// Use is what a router's address is for. Each has hosts of its own.
+// Use is the purpose of a router's address. Each use has hosts of its own.
 type Use byte
 
 // The uses of addresses.
 const (
-	Parties Use = iota // stand-ins, relays: free ports are asked for all the time
+	Parties Use = iota // stand-ins and proxies, which ask for free ports all the time
 	Serve              // the router's own listener for clients
-	Admin              // for operators
-	Peers              // for other routers
-	uses
+	Admin              // the router's listener for operators' calls
+	Peers              // the router's listener for its peers
+	useCount
 )
 
 const (
-	first, last = 16, 239 // the second byte of networks that are ours to take
-	mark        = 47001   // the port whose listener says that a network is taken
-	perUse      = 256 / int(uses)
-	perNet      = 250
+	firstNetwork, lastNetwork = 16, 239 // range of the second byte of the networks that the lab may use
+	lockPort                  = 47001   // a listener on this port marks a network as used
+	subnetsPerUse             = 256 / int(useCount)
+	hostsPerSubnet            = 250
 )
 
-// network is the second byte of this process's addresses. Its mark is held until the process ends.
+// network returns the second byte of this process's addresses. The listener that marks the network is held until the process
+// ends.
 var network = sync.OnceValues(func() (byte, error) {
-	for i := range last - first + 1 {
-		n := first + (os.Getpid()+i)%(last-first+1)
-		if held, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.254:%d", n, mark)); err == nil {
-			marks = append(marks, held)
+	for i := range lastNetwork - firstNetwork + 1 {
+		n := firstNetwork + (os.Getpid()+i)%(lastNetwork-firstNetwork+1)
+		if held, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.254:%d", n, lockPort)); err == nil {
+			lockListeners = append(lockListeners, held)
 			return byte(n), nil
 		}
 	}
 	return 0, errors.New("no loopback network is free: 224 processes of the lab are running, or the system has 127.0.0.1 alone")
 })
 
-// marks keeps the listener from being collected, and so closed.
-var marks []net.Listener
+// lockListeners keeps the listener from being garbage-collected, which would close it.
+var lockListeners []net.Listener
 
-// Host is the address of a router, counted from 0, for one use.
+// Host returns the address of a router for one use. Routers count from 0.
 func Host(use Use, router int) (string, error) {
 	n, err := network()
 	if err != nil {
 		return "", err
 	}
-	if use >= uses || router < 0 || router >= perUse*perNet-perNet {
+	if use >= useCount || router < 0 || router >= subnetsPerUse*hostsPerSubnet-hostsPerSubnet {
 		return "", fmt.Errorf("no loopback address for use %d of router %d", use, router)
 	}
-	return fmt.Sprintf("127.%d.%d.%d", n, int(use)*perUse+router/perNet, 1+router%perNet), nil
+	return fmt.Sprintf("127.%d.%d.%d", n, int(use)*subnetsPerUse+router/hostsPerSubnet, 1+router%hostsPerSubnet), nil
 }
 
 // Listen listens on a free port of a router's address.
@@ -66,22 +67,22 @@
 	return net.Listen("tcp", net.JoinHostPort(host, "0"))
 }
 
-// reserved are the addresses that Leave has given out and Release has not taken back.
+// reserved holds the addresses that Leave has returned and that Release has not freed.
 var reserved struct {
 	sync.Mutex
 	addrs map[string]bool
 }
 
-// mostDraws bounds how often Leave asks the system for another port. A host has thousands, so even one in two of
-// them being reserved would not make it fail.
-const mostDraws = 100
+// maxReserveAttempts is how often Leave asks the system for a port at most. A host has thousands of ports, so this is enough
+// even if one in two is reserved.
+const maxReserveAttempts = 100
 
-// Leave finds a free port of a router's address and leaves it to the router's process. No other call of this process is
-// given the same address until Release, though its port looks free while the router's process is down or starting.
+// Leave finds a free port of a router's address and reserves it for the router's process. No other call in this process
+// returns the same address until Release, although the port looks free while the router's process is down or starting.
 func Leave(use Use, router int) (string, error) {
 	reserved.Lock()
 	defer reserved.Unlock()
-	for range mostDraws {
+	for range maxReserveAttempts {
 		l, err := Listen(use, router)
 		if err != nil {
 			return "", err
@@ -102,7 +103,7 @@
 	return "", fmt.Errorf("no port of router %d is free that has not been left already", router)
 }
 
-// Release takes back an address that Leave has given out, once no process is to listen there any more.
+// Release frees an address that Leave has returned. It must be called when no process will listen there any more.
 func Release(addr string) {
 	reserved.Lock()
 	defer reserved.Unlock()
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Another process of the lab, started beside this one, has a network of its own, and no two uses share a host.
+// Another process of the lab that runs beside this one gets a network of its own, and no two uses share a host.
 func TestHost(t *testing.T) {
 	if os.Getenv("LOOPBACK_CHILD") != "" {
 		host, err := Host(Serve, 0)
@@ -19,7 +19,7 @@
 		return
 	}
 	seen := map[string]bool{}
-	for use := range uses {
+	for use := range useCount {
 		for _, router := range []int{0, 249, 250, 999} {
 			host, err := Host(use, router)
 			if err != nil || seen[host] || !net.ParseIP(host).IsLoopback() {
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	defer Release(addr)
-	for range 200 { // whoever asks for free ports all the time is not given it
+	for range 200 { // callers that ask for many free ports don't get the reserved one
 		l, err := Listen(Parties, 0)
 		if err != nil {
 			t.Fatal(err)
@@ -64,9 +64,9 @@
 	l.Close()
 }
 
-// An address that has been left to a process is left to no other one, however many are asked for, until it is released.
+// Leave returns an address to one caller only until it is released, however many addresses are requested.
 func TestLeaveReserves(t *testing.T) {
-	const addresses = 600 // two of so many random ports of some thousands are the same, if nothing prevents it
+	const addresses = 600 // without a check two of this many random ports out of some thousands would be the same
 	seen := map[string]bool{}
 	for range addresses {
 		addr, err := Leave(Serve, 1)
--- a/internal/lab/scale/agreement.go
+++ b/internal/lab/scale/agreement.go
@@ -8,15 +8,16 @@
 	"hoptiller/internal/fleet/peers"
 )
 
-// Expected is how one router is to be seen by all others.
-type Expected struct {
+// ExpectedMember is the state in which all others must see one router.
+type ExpectedMember struct {
 	State string    // alive, dead, left or unknown
-	Phase string    // of one that is alive
-	Since time.Time // its process has started no earlier; the zero time: whenever
+	Phase string    // checked for a router that is alive
+	Since time.Time // earliest start of its process; the zero time accepts any
 }
 
-// Differs says where a view is not as expected; empty: nowhere. A router that is suspected is still taken to live.
-func Differs(report *peers.Report, want []Expected) string {
+// Difference describes the first difference between a view and the expected one, or returns "" if there is none. A suspected
+// router counts as alive.
+func Difference(report *peers.Report, want []ExpectedMember) string {
 	if len(report.Members) != len(want) {
 		return fmt.Sprintf("the view has %d routers, not %d", len(report.Members), len(want))
 	}
@@ -41,8 +42,8 @@
 	return ""
 }
 
-// same gives the sum that all views have, if they have one.
-func same(sums []uint32) (sum uint32, ok bool) {
+// commonSum returns the checksum of all views. It returns false if there are no views or their checksums differ.
+func commonSum(sums []uint32) (sum uint32, ok bool) {
 	for _, s := range sums {
 		if s != sums[0] {
 			return 0, false
@@ -54,96 +55,96 @@
 	return sums[0], true
 }
 
-// agreement watches for the moment from which all routers that run see the fleet as expected. Hollow routers are asked for the sum
-// of their views all the time, which costs them next to nothing. Processes are asked for their whole views, and only once the
-// hollow ones agree, so that the asking does not become a part of what is measured.
-type agreement struct {
-	hollow  []*hollow
-	process []*process
-	want    []Expected
-	checked uint32   // the last sum of hollow routers that was held against want
-	looked  bool     // one was
-	differs string   // and in what that view differs
-	said    []string // by each process: the sum that its view had when it was last asked
+// agreementWatch waits until all running routers see the fleet as expected. It polls the checksums of hollow routers' views all
+// the time, which costs them next to nothing. It requests complete views of processes only after the hollow routers agree, so
+// that the requests add little to the cost that is measured.
+type agreementWatch struct {
+	hollow       []*hollow
+	processes    []*process
+	expected     []ExpectedMember
+	checkedSum   uint32   // the latest checksum of hollow routers whose view was compared with the expected one
+	hasChecked   bool     // whether any view was compared
+	difference   string   // how the view with checkedSum differs; empty: not at all
+	reportedSums []string // by process: checksum of the latest view that it returned
 }
 
-// Times of the watch.
+// Poll intervals and the time limit of agreementWatch.
 const (
-	lookEvery      = 20 * time.Millisecond
-	lookEveryAlone = 100 * time.Millisecond // where there are processes alone, all of which are asked
-	agreeLimit     = 60 * time.Second
+	checkInterval        = 20 * time.Millisecond
+	processCheckInterval = 100 * time.Millisecond // for fleets without hollow routers, where each check asks all processes
+	agreeTimeout         = 60 * time.Second
 )
 
-// NotAgreedError says that a fleet did not agree in time, and where the last view differed.
+// NotAgreedError reports that a fleet did not agree in time, and how the last view differed.
 type NotAgreedError struct {
-	Within time.Duration
-	Why    string
+	Timeout time.Duration
+	Reason  string
 }
 
 // Error implements error.
 func (e *NotAgreedError) Error() string {
-	return fmt.Sprintf("not agreed within %v: %s", e.Within, e.Why)
+	return fmt.Sprintf("not agreed within %v: %s", e.Timeout, e.Reason)
 }
 
-// wait waits until all agree and tells when they were first seen to.
-func (a *agreement) wait(ctx context.Context) (time.Time, error) {
-	late := time.NewTimer(agreeLimit)
-	defer late.Stop()
-	every := lookEvery
+// wait waits until all routers agree and returns the time of the check that saw it.
+func (a *agreementWatch) wait(ctx context.Context) (time.Time, error) {
+	timeout := time.NewTimer(agreeTimeout)
+	defer timeout.Stop()
+	interval := checkInterval
 	if len(a.hollow) == 0 {
-		every = lookEveryAlone
+		interval = processCheckInterval
 	}
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		at := time.Now()
-		why, err := a.look(ctx)
+		difference, err := a.check(ctx)
 		if err != nil {
 			return time.Time{}, err
 		}
-		if why == "" {
+		if difference == "" {
 			return at, nil
 		}
 		select {
 		case <-ctx.Done():
 			return time.Time{}, ctx.Err()
-		case <-late.C:
-			return time.Time{}, &NotAgreedError{agreeLimit, why}
+		case <-timeout.C:
+			return time.Time{}, &NotAgreedError{agreeTimeout, difference}
 		case <-tick.C:
 		}
 	}
 }
 
-// look tells in what the routers differ now; empty: in nothing.
-func (a *agreement) look(ctx context.Context) (why string, err error) {
-	sum, why := a.lookHollow()
-	if why != "" {
-		return why, nil
+// check describes the first difference of the routers' views from the expected one now, or returns "" if there is none.
+func (a *agreementWatch) check(ctx context.Context) (difference string, err error) {
+	sum, difference := a.checkHollow()
+	if difference != "" {
+		return difference, nil
 	}
-	for i, p := range a.process {
-		if len(a.hollow) > 0 && a.said[i] == hex(sum) {
+	for i, p := range a.processes {
+		if len(a.hollow) > 0 && a.reportedSums[i] == formatSum(sum) {
 			continue
 		}
-		report, err := p.report(ctx)
+		report, err := p.fetchView(ctx)
 		if ctx.Err() != nil {
 			return "", ctx.Err()
 		}
 		if err != nil {
 			return err.Error(), nil
 		}
-		if why := Differs(report, a.want); why != "" {
-			return fmt.Sprintf("as router %d sees it %s", p.number, why), nil
+		if difference := Difference(report, a.expected); difference != "" {
+			return fmt.Sprintf("as router %d sees it %s", p.number, difference), nil
 		}
-		a.said[i] = report.Sum
-		if len(a.hollow) > 0 && report.Sum != hex(sum) || report.Sum != a.said[0] {
-			return fmt.Sprintf("router %d has the sum %s, another one %s", p.number, report.Sum, a.said[0]), nil
+		a.reportedSums[i] = report.Sum
+		if len(a.hollow) > 0 && report.Sum != formatSum(sum) || report.Sum != a.reportedSums[0] {
+			return fmt.Sprintf("router %d has the sum %s, another one %s", p.number, report.Sum, a.reportedSums[0]), nil
 		}
 	}
 	return "", nil
 }
 
-// lookHollow tells the sum of the hollow routers, or in what they differ.
-func (a *agreement) lookHollow() (sum uint32, why string) {
+// checkHollow returns the common checksum of the hollow routers, or a description of how their views differ.
+func (a *agreementWatch) checkHollow() (sum uint32, difference string) {
 	if len(a.hollow) == 0 {
 		return 0, ""
 	}
@@ -151,15 +152,15 @@
 	for i, h := range a.hollow {
 		sums[i] = h.sum()
 	}
-	sum, ok := same(sums)
+	sum, ok := commonSum(sums)
 	if !ok {
 		return 0, "the sums of the hollow routers' views differ"
 	}
-	if sum != a.checked || !a.looked {
-		a.checked, a.looked = sum, true
-		a.differs = Differs(a.hollow[0].life.peers.Report(), a.want)
+	if sum != a.checkedSum || !a.hasChecked {
+		a.checkedSum, a.hasChecked = sum, true
+		a.difference = Difference(a.hollow[0].current.peers.Report(), a.expected)
 	}
-	return sum, a.differs
+	return sum, a.difference
 }
 
-func hex(sum uint32) string { return fmt.Sprintf("%08x", sum) }
+func formatSum(sum uint32) string { return fmt.Sprintf("%08x", sum) }
--- a/internal/lab/scale/bounds.go
+++ b/internal/lab/scale/bounds.go
@@ -9,33 +9,34 @@
 	"time"
 )
 
-// Bounds of a run. One that would break them is refused before it starts.
+// Bounds of a run. Check refuses a run that would exceed them.
 const (
-	MostProcesses = 300
-	MostTime      = 10 * time.Minute
-	memoryPart    = 0.5 // of the machine's memory
+	MaxProcesses   = 300
+	MaxDuration    = 10 * time.Minute
+	memoryFraction = 0.5 // fraction of the machine's memory that a run may use
 )
 
-// What a run takes, for the estimate before it starts. Memory was measured by runs of 50 to 1,000 routers and rounded up.
+// What a run needs, for the estimate before it starts. The memory figures come from runs of 50 to 1,000 routers and are
+// rounded up.
 const (
-	ownMemory        = 120 << 20 // of this process, without any router
-	hollowMemory     = 400 << 10 // of a hollow router in a fleet of a few
-	hollowPerRouter  = 700       // and of each router that it knows
-	realMemory       = 40 << 20  // of a process of the program in a fleet of a few
-	realPerRouter    = 16 << 10  // and of each router that it knows
-	hollowSockets    = 3         // its own, and both ends of its connection to discovery
-	ownSockets       = 100
-	startTime        = 20 * time.Second // until all have agreed for the first time
-	perHundredRouter = time.Second      // that all agreements take longer for each hundred routers
+	baseMemory             = 120 << 20 // bytes of this process without any router
+	hollowMemory           = 400 << 10 // bytes of a hollow router in a fleet of a few routers
+	hollowMemoryPerPeer    = 700       // bytes more of a hollow router for each router that it knows
+	realMemory             = 40 << 20  // bytes of a process of the program in a fleet of a few routers
+	realMemoryPerPeer      = 16 << 10  // bytes more of a process for each router that it knows
+	socketsPerHollow       = 3         // its UDP socket, and both ends of its connection to discovery
+	baseSockets            = 100
+	startDuration          = 20 * time.Second // until all routers agree for the first time
+	agreeTimePer100Routers = time.Second      // by which each agreement takes longer for each hundred routers
 )
 
-// Machine is what a run can take of the machine.
+// Machine describes the resources that a run can use.
 type Machine struct {
 	Memory  int64 // bytes
-	Sockets int64 // descriptors that this process may have
+	Sockets int64 // file descriptors that this process may open
 }
 
-// ThisMachine reads the memory and the limit of descriptors of this machine.
+// ThisMachine returns the memory of this machine and this process's limit of file descriptors.
 func ThisMachine() (Machine, error) {
 	memory, err := totalMemory()
 	if err != nil {
@@ -48,7 +49,7 @@
 	return Machine{Memory: memory, Sockets: int64(min(limit.Cur, 1<<30))}, nil
 }
 
-// totalMemory is the memory of the machine in bytes.
+// totalMemory returns the memory of the machine in bytes.
 func totalMemory() (int64, error) {
 	file, err := os.Open("/proc/meminfo")
 	if err != nil {
@@ -68,54 +69,55 @@
 	return 0, fmt.Errorf("/proc/meminfo has no MemTotal")
 }
 
-// BoundError says that a run would break a bound, with the figure.
+// BoundError reports that a run would exceed a bound, with the estimate and the bound.
 type BoundError struct {
-	Run  Run
-	What string
+	Run    Run
+	Reason string
 }
 
 // Error implements error.
 func (e *BoundError) Error() string {
-	return fmt.Sprintf("%d routers, %d of them real: %s", e.Run.Size, e.Run.Real, e.What)
+	return fmt.Sprintf("%d routers, %d of them real: %s", e.Run.Size, e.Run.Real, e.Reason)
 }
 
-// Check refuses a run that would break a bound on a machine. The error is a *BoundError.
+// Check returns a *BoundError if the run would exceed a bound on the machine.
 func (r Run) Check(m Machine) error {
 	refuse := func(format string, args ...any) error { return &BoundError{r, fmt.Sprintf(format, args...)} }
-	if r.Real > MostProcesses {
-		return refuse("%d processes, and %d may run", r.Real, MostProcesses)
+	if r.Real > MaxProcesses {
+		return refuse("%d processes, and %d may run", r.Real, MaxProcesses)
 	}
-	if memory, most := r.memory(), int64(memoryPart*float64(m.Memory)); memory >= most {
-		return refuse("about %d MB of memory, and less than %d MB may be taken: half of the machine's", memory>>20, most>>20)
+	if memory, limit := r.estimateMemory(), int64(memoryFraction*float64(m.Memory)); memory >= limit {
+		return refuse("about %d MB of memory, and less than %d MB may be taken: half of the machine's", memory>>20, limit>>20)
 	}
-	if sockets := r.sockets(); sockets > m.Sockets {
+	if sockets := r.estimateSockets(); sockets > m.Sockets {
 		return refuse("about %d descriptors, and this process may have %d", sockets, m.Sockets)
 	}
-	if took := r.duration(); took > MostTime {
-		return refuse("about %v, and a run may take %v", took.Round(time.Second), MostTime)
+	if duration := r.estimateDuration(); duration > MaxDuration {
+		return refuse("about %v, and a run may take %v", duration.Round(time.Second), MaxDuration)
 	}
 	return nil
 }
 
-func (r Run) hollow() int64 { return int64(r.Size - r.Real) }
+func (r Run) hollowCount() int64 { return int64(r.Size - r.Real) }
 
-// memory is about what a run takes of it, in bytes.
-func (r Run) memory() int64 {
+// estimateMemory estimates the memory that a run needs, in bytes.
+func (r Run) estimateMemory() int64 {
 	size := int64(r.Size)
-	return ownMemory + r.hollow()*(hollowMemory+size*hollowPerRouter) + int64(r.Real)*(realMemory+size*realPerRouter)
+	return baseMemory + r.hollowCount()*(hollowMemory+size*hollowMemoryPerPeer) + int64(r.Real)*(realMemory+size*realMemoryPerPeer)
 }
 
-// sockets is about how many descriptors this process needs: those of hollow routers, and a relay for each pair of real ones.
-func (r Run) sockets() int64 {
-	return ownSockets + int64(r.File.Caches) + r.hollow()*hollowSockets + int64(r.Real)*int64(r.Real)
+// estimateSockets estimates the file descriptors that this process needs: those of hollow routers, and a proxy for each pair
+// of router processes.
+func (r Run) estimateSockets() int64 {
+	return baseSockets + int64(r.File.Caches) + r.hollowCount()*socketsPerHollow + int64(r.Real)*int64(r.Real)
 }
 
-// duration is about how long a run takes.
-func (r Run) duration() time.Duration {
-	slower := time.Duration(r.Size) * perHundredRouter / 100
-	took := startTime + slower + r.File.Settle.D() + r.File.Calm.D()
-	for _, name := range r.File.Troubles {
-		took += time.Duration(r.File.Repeat) * (troubleNamed(name).takes(r.File) + slower)
+// estimateDuration estimates how long a run takes.
+func (r Run) estimateDuration() time.Duration {
+	agreeTime := time.Duration(r.Size) * agreeTimePer100Routers / 100
+	total := startDuration + agreeTime + r.File.Settle.D() + r.File.Calm.D()
+	for _, name := range r.File.Faults {
+		total += time.Duration(r.File.Repetitions) * (faultNamed(name).duration(r.File) + agreeTime)
 	}
-	return took
+	return total
 }
--- a/internal/lab/scale/calibrate.go
+++ b/internal/lab/scale/calibrate.go
@@ -10,35 +10,35 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// CalibrationMargin is by how much a mostly hollow fleet may differ from one of processes alone.
+// CalibrationMargin is the fraction by which a mostly hollow fleet may differ from a fleet of processes alone.
 const CalibrationMargin = 0.1
 
-// Calibration is a figure of fleets of one size, once of processes alone and once mostly hollow.
+// Calibration compares a figure of two kinds of fleets of one size: processes alone, and mostly hollow routers.
 type Calibration struct {
-	Size            int
-	Phase, Name     string
-	AllReal, Hollow float64 // means over the times that the phase was played
-	Plays           int     // in the fewer of the two
-	Half            float64 // of the 95% interval of Difference by Welch's t; infinite for single plays
+	Size                    int
+	Phase, Name             string
+	ProcessMean, HollowMean float64 // means over all repetitions of the phase
+	Repetitions             int     // of the phase, for the kind of fleet with fewer of them
+	HalfInterval            float64 // half of the 95% interval of Difference by Welch's t; infinite for single repetitions
 }
 
-// Difference is that of the mostly hollow fleets, as a part of the other value.
-func (c *Calibration) Difference() float64 { return c.Hollow/c.AllReal - 1 }
+// Difference returns the relative difference of the mostly hollow fleets from the fleets of processes.
+func (c *Calibration) Difference() float64 { return c.HollowMean/c.ProcessMean - 1 }
 
-// Within tells whether both are the same within the margin.
-func (c *Calibration) Within() bool { return math.Abs(c.Difference()) <= CalibrationMargin }
+// WithinMargin reports whether the difference is within CalibrationMargin.
+func (c *Calibration) WithinMargin() bool { return math.Abs(c.Difference()) <= CalibrationMargin }
 
-// Chance tells whether a difference beyond the margin can be chance: its interval reaches into the margin.
-func (c *Calibration) Chance() bool {
-	return !math.IsInf(c.Half, 0) && math.Abs(c.Difference())-c.Half <= CalibrationMargin
+// Inconclusive reports whether a difference beyond the margin may be chance: its interval reaches into the margin.
+func (c *Calibration) Inconclusive() bool {
+	return !math.IsInf(c.HalfInterval, 0) && math.Abs(c.Difference())-c.HalfInterval <= CalibrationMargin
 }
 
-// calibrated are the figures by which hollow routers are held against real ones.
-var calibrated = []string{FigureSent, FigureReceived, FigureAgreed, FigureProcessor}
+// calibratedFigures lists the figures in which hollow routers are compared with processes.
+var calibratedFigures = []string{FigureSent, FigureReceived, FigureAgreementTime, FigureProcessor}
 
-// Calibrate compares the runs of processes alone with the others, for each size that has both.
+// Calibrate compares the runs of processes alone with the mostly hollow ones, for each size that has both.
 func Calibrate(records []*Record) (all []Calibration) {
-	for _, size := range sizes(records) {
+	for _, size := range distinctSizes(records) {
 		var real, hollow []*Record
 		for _, r := range records {
 			switch {
@@ -49,9 +49,9 @@
 				hollow = append(hollow, r)
 			}
 		}
-		for _, phase := range phases(slices.Concat(real, hollow)) {
-			for _, name := range calibrated {
-				a, b := plays(real, phase, name), plays(hollow, phase, name)
+		for _, phase := range distinctPhases(slices.Concat(real, hollow)) {
+			for _, name := range calibratedFigures {
+				a, b := figureValues(real, phase, name), figureValues(hollow, phase, name)
 				if len(a) > 0 && len(b) > 0 {
 					all = append(all, newCalibration(size, phase, name, a, b))
 				}
@@ -62,24 +62,24 @@
 }
 
 func newCalibration(size int, phase, name string, real, hollow []float64) Calibration {
-	c := Calibration{Size: size, Phase: phase, Name: name, AllReal: stat.Mean(real, nil), Hollow: stat.Mean(hollow, nil),
-		Plays: min(len(real), len(hollow)), Half: math.Inf(1)}
-	if c.Plays < 2 {
+	c := Calibration{Size: size, Phase: phase, Name: name, ProcessMean: stat.Mean(real, nil), HollowMean: stat.Mean(hollow, nil),
+		Repetitions: min(len(real), len(hollow)), HalfInterval: math.Inf(1)}
+	if c.Repetitions < 2 {
 		return c
 	}
 	a, b := stat.Variance(real, nil)/float64(len(real)), stat.Variance(hollow, nil)/float64(len(hollow))
 	if a+b == 0 {
-		c.Half = 0
+		c.HalfInterval = 0
 		return c
 	}
-	freedom := (a + b) * (a + b) / (a*a/float64(len(real)-1) + b*b/float64(len(hollow)-1))
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile(0.975)
-	c.Half = t * math.Sqrt(a+b) / c.AllReal
+	degreesOfFreedom := (a + b) * (a + b) / (a*a/float64(len(real)-1) + b*b/float64(len(hollow)-1))
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile(0.975)
+	c.HalfInterval = t * math.Sqrt(a+b) / c.ProcessMean
 	return c
 }
 
-// plays are the values of a figure, one for each time that its phase was played.
-func plays(records []*Record, phase, name string) (values []float64) {
+// figureValues returns the values of a figure, one for each repetition of its phase.
+func figureValues(records []*Record, phase, name string) (values []float64) {
 	for _, r := range records {
 		for _, f := range r.Figures {
 			if f.Phase == phase && f.Name == name {
@@ -90,20 +90,21 @@
 	return values
 }
 
-// WriteCalibration writes the comparison as a Markdown table.
+// WriteCalibration writes the comparisons as a Markdown table.
 func WriteCalibration(w io.Writer, all []Calibration) {
 	fmt.Fprintln(w, "| routers | phase | figure | plays of each | all real | mostly hollow | difference, 95% | within 10% |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, c := range all {
 		verdict := "yes"
 		switch {
-		case c.Within():
-		case c.Chance():
+		case c.WithinMargin():
+		case c.Inconclusive():
 			verdict = "unsure"
 		default:
 			verdict = "NO"
 		}
-		fmt.Fprintf(w, "| %d | %s | %s | %d | %s | %s | %+.1f%% ± %s | %s |\n", c.Size, c.Phase, c.Name, c.Plays, short(c.AllReal), short(c.Hollow),
-			100*c.Difference(), interval(100*c.Half), verdict)
+		fmt.Fprintf(w, "| %d | %s | %s | %d | %s | %s | %+.1f%% ± %s | %s |\n", c.Size, c.Phase, c.Name, c.Repetitions,
+			formatValue(c.ProcessMean), formatValue(c.HollowMean),
+			100*c.Difference(), formatHalfInterval(100*c.HalfInterval), verdict)
 	}
 }
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	heartbeatEvery = 2 * time.Second // between two lines of a watch
-	discoveryHost  = 0               // the number whose loopback addresses the stand-ins of discovery and caches have
+	heartbeatInterval = 2 * time.Second // between two lines on an open watch
+	standinHost       = 0               // the router number whose loopback addresses the stand-ins for discovery and caches use
 )
 
-// discoveryServer is a stand-in for the discovery service: it has one list, tells it to whoever asks and keeps watches open.
+// discoveryServer is a stand-in for the discovery service. It answers every request with the same list and keeps watches open.
 type discoveryServer struct {
-	addr    string
-	server  *http.Server
-	text    []byte // the list as a line of JSON
-	calls   atomic.Int64
-	watches atomic.Int64 // that are open
-	bytes   atomic.Int64 // of answers
+	addr        string
+	server      *http.Server
+	list        []byte // the server list as a line of JSON
+	calls       atomic.Int64
+	openWatches atomic.Int64 // open watch connections
+	sentBytes   atomic.Int64 // total bytes of answers
 }
 
-// entry is one server in the platform's form.
-type entry struct {
+// serverEntry is one server in the platform's format.
+type serverEntry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
@@ -38,24 +38,24 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// listing is the list in the platform's form.
-type listing struct {
-	Version int     `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []entry `json:"servers"`
+// serverList is the list of servers in the platform's format.
+type serverList struct {
+	Version int           `json:"version"`
+	Full    bool          `json:"full"`
+	Servers []serverEntry `json:"servers"`
 }
 
-// startDiscovery serves a list until close is called.
-func startDiscovery(servers []entry) (*discoveryServer, error) {
-	text, err := json.Marshal(listing{Version: 1, Full: true, Servers: servers})
+// startDiscovery starts a server that serves the list until close is called.
+func startDiscovery(servers []serverEntry) (*discoveryServer, error) {
+	text, err := json.Marshal(serverList{Version: 1, Full: true, Servers: servers})
 	if err != nil {
 		return nil, err
 	}
-	listener, err := loopback.Listen(loopback.Parties, discoveryHost)
+	listener, err := loopback.Listen(loopback.Parties, standinHost)
 	if err != nil {
 		return nil, err
 	}
-	d := &discoveryServer{addr: listener.Addr().String(), text: append(text, '\n')}
+	d := &discoveryServer{addr: listener.Addr().String(), list: append(text, '\n')}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", d.serve)
 	d.server = &http.Server{Handler: mux}
@@ -65,15 +65,15 @@
 
 func (d *discoveryServer) close() { d.server.Close() }
 
-// serve tells the list, and keeps the connection open where a watch is asked for.
+// serve sends the list. If the request asks for a watch it keeps the connection open with a heartbeat.
 func (d *discoveryServer) serve(w http.ResponseWriter, r *http.Request) {
 	d.calls.Add(1)
-	if d.write(w, d.text) != nil || r.URL.Query().Get("watch") != "1" {
+	if d.write(w, d.list) != nil || r.URL.Query().Get("watch") != "1" {
 		return
 	}
-	d.watches.Add(1)
-	defer d.watches.Add(-1)
-	tick := time.NewTicker(heartbeatEvery)
+	d.openWatches.Add(1)
+	defer d.openWatches.Add(-1)
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -89,33 +89,33 @@
 
 func (d *discoveryServer) write(w http.ResponseWriter, text []byte) error {
 	n, err := w.Write(text)
-	d.bytes.Add(int64(n))
+	d.sentBytes.Add(int64(n))
 	if err != nil {
 		return err
 	}
 	return http.NewResponseController(w).Flush()
 }
 
-// caches are the addresses of cache servers and of the origin. They accept connections and answer nothing.
-type caches struct{ listeners []net.Listener }
+// cacheListeners are the listeners of cache servers and of the origin. They accept connections and answer nothing.
+type cacheListeners struct{ listeners []net.Listener }
 
-// listenCaches opens an address for each cache server and lists them, with an origin at the end.
-func listenCaches(count, zones int, kinds []string, originKind string) (*caches, []entry, error) {
-	c := &caches{}
-	var servers []entry
+// listenCaches opens a listener for each cache server and for an origin, and returns their list with the origin at the end.
+func listenCaches(count, zones int, kinds []string, originKind string) (*cacheListeners, []serverEntry, error) {
+	c := &cacheListeners{}
+	var servers []serverEntry
 	for i := range count + 1 {
-		listener, err := loopback.Listen(loopback.Parties, discoveryHost)
+		listener, err := loopback.Listen(loopback.Parties, standinHost)
 		if err != nil {
 			c.close()
 			return nil, nil, err
 		}
 		c.listeners = append(c.listeners, listener)
-		go accept(listener)
+		go holdConnections(listener)
 		kind := kinds[i%len(kinds)]
 		if i == count {
 			kind = originKind
 		}
-		servers = append(servers, entry{ID: fmt.Sprintf("s-%08x", i+1), Addr: listener.Addr().String(), Zone: zoneName(i % zones),
+		servers = append(servers, serverEntry{ID: fmt.Sprintf("s-%08x", i+1), Addr: listener.Addr().String(), Zone: zoneName(i % zones),
 			Kind: kind, State: "active", Weight: 1})
 	}
 	return c, servers, nil
@@ -123,8 +123,8 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("z%d", zone) }
 
-// accept keeps the connections of a listener open until it is closed.
-func accept(listener net.Listener) {
+// holdConnections accepts connections and keeps them open until the listener is closed.
+func holdConnections(listener net.Listener) {
 	var open []net.Conn
 	for {
 		c, err := listener.Accept()
@@ -138,7 +138,7 @@
 	}
 }
 
-func (c *caches) close() {
+func (c *cacheListeners) close() {
 	for _, listener := range c.listeners {
 		listener.Close()
 	}
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -13,44 +13,44 @@
 	"hoptiller/internal/unit"
 )
 
-// Limits of a file's figures.
+// Limits of a scenario's settings.
 const (
-	leastSize    = 4
-	mostSize     = 1000
-	mostReal     = 60
-	mostCaches   = 1000
-	mostZones    = 100
-	mostRegions  = 15
-	mostSeeds    = 20
-	mostRepeat   = 10
-	mostCalm     = 5 * time.Minute
-	mostSettle   = time.Minute
-	mostCut      = 5 * time.Minute
-	leastCalm    = time.Second
-	electionWait = 10 * time.Second // an elector grants nothing for so long after its start
+	minSize         = 4
+	maxSize         = 1000
+	maxReal         = 60
+	maxCaches       = 1000
+	maxZones        = 100
+	maxRegions      = 15
+	maxSeeds        = 20
+	maxRepetitions  = 10
+	maxCalm         = 5 * time.Minute
+	maxSettle       = time.Minute
+	maxCut          = 5 * time.Minute
+	minCalm         = time.Second
+	voterStartDelay = 10 * time.Second // time after its start in which a voter grants no permit
 )
 
-// File is a scenario: the sizes of fleets that are run one after the other, and what happens to each.
+// File is a scenario: the sizes of the fleets that are run one after the other, and the faults of each.
 type File struct {
-	Title     string        `toml:"title"`
-	Sizes     []int         `toml:"sizes"`
-	Seeds     int           `toml:"seeds"`     // runs of each size
-	Real      int           `toml:"real"`      // processes of the program in each fleet, no more than its size
-	Caches    int           `toml:"caches"`    // cache servers that discovery lists
-	Zones     int           `toml:"zones"`     // routers are spread over them by number
-	Regions   int           `toml:"regions"`   // the same
-	Settle    unit.Duration `toml:"settle"`    // between the first agreement and what is measured
-	Calm      unit.Duration `toml:"calm"`      // measured before the first trouble
-	Cut       unit.Duration `toml:"cut"`       // for which regions are cut from one another
-	Loss      float64       `toml:"loss"`      // part of the datagrams lost in the trouble of that name
-	Repeat    int           `toml:"repeat"`    // times that each trouble is played
-	Troubles  []string      `toml:"troubles"`  // in their order
-	Calibrate bool          `toml:"calibrate"` // each run is repeated with real processes alone, and both are compared
+	Title       string        `toml:"title"`
+	Sizes       []int         `toml:"sizes"`
+	Seeds       int           `toml:"seeds"`     // runs of each size
+	Real        int           `toml:"real"`      // processes of the router's program in each fleet, at most its size
+	Caches      int           `toml:"caches"`    // cache servers that discovery lists
+	Zones       int           `toml:"zones"`     // routers are assigned to zones by number, round robin
+	Regions     int           `toml:"regions"`   // routers are assigned to regions in the same manner
+	Settle      unit.Duration `toml:"settle"`    // time between the first agreement and the first measurement
+	Calm        unit.Duration `toml:"calm"`      // time of the measurement before the first fault
+	Cut         unit.Duration `toml:"cut"`       // time for which regions are cut off from one another
+	Loss        float64       `toml:"loss"`      // fraction of the datagrams that is lost during the fault "loss"
+	Repetitions int           `toml:"repeat"`    // number of times that each fault is played
+	Faults      []string      `toml:"troubles"`  // names of the faults in the order in which they are played
+	Calibrate   bool          `toml:"calibrate"` // each run is repeated with processes alone, and both are compared
 
-	Name string `toml:"-"` // of the file, without its ending
+	Name string `toml:"-"` // base name of the file, without its extension
 }
 
-// Load reads a scenario from a file.
+// Load reads and checks the scenario file at path.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -59,90 +59,92 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of a scenario; path is for its messages, which name line and figure.
+// Parse reads and checks the text of a scenario. Its errors name path, the line and the setting.
 func Parse(path string, text []byte) (*File, error) {
-	f := &File{Seeds: 1, Real: 8, Caches: 110, Zones: 15, Regions: 4, Settle: unit.Duration(electionWait), Calm: unit.Duration(15 * time.Second),
-		Cut: unit.Duration(20 * time.Second), Loss: 0.1, Repeat: 1}
+	f := &File{Seeds: 1, Real: 8, Caches: 110, Zones: 15, Regions: 4, Settle: unit.Duration(voterStartDelay),
+		Calm: unit.Duration(15 * time.Second),
+		Cut:  unit.Duration(20 * time.Second), Loss: 0.1, Repetitions: 1}
 	if err := experiment.Strict(path, text, f); err != nil {
 		return nil, err
 	}
 	f.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-	if figure, why := f.wrong(); why != "" {
-		return nil, experiment.Fault(path, text, figure, why)
+	if setting, reason := f.validate(); reason != "" {
+		return nil, experiment.Fault(path, text, setting, reason)
 	}
 	return f, nil
 }
 
-// Check tells what is impossible in a scenario.
+// Check returns an error for the first invalid setting of a scenario.
 func (f *File) Check() error {
-	if _, why := f.wrong(); why != "" {
-		return errors.New(why)
+	if _, reason := f.validate(); reason != "" {
+		return errors.New(reason)
 	}
 	return nil
 }
 
-// wrong names the first figure that is impossible and says why; an empty reason means that all are possible.
-func (f *File) wrong() (figure, why string) {
+// validate returns the name of the first invalid setting and the reason. An empty reason means that the scenario is valid.
+func (f *File) validate() (setting, reason string) {
 	if len(f.Sizes) == 0 {
 		return "sizes", "sizes is empty: at least one is needed"
 	}
 	for _, n := range f.Sizes {
-		if n < leastSize || n > mostSize {
-			return "sizes", fmt.Sprintf("sizes has %d: %d to %d is possible", n, leastSize, mostSize)
+		if n < minSize || n > maxSize {
+			return "sizes", fmt.Sprintf("sizes has %d: %d to %d is possible", n, minSize, maxSize)
 		}
 	}
 	for _, b := range []struct {
-		name        string
-		value       float64
-		least, most float64
+		name             string
+		value            float64
+		minimum, maximum float64
 	}{
-		{"seeds", float64(f.Seeds), 1, mostSeeds},
-		{"real", float64(f.Real), 1, mostReal},
-		{"caches", float64(f.Caches), 1, mostCaches},
-		{"zones", float64(f.Zones), 1, mostZones},
-		{"regions", float64(f.Regions), 2, mostRegions},
+		{"seeds", float64(f.Seeds), 1, maxSeeds},
+		{"real", float64(f.Real), 1, maxReal},
+		{"caches", float64(f.Caches), 1, maxCaches},
+		{"zones", float64(f.Zones), 1, maxZones},
+		{"regions", float64(f.Regions), 2, maxRegions},
 		{"loss", f.Loss, 0, 0.5},
-		{"repeat", float64(f.Repeat), 1, mostRepeat},
+		{"repeat", float64(f.Repetitions), 1, maxRepetitions},
 	} {
-		if !(b.value >= b.least && b.value <= b.most) {
-			return b.name, fmt.Sprintf("%s is %g: %g to %g is possible", b.name, b.value, b.least, b.most)
+		if !(b.value >= b.minimum && b.value <= b.maximum) {
+			return b.name, fmt.Sprintf("%s is %g: %g to %g is possible", b.name, b.value, b.minimum, b.maximum)
 		}
 	}
-	if f.Settle.D() > mostSettle {
-		return "settle", fmt.Sprintf("settle is %v: up to %v is possible", f.Settle, mostSettle)
+	if f.Settle.D() > maxSettle {
+		return "settle", fmt.Sprintf("settle is %v: up to %v is possible", f.Settle, maxSettle)
 	}
-	if slices.Contains(f.Troubles, troubleDrain) && f.Settle.D() < electionWait {
-		return "settle", fmt.Sprintf("settle is %v: electors grant no drain for %v after their start", f.Settle, electionWait)
+	if slices.Contains(f.Faults, faultDrain) && f.Settle.D() < voterStartDelay {
+		return "settle", fmt.Sprintf("settle is %v: voters grant no drain for %v after their start", f.Settle, voterStartDelay)
 	}
-	if f.Calm.D() < leastCalm || f.Calm.D() > mostCalm {
-		return "calm", fmt.Sprintf("calm is %v: %v to %v is possible", f.Calm, leastCalm, mostCalm)
+	if f.Calm.D() < minCalm || f.Calm.D() > maxCalm {
+		return "calm", fmt.Sprintf("calm is %v: %v to %v is possible", f.Calm, minCalm, maxCalm)
 	}
-	if f.Cut.D() < leastCalm || f.Cut.D() > mostCut {
-		return "cut", fmt.Sprintf("cut is %v: %v to %v is possible", f.Cut, leastCalm, mostCut)
+	if f.Cut.D() < minCalm || f.Cut.D() > maxCut {
+		return "cut", fmt.Sprintf("cut is %v: %v to %v is possible", f.Cut, minCalm, maxCut)
 	}
 	if i := slices.IndexFunc(f.Sizes, func(n int) bool { return n < f.Real }); i >= 0 {
 		return "real", fmt.Sprintf("real is %d, and a fleet of %d is to be run", f.Real, f.Sizes[i])
 	}
-	for i, name := range f.Troubles {
-		if troubleNamed(name) == nil {
-			return "troubles", fmt.Sprintf("troubles has %q: one of %s is meant", name, strings.Join(TroubleNames(), ", "))
+	for i, name := range f.Faults {
+		if faultNamed(name) == nil {
+			return "troubles", fmt.Sprintf("troubles has %q: must be one of %s", name, strings.Join(FaultNames(), ", "))
 		}
-		if slices.Contains(f.Troubles[:i], name) {
+		if slices.Contains(f.Faults[:i], name) {
 			return "troubles", fmt.Sprintf("troubles has %q twice", name)
 		}
 	}
 	return "", ""
 }
 
-// Run is one fleet that is run.
+// Run is one run of a scenario with one fleet size and one seed.
 type Run struct {
 	File *File
 	Size int
-	Real int // processes of the program; the others are hollow
+	Real int // processes of the router's program; the other routers are hollow
 	Seed uint64
 }
 
-// Runs are all runs of a scenario in their order: seed by seed, so that an interrupted scenario has each size once first.
+// Runs returns all runs of a scenario in their order. They go seed by seed, so that an interrupted scenario has run as many
+// sizes as possible.
 func (f *File) Runs() (all []Run) {
 	for seed := range f.Seeds {
 		for _, size := range f.Sizes {
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -22,37 +22,37 @@
 	"hoptiller/internal/unit"
 )
 
-// router is one of the fleet, hollow or a process.
+// router is one router of the fleet, either hollow or a process.
 type router interface {
 	start(ctx context.Context) error
-	crash() error // ends it, and nobody is told
-	leave() error // has it end, and waits for that
+	crash() error // ends the router without any message to the others
+	leave() error // asks the router to end, as SIGTERM does, and waits until it has
 	drain(on bool) error
-	runs() bool
-	end()
+	isRunning() bool
+	stop()
 }
 
-// fleet is all that a run has started.
+// fleet holds everything that a run has started.
 type fleet struct {
 	run       Run
 	folder    string
 	routers   []router // by number
 	hollow    []*hollow
-	processes []*process // in the order in which the mesh has them
+	processes []*process // in the order of their numbers in the mesh
 	network   *network
 	mesh      *faultproxy.Mesh
 	discovery *discoveryServer
-	caches    *caches
-	want      []Expected // how each router is to be seen, by number
+	caches    *cacheListeners
+	expected  []ExpectedMember // by router number: the state in which the others must see it
 }
 
-// phaseServing and phaseDraining are as a view's report has them.
+// phaseServing and phaseDraining are phases of a router as the report of a view names them.
 const (
 	phaseServing  = "serving"
 	phaseDraining = "draining"
 )
 
-// dayOf is the lab's usual day at the size of a run. It gives the settings that routers are told.
+// day returns the lab's usual day at the size of a run. The settings of the routers derive from it.
 func (r Run) day() model.Day {
 	day := model.Prairie()
 	day.Routers, day.Zones, day.Fleet.Caches, day.Seed = r.Size, r.File.Zones, r.File.Caches, r.Seed
@@ -60,14 +60,15 @@
 	return day
 }
 
-// numberOf is the number of the k-th process: they are spread over the fleet, and so over electors, zones and regions.
-func (r Run) numberOf(k int) int { return k * r.Size / r.Real }
+// processNumber returns the router number of the k-th process. Processes are spread over the fleet, and with that over voters,
+// zones and regions.
+func (r Run) processNumber(k int) int { return k * r.Size / r.Real }
 
-// newFleet prepares a fleet. Nothing of it runs yet but the stand-ins.
+// newFleet prepares a fleet. It starts the stand-ins but no router yet.
 func newFleet(run Run, program string) (*fleet, error) {
-	f := &fleet{run: run, routers: make([]router, run.Size), want: make([]Expected, run.Size)}
-	for i := range f.want {
-		f.want[i] = Expected{State: "unknown"}
+	f := &fleet{run: run, routers: make([]router, run.Size), expected: make([]ExpectedMember, run.Size)}
+	for i := range f.expected {
+		f.expected[i] = ExpectedMember{State: "unknown"}
 	}
 	if err := f.prepare(program); err != nil {
 		f.close()
@@ -82,7 +83,7 @@
 	for _, k := range day.Kinds {
 		kinds = append(kinds, k.Name)
 	}
-	var servers []entry
+	var servers []serverEntry
 	var err error
 	if f.caches, servers, err = listenCaches(f.run.File.Caches, f.run.File.Zones, kinds, "origin"); err != nil {
 		return err
@@ -96,30 +97,30 @@
 	if f.mesh, err = faultproxy.NewMesh(f.run.Real, f.run.Seed); err != nil {
 		return err
 	}
-	homes, real, err := f.homes()
+	peerAddrs, real, err := f.peerAddrs()
 	if err != nil {
 		return err
 	}
-	f.network = newNetwork(f.run.File.Regions, homes, real)
-	addrs := make([]string, len(homes))
-	for i, home := range homes {
-		addrs[i] = home.String()
+	f.network = newNetwork(f.run.File.Regions, peerAddrs, real)
+	addrs := make([]string, len(peerAddrs))
+	for i, addr := range peerAddrs {
+		addrs[i] = addr.String()
 	}
-	return f.makeRouters(&day, program, addrs, real)
+	return f.createRouters(&day, program, addrs, real)
 }
 
-// homes are the addresses where routers listen for their peers, and which of the routers are processes.
-func (f *fleet) homes() (homes []netip.AddrPort, real []bool, err error) {
-	homes, real = make([]netip.AddrPort, f.run.Size), make([]bool, f.run.Size)
+// peerAddrs returns the addresses at which routers listen for their peers, and which of the routers are processes.
+func (f *fleet) peerAddrs() (addrs []netip.AddrPort, real []bool, err error) {
+	addrs, real = make([]netip.AddrPort, f.run.Size), make([]bool, f.run.Size)
 	for k := range f.run.Real {
-		number := f.run.numberOf(k)
+		number := f.run.processNumber(k)
 		real[number] = true
-		if homes[number], err = netip.ParseAddrPort(f.mesh.RouterAddr(k)); err != nil {
+		if addrs[number], err = netip.ParseAddrPort(f.mesh.RouterAddr(k)); err != nil {
 			return nil, nil, err
 		}
 	}
-	next := f.run.Real // the hosts before it are the mesh's
-	for number := range homes {
+	next := f.run.Real // the mesh uses the hosts with lower numbers
+	for number := range addrs {
 		if real[number] {
 			continue
 		}
@@ -128,19 +129,19 @@
 			return nil, nil, err
 		}
 		next++
-		if homes[number], err = netip.ParseAddrPort(text); err != nil {
+		if addrs[number], err = netip.ParseAddrPort(text); err != nil {
 			return nil, nil, err
 		}
 	}
-	return homes, real, nil
+	return addrs, real, nil
 }
 
-// makeRouters makes all routers, each with the configuration that the platform would give it.
-func (f *fleet) makeRouters(day *model.Day, program string, homes []string, real []bool) error {
+// createRouters creates all routers, each with the configuration that the platform would give it.
+func (f *fleet) createRouters(day *model.Day, program string, peerAddrs []string, real []bool) error {
 	process := 0
 	for number := range f.routers {
 		c := platformConfig{Discovery: f.discovery.addr, Seed: fmt.Sprintf("%016x", f.run.Seed<<16+uint64(number)),
-			Settings: standin.SettingsJSON(day, number), PeerListen: homes[number], Peers: homes}
+			Settings: standin.SettingsJSON(day, number), PeerListen: peerAddrs[number], Peers: peerAddrs}
 		if !real[number] {
 			h, err := f.newHollow(number, &c)
 			if err != nil {
@@ -162,24 +163,24 @@
 }
 
 func (f *fleet) newHollow(number int, c *platformConfig) (*hollow, error) {
-	homes := c.Peers
-	c.Peers = nil // told below, or each would hold the text of all of them
-	text, err := c.text()
+	peerAddrs := c.Peers
+	c.Peers = nil // set below, because otherwise each router would hold the text of all addresses
+	text, err := c.encode()
 	if err != nil {
 		return nil, err
 	}
-	told, err := config.Parse(text)
+	parsed, err := config.Parse(text)
 	if err != nil {
 		return nil, err
 	}
-	told.Peers = homes
-	return &hollow{number: number, config: told, network: f.network}, nil
+	parsed.Peers = peerAddrs
+	return &hollow{number: number, config: parsed, network: f.network}, nil
 }
 
 func (f *fleet) newProcess(index, number int, c *platformConfig, program string) (*process, error) {
 	c.Peers = slices.Clone(c.Peers)
-	for k, addr := range f.mesh.PeerAddrs(index) { // other processes are reached through the mesh
-		c.Peers[f.run.numberOf(k)] = addr
+	for k, addr := range f.mesh.PeerAddrs(index) { // the mesh relays datagrams to other processes
+		c.Peers[f.run.processNumber(k)] = addr
 	}
 	var err error
 	if c.Listen, err = loopback.Leave(loopback.Serve, index); err != nil {
@@ -188,7 +189,7 @@
 	if c.Admin, err = loopback.Leave(loopback.Admin, index); err != nil {
 		return nil, err
 	}
-	text, err := c.text()
+	text, err := c.encode()
 	if err != nil {
 		return nil, err
 	}
@@ -196,12 +197,12 @@
 	return &process{number: number, program: program, folder: folder, config: text, admin: c.Admin}, nil
 }
 
-// close ends all that the run has started.
+// close ends everything that the run has started.
 func (f *fleet) close() {
 	var g errgroup.Group
 	for _, r := range f.routers {
 		if r != nil {
-			g.Go(func() error { r.end(); return nil })
+			g.Go(func() error { r.stop(); return nil })
 		}
 	}
 	g.Wait()
@@ -219,8 +220,8 @@
 	}
 }
 
-// each does something to routers, to all of them at once.
-func (f *fleet) each(numbers []int, do func(r router) error) error {
+// forEach calls do for all listed routers at the same time.
+func (f *fleet) forEach(numbers []int, do func(r router) error) error {
 	var g errgroup.Group
 	for _, i := range numbers {
 		g.Go(func() error { return do(f.routers[i]) })
@@ -228,48 +229,48 @@
 	return g.Wait()
 }
 
-// all are the numbers of all routers.
-func (f *fleet) all() (numbers []int) {
+// allNumbers returns the numbers of all routers.
+func (f *fleet) allNumbers() (numbers []int) {
 	for i := range f.routers {
 		numbers = append(numbers, i)
 	}
 	return numbers
 }
 
-// start starts routers. They are to be seen serving, in lives that begin now or later.
+// start starts routers. The others must then see them serving, in incarnations that begin now or later.
 func (f *fleet) start(ctx context.Context, numbers []int) error {
 	for _, i := range numbers {
-		f.want[i] = Expected{State: "alive", Phase: phaseServing, Since: time.Now()}
+		f.expected[i] = ExpectedMember{State: "alive", Phase: phaseServing, Since: time.Now()}
 	}
-	return f.each(numbers, func(r router) error { return r.start(ctx) })
+	return f.forEach(numbers, func(r router) error { return r.start(ctx) })
 }
 
-// crash ends routers without a word.
+// crash ends routers without any message to the others.
 func (f *fleet) crash(numbers []int) error {
 	for _, i := range numbers {
-		f.want[i] = Expected{State: "dead"}
+		f.expected[i] = ExpectedMember{State: "dead"}
 	}
-	return f.each(numbers, router.crash)
+	return f.forEach(numbers, router.crash)
 }
 
-// leave has routers end as they do on SIGTERM.
+// leave ends routers as SIGTERM does.
 func (f *fleet) leave(numbers []int) error {
 	for _, i := range numbers {
-		f.want[i] = Expected{State: "left"}
+		f.expected[i] = ExpectedMember{State: "left"}
 	}
-	return f.each(numbers, router.leave)
+	return f.forEach(numbers, router.leave)
 }
 
-// drain asks the fleet that a router may be out, or has it serve again.
+// drain has a router request a permit to be out of service, or makes it serve again if on is false.
 func (f *fleet) drain(number int, on bool) error {
-	f.want[number].Phase = phaseServing
+	f.expected[number].Phase = phaseServing
 	if on {
-		f.want[number].Phase = phaseDraining
+		f.expected[number].Phase = phaseDraining
 	}
 	return f.routers[number].drain(on)
 }
 
-// setCut cuts the regions from one another, or heals that.
+// setCut cuts the regions off from one another, or reconnects them.
 func (f *fleet) setCut(cut bool) {
 	f.network.cut.Store(cut)
 	for i, a := range f.processes {
@@ -281,37 +282,37 @@
 	}
 }
 
-// setLoss has a part of all datagrams lost.
-func (f *fleet) setLoss(part float64) {
-	f.network.setLoss(part)
+// setLoss sets the fraction of all datagrams that is lost.
+func (f *fleet) setLoss(fraction float64) {
+	f.network.setLoss(fraction)
 	for i := range f.processes {
 		for j := range f.processes {
 			if i != j {
-				f.mesh.SetFaults(i, j, faultproxy.DatagramFaults{Loss: part})
+				f.mesh.SetFaults(i, j, faultproxy.DatagramFaults{Loss: fraction})
 			}
 		}
 	}
 }
 
-// agreement is the watch of the routers that run now.
-func (f *fleet) agreement() *agreement {
-	a := &agreement{want: f.want}
+// watchAgreement returns a watch of the routers that run now.
+func (f *fleet) watchAgreement() *agreementWatch {
+	a := &agreementWatch{expected: f.expected}
 	for _, h := range f.hollow {
-		if h.runs() {
+		if h.isRunning() {
 			a.hollow = append(a.hollow, h)
 		}
 	}
 	for _, p := range f.processes {
-		if p.runs() {
-			a.process = append(a.process, p)
+		if p.isRunning() {
+			a.processes = append(a.processes, p)
 		}
 	}
-	a.said = make([]string, len(a.process))
+	a.reportedSums = make([]string, len(a.processes))
 	return a
 }
 
-// traffic is what a process has sent and received. Datagrams to another process that the mesh has lost are not in it.
-func (f *fleet) traffic(index int) Traffic {
+// processTraffic returns the traffic of a process. Datagrams to another process that the mesh has dropped are not included.
+func (f *fleet) processTraffic(index int) Traffic {
 	t := f.network.traffic(f.processes[index].number)
 	for other := range f.processes {
 		if other == index {
@@ -327,7 +328,7 @@
 	return t
 }
 
-// hollowTraffic is that of all hollow routers together.
+// hollowTraffic returns the sum of the traffic of all hollow routers.
 func (f *fleet) hollowTraffic() (sum Traffic) {
 	for _, h := range f.hollow {
 		t := f.network.traffic(h.number)
@@ -339,11 +340,11 @@
 	return sum
 }
 
-// ended tells which processes have ended by themselves.
-func (f *fleet) ended() error {
+// unexpectedEnds returns an error that names the processes that have ended by themselves, or nil.
+func (f *fleet) unexpectedEnds() error {
 	var all []string
 	for _, p := range f.processes {
-		if p.command != nil && !p.runs() {
+		if p.command != nil && !p.isRunning() {
 			all = append(all, fmt.Sprintf("router %d has ended by itself: %s", p.number, p.log.String()))
 		}
 	}
@@ -353,13 +354,14 @@
 	return nil
 }
 
-// choose draws routers that run and that a test finds good, hollow ones before processes: the cost of a trouble is measured on processes.
-func (f *fleet) choose(count int, chance *rand.Rand, good func(number int) bool) []int {
+// chooseVictims draws up to count running routers that are eligible. It takes hollow routers before processes, because the cost
+// of a fault is measured on the processes.
+func (f *fleet) chooseVictims(count int, rng *rand.Rand, eligible func(number int) bool) []int {
 	var hollow, processes []int
-	for _, i := range chance.Perm(f.run.Size) {
+	for _, i := range rng.Perm(f.run.Size) {
 		switch {
-		case !good(i) || !f.routers[i].runs():
-		case f.network.real[i]:
+		case !eligible(i) || !f.routers[i].isRunning():
+		case f.network.isProcess[i]:
 			processes = append(processes, i)
 		default:
 			hollow = append(hollow, i)
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -20,21 +20,21 @@
 	"hoptiller/internal/relay"
 )
 
-// lingerTime is how long the program serves clients after it was asked to end.
+// lingerTime is how long the program still serves clients after it was asked to end.
 const lingerTime = 700 * time.Millisecond
 
-// hollow is a router without clients that shares this process with others.
+// hollow is a router without clients that shares this process with other routers.
 type hollow struct {
 	number  int
 	config  *config.Config
 	network *network
 
-	life *life // nil while it is down
-	sink *sink // has its address while it is down, after its first life
+	current *incarnation // nil while the router is down
+	sink    *sink        // listens at the router's address while the router is down; nil before its first start
 }
 
-// life is one life of a hollow router, from its start to its end.
-type life struct {
+// incarnation is a hollow router from one start to its end.
+type incarnation struct {
 	peers    *peers.Peers
 	stopping atomic.Bool
 	draining atomic.Bool
@@ -43,60 +43,60 @@
 	group    *errgroup.Group
 }
 
-// noCaller makes no calls: a hollow router has no clients, so that nothing is ever to be called.
-type noCaller struct{}
+// noopCaller is a caller that makes no calls. A hollow router has no clients, so it never has a request to send.
+type noopCaller struct{}
 
 // Call implements relay.Caller.
-func (noCaller) Call(context.Context, context.Context, uint32, *relay.Request) relay.Result {
+func (noopCaller) Call(context.Context, context.Context, uint32, *relay.Request) relay.Result {
 	return relay.Result{Status: hoptiller.Reset}
 }
 
 // Update implements relay.Caller.
-func (noCaller) Update(relay.Server, bool) {}
+func (noopCaller) Update(relay.Server, bool) {}
 
 // Forget implements relay.Caller.
-func (noCaller) Forget(uint32) bool { return true }
+func (noopCaller) Forget(uint32) bool { return true }
 
 // CloseIdle implements relay.Caller.
-func (noCaller) CloseIdle(uint32) {}
+func (noopCaller) CloseIdle(uint32) {}
 
-// start begins a life. It puts the parts together as the program's serve command does, without all that is for clients.
+// start begins an incarnation. It assembles it as the program's serve command does, without the parts that serve clients.
 func (h *hollow) start(context.Context) error {
 	h.closeSink()
 	c := h.config
-	l := &life{}
-	module := relay.New(c.Settings, c.Seed, noCaller{}, noCaller{})
+	l := &incarnation{}
+	module := relay.New(c.Settings, c.Seed, noopCaller{}, noopCaller{})
 	listed := drains.New(module)
 	agent := &permit.Agent{Self: h.number, Of: len(c.Peers), Zone: c.Settings.Zone, Chance: rand.Uint64}
 	var err error
 	l.peers, err = peers.New(peers.Settings{Self: h.number, Listen: c.PeerListen, Addrs: c.Peers, Seed: rand.Uint64(),
 		Phase: l.phase, Tell: func() view.Details { return details(c) }, Agent: agent, Out: l.draining.Store,
 		Caches: module.Caches, Aside: listed,
-		Wrap: func(socket *net.UDPConn) peers.Conn { return h.network.attach(h.number, c.Seed, &l.silent, socket) },
+		Wrap: func(socket *net.UDPConn) peers.Conn { return h.network.wrapSocket(h.number, c.Seed, &l.silent, socket) },
 	})
 	if err != nil {
 		return err
 	}
 	l.peers.Bound(peers.Bounds{Fleet: permit.Bound{Number: 1}, Caches: permit.Bound{Number: 1}})
-	names := &discovery.Names{Zones: c.Zones, Kinds: c.Kinds, OriginKind: c.Settings.OriginKind}
-	client := discovery.NewClient(&discovery.Registry{Addr: c.Discovery, Times: discovery.PlatformTimes}, names, listed, c.Known)
+	mapping := &discovery.Names{Zones: c.Zones, Kinds: c.Kinds, OriginKind: c.Settings.OriginKind}
+	client := discovery.NewClient(&discovery.Registry{Addr: c.Discovery, Times: discovery.PlatformTimes}, mapping, listed, c.Known)
 	var ctx context.Context
 	ctx, l.cancel = context.WithCancel(context.Background())
 	l.group, ctx = errgroup.WithContext(ctx)
 	l.group.Go(func() error { return module.Run(ctx, client) })
 	l.group.Go(func() error { return client.Run(ctx) })
 	l.group.Go(func() error { return l.peers.Run(ctx) })
-	h.life = l
+	h.current = l
 	return nil
 }
 
-// details are what the router tells of itself.
+// details returns what the router announces about itself.
 func details(c *config.Config) view.Details {
 	return view.Details{Settings: c.Digest, Zone: uint8(c.Settings.Zone + 1)}
 }
 
-// phase is what the router does for the clients that it hasn't.
-func (l *life) phase() view.Phase {
+// phase returns the phase that the router announces. A hollow router has phases although it has no clients.
+func (l *incarnation) phase() view.Phase {
 	switch {
 	case l.stopping.Load():
 		return view.Stopping
@@ -106,28 +106,28 @@
 	return view.Serving
 }
 
-// crash ends the life at once, and the others hear nothing of it.
+// crash ends the incarnation at once, without any message to the others.
 func (h *hollow) crash() error {
-	if h.life == nil {
+	if h.current == nil {
 		return nil
 	}
-	l := h.life
-	h.life = nil
+	l := h.current
+	h.current = nil
 	l.silent.Store(true)
-	return h.bury(l)
+	return h.shutDown(l)
 }
 
-// bury ends what a life still runs, and takes its address.
-func (h *hollow) bury(l *life) error {
+// shutDown ends the goroutines of an incarnation and opens a sink at its address.
+func (h *hollow) shutDown(l *incarnation) error {
 	l.cancel()
 	if err := l.group.Wait(); err != nil {
 		return err
 	}
-	home, err := netip.ParseAddrPort(h.config.PeerListen)
+	addr, err := netip.ParseAddrPort(h.config.PeerListen)
 	if err != nil {
 		return err
 	}
-	h.sink, err = h.network.openSink(h.number, home)
+	h.sink, err = h.network.openSink(h.number, addr)
 	return err
 }
 
@@ -138,33 +138,33 @@
 	}
 }
 
-// leave ends the life as SIGTERM ends a process without clients.
+// leave ends the incarnation as SIGTERM ends a process without clients.
 func (h *hollow) leave() error {
-	l := h.life
-	h.life = nil
+	l := h.current
+	h.current = nil
 	l.stopping.Store(true)
 	time.Sleep(lingerTime)
-	return h.bury(l)
+	return h.shutDown(l)
 }
 
-// drain asks the fleet that this router may be out, or has it serve again.
+// drain requests a permit to be out of service, or makes the router serve again if on is false.
 func (h *hollow) drain(on bool) error {
 	if on {
-		h.life.peers.GoOut()
+		h.current.peers.GoOut()
 	} else {
-		h.life.peers.ComeBack()
+		h.current.peers.ComeBack()
 	}
 	return nil
 }
 
-// sum is that of the router's view.
-func (h *hollow) sum() uint32 { return h.life.peers.Sum() }
+// sum returns the checksum of the router's view.
+func (h *hollow) sum() uint32 { return h.current.peers.Sum() }
 
-// runs tells whether it is up.
-func (h *hollow) runs() bool { return h.life != nil }
+// isRunning reports whether the router is up.
+func (h *hollow) isRunning() bool { return h.current != nil }
 
-// end ends the life, if there is one, for good.
-func (h *hollow) end() {
+// stop ends the router for good.
+func (h *hollow) stop() {
 	h.crash()
 	h.closeSink()
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// reading is what one process has used and sent until a moment.
+// reading is what one process has used, sent and received up to a moment.
 type reading struct {
-	pid     int // 0: it was down
+	pid     int // 0 if the process was down
 	usage   Usage
 	traffic Traffic
 }
 
-// sample is a reading of all processes.
+// sample is a reading of each process at one time.
 type sample struct {
 	at       time.Time
-	readings []reading // by index of the process
+	readings []reading // by index in fleet.processes
 }
 
-const sampleEvery = time.Second
+const sampleInterval = time.Second
 
-// meter reads the usage of a fleet's processes.
+// meter samples the usage of a fleet's processes.
 type meter struct {
 	fleet *fleet
 
@@ -31,16 +31,16 @@
 	samples []sample
 }
 
-// take reads all processes now.
-func (m *meter) take() sample {
+// takeSample reads all processes now.
+func (m *meter) takeSample() sample {
 	s := sample{at: time.Now(), readings: make([]reading, len(m.fleet.processes))}
 	for i, p := range m.fleet.processes {
-		s.readings[i].traffic = m.fleet.traffic(i)
-		if !p.runs() {
+		s.readings[i].traffic = m.fleet.processTraffic(i)
+		if !p.isRunning() {
 			continue
 		}
-		usage, err := usageOf(p.pid())
-		if err != nil { // it has just ended
+		usage, err := readUsage(p.pid())
+		if err != nil { // the process has just ended
 			continue
 		}
 		s.readings[i].pid, s.readings[i].usage = p.pid(), usage
@@ -48,9 +48,9 @@
 	return s
 }
 
-// run takes a sample every second until ctx ends.
+// run takes a sample every second until ctx ends. It holds locked while it reads the processes.
 func (m *meter) run(ctx context.Context, locked sync.Locker) {
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -59,7 +59,7 @@
 		case <-tick.C:
 		}
 		locked.Lock()
-		s := m.take()
+		s := m.takeSample()
 		locked.Unlock()
 		m.mu.Lock()
 		m.samples = append(m.samples, s)
@@ -67,8 +67,8 @@
 	}
 }
 
-// between are the samples of a time, with its beginning and end.
-func (m *meter) between(begin, end sample) []sample {
+// samplesBetween returns begin, the samples that were taken after it and before end, and end.
+func (m *meter) samplesBetween(begin, end sample) []sample {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := []sample{begin}
@@ -80,39 +80,40 @@
 	return append(all, end)
 }
 
-// rates are what one process used and sent per second between two samples.
+// rates is what one process used, sent and received per second between two samples. Traffic is in bytes or datagrams.
 type rates struct {
-	processor                        float64 // part of a core
+	processor                        float64 // cores, fractional
 	sent, received                   float64
 	sentDatagrams, receivedDatagrams float64
 }
 
-// rate is that of a process between two readings. The processor time of a process that has started between counts from its start.
-func rate(before, after reading, took time.Duration) rates {
+// ratesBetween returns the rates of a process between two readings. The processor time of a process that started between them
+// counts from its start.
+func ratesBetween(before, after reading, took time.Duration) rates {
 	used := after.usage.Processor
 	if before.pid == after.pid {
 		used -= before.usage.Processor
 	}
 	seconds := took.Seconds()
-	moved := after.traffic.minus(before.traffic)
+	traffic := after.traffic.since(before.traffic)
 	return rates{
 		processor: used.Seconds() / seconds,
-		sent:      float64(moved.SentBytes) / seconds, received: float64(moved.ReceivedBytes) / seconds,
-		sentDatagrams: float64(moved.SentDatagrams) / seconds, receivedDatagrams: float64(moved.ReceivedDatagrams) / seconds,
+		sent:      float64(traffic.SentBytes) / seconds, received: float64(traffic.ReceivedBytes) / seconds,
+		sentDatagrams: float64(traffic.SentDatagrams) / seconds, receivedDatagrams: float64(traffic.ReceivedDatagrams) / seconds,
 	}
 }
 
-// leastPeak is the shortest time between samples that counts as a second for peaks.
-const leastPeak = sampleEvery / 2
+// minPeakInterval is the shortest time between two samples from which a peak rate is computed.
+const minPeakInterval = sampleInterval / 2
 
-// collector gathers the values of figures over processes, in the order in which the figures are first met.
+// collector computes the mean and the worst value of figures over processes. It keeps the order in which they are first added.
 type collector struct {
 	phase   string
 	figures []Figure
 	counts  []int
 }
 
-// add takes the value of a figure for one more process.
+// add adds the value of a figure for one more process.
 func (c *collector) add(name, unit string, value float64) {
 	at := slices.IndexFunc(c.figures, func(f Figure) bool { return f.Name == name })
 	if at < 0 {
@@ -125,19 +126,19 @@
 	f.Worst = max(f.Worst, value)
 }
 
-// figures are what the processes that are observers used in a phase.
-func figures(phase string, samples []sample, observers []int) []Figure {
+// processFigures returns the figures of a phase, measured on the processes whose indices are listed as observers.
+func processFigures(phase string, samples []sample, observers []int) []Figure {
 	c := &collector{phase: phase}
 	first, last := samples[0], samples[len(samples)-1]
 	for _, i := range observers {
-		mean := rate(first.readings[i], last.readings[i], last.at.Sub(first.at))
-		peak, memory := peaks(samples, i, mean)
-		holds := last.readings[i].usage
+		mean := ratesBetween(first.readings[i], last.readings[i], last.at.Sub(first.at))
+		peak, memory := peakRates(samples, i, mean)
+		usage := last.readings[i].usage
 		c.add(FigureProcessor, UnitCore, 100*mean.processor)
 		c.add(FigurePeakProcessor, UnitCore, 100*peak.processor)
 		c.add(FigureMemory, UnitMegabytes, float64(memory)/1e6)
-		c.add(FigureThreads, UnitCount, float64(holds.Threads))
-		c.add(FigureConnections, UnitCount, float64(holds.Connections))
+		c.add(FigureThreads, UnitCount, float64(usage.Threads))
+		c.add(FigureConnections, UnitCount, float64(usage.Connections))
 		c.add(FigureSent, UnitBytes, mean.sent)
 		c.add(FigurePeakSent, UnitBytes, peak.sent)
 		c.add(FigureReceived, UnitBytes, mean.received)
@@ -147,24 +148,25 @@
 	return c.figures
 }
 
-// peaks are the highest rates of a process in any second, no less than its mean, and the most memory that it held.
-func peaks(samples []sample, process int, mean rates) (peak rates, memory int64) {
+// peakRates returns the highest rates of a process between two samples, at least its mean rates, and the largest memory in
+// bytes that it held.
+func peakRates(samples []sample, process int, mean rates) (peak rates, memory int64) {
 	peak = mean
 	for k := 1; k < len(samples); k++ {
 		before, after := samples[k-1].readings[process], samples[k].readings[process]
 		memory = max(memory, after.usage.MemoryBytes)
 		took := samples[k].at.Sub(samples[k-1].at)
-		if took < leastPeak || after.pid == 0 {
+		if took < minPeakInterval || after.pid == 0 {
 			continue
 		}
-		second := rate(before, after, took)
+		second := ratesBetween(before, after, took)
 		peak.processor, peak.sent = max(peak.processor, second.processor), max(peak.sent, second.sent)
 	}
 	return peak, memory
 }
 
-// ownProcessor is the processor time of this process.
-func ownProcessor() time.Duration {
+// ownProcessorTime returns the processor time that this process has used, or 0 if the system does not report it.
+func ownProcessorTime() time.Duration {
 	var use syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) != nil {
 		return 0
@@ -172,8 +174,8 @@
 	return time.Duration(use.Utime.Nano() + use.Stime.Nano())
 }
 
-// watchStalls tells the longest time by which a timer of this process was late until ctx ended.
-func watchStalls(ctx context.Context) (most time.Duration) {
+// measureTimerDelay returns the longest time by which a timer of this process was late until ctx ended.
+func measureTimerDelay(ctx context.Context) (maxDelay time.Duration) {
 	const every = 20 * time.Millisecond
 	for {
 		begun := time.Now()
@@ -181,9 +183,9 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return most
+			return maxDelay
 		case <-timer.C:
 		}
-		most = max(most, time.Since(begun)-every)
+		maxDelay = max(maxDelay, time.Since(begun)-every)
 	}
 }
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -10,14 +10,14 @@
 	"hoptiller/internal/fleet/view"
 )
 
-// Traffic is what one router has sent and received in datagrams, without the headers of UDP and IP.
+// Traffic counts the datagrams that one router has sent and received. Bytes are without the headers of UDP and IP.
 type Traffic struct {
 	SentDatagrams, SentBytes         uint64
 	ReceivedDatagrams, ReceivedBytes uint64
 }
 
-// minus is what was added since an earlier count.
-func (t Traffic) minus(before Traffic) Traffic {
+// since returns what was added after an earlier count.
+func (t Traffic) since(before Traffic) Traffic {
 	return Traffic{
 		SentDatagrams: t.SentDatagrams - before.SentDatagrams, SentBytes: t.SentBytes - before.SentBytes,
 		ReceivedDatagrams: t.ReceivedDatagrams - before.ReceivedDatagrams, ReceivedBytes: t.ReceivedBytes - before.ReceivedBytes,
@@ -32,43 +32,43 @@
 	c.bytes.Add(uint64(bytes))
 }
 
-// network is what the datagrams of hollow routers go through: it counts them, and loses those between regions that are cut from
-// one another. Datagrams between two processes go through package ways instead.
+// network carries the datagrams of hollow routers. It counts them and drops those between regions that are cut off from one
+// another. Datagrams between two processes go through package faultproxy instead.
 type network struct {
-	regions int
-	number  map[netip.AddrPort]int // of the router that has an address
-	real    []bool
-	cut     atomic.Bool
-	loss    atomic.Uint64 // part of 2^32 of the datagrams that is lost
+	regions      int
+	routerByAddr map[netip.AddrPort]int // number of the router by its peer address
+	isProcess    []bool
+	cut          atomic.Bool
+	loss         atomic.Uint64 // fraction of the datagrams that is lost, times 2^32
 
-	sent, received []counter // by router's number; of a process only what hollow routers see of it
+	sent, received []counter // by router number; for a process only its traffic with hollow routers
 }
 
-func newNetwork(regions int, homes []netip.AddrPort, real []bool) *network {
-	n := &network{regions: regions, number: map[netip.AddrPort]int{}, real: real,
-		sent: make([]counter, len(homes)), received: make([]counter, len(homes))}
-	for i, home := range homes {
-		n.number[home] = i
+func newNetwork(regions int, peerAddrs []netip.AddrPort, real []bool) *network {
+	n := &network{regions: regions, routerByAddr: map[netip.AddrPort]int{}, isProcess: real,
+		sent: make([]counter, len(peerAddrs)), received: make([]counter, len(peerAddrs))}
+	for i, addr := range peerAddrs {
+		n.routerByAddr[addr] = i
 	}
 	return n
 }
 
-// region is where a router is.
+// region returns the region of a router.
 func (n *network) region(router int) int { return router % n.regions }
 
-// setLoss says which part of the datagrams is lost.
-func (n *network) setLoss(part float64) { n.loss.Store(uint64(part * (1 << 32))) }
+// setLoss sets the fraction of the datagrams that is lost.
+func (n *network) setLoss(fraction float64) { n.loss.Store(uint64(fraction * (1 << 32))) }
 
-// loses decides the fate of a datagram.
-func (n *network) loses(from, to int, chance *rand.Rand) bool {
+// drops reports whether a datagram from one router to another is lost.
+func (n *network) drops(from, to int, rng *rand.Rand) bool {
 	if n.cut.Load() && n.region(from) != n.region(to) {
 		return true
 	}
 	loss := n.loss.Load()
-	return loss > 0 && uint64(chance.Uint32()) < loss
+	return loss > 0 && uint64(rng.Uint32()) < loss
 }
 
-// traffic is what was counted of a router.
+// traffic returns the counts of a router.
 func (n *network) traffic(router int) Traffic {
 	sent, received := &n.sent[router], &n.received[router]
 	return Traffic{
@@ -77,41 +77,41 @@
 	}
 }
 
-// attach puts a connection of the network round a hollow router's socket.
-func (n *network) attach(router int, seed uint64, silent *atomic.Bool, socket *net.UDPConn) peers.Conn {
+// wrapSocket wraps the socket of a hollow router so that its datagrams go through the network.
+func (n *network) wrapSocket(router int, seed uint64, silent *atomic.Bool, socket *net.UDPConn) peers.Conn {
 	return &conn{UDPConn: socket, network: n, router: router, silent: silent,
-		outgoing: rand.New(rand.NewPCG(seed, uint64(router)<<1)), incoming: rand.New(rand.NewPCG(seed, uint64(router)<<1|1))}
+		outgoingRNG: rand.New(rand.NewPCG(seed, uint64(router)<<1)), incomingRNG: rand.New(rand.NewPCG(seed, uint64(router)<<1|1))}
 }
 
-// conn is the socket of one hollow router in its network.
+// conn is the socket of one hollow router, connected to the network.
 type conn struct {
 	*net.UDPConn
 	network *network
 	router  int
-	silent  *atomic.Bool // a crashed process sends nothing more, not even that it ends
+	silent  *atomic.Bool // set once the router has crashed: it sends nothing more, not even that it leaves
 
-	outgoing, incoming *rand.Rand // each used by one goroutine at a time
+	outgoingRNG, incomingRNG *rand.Rand // each is used by one goroutine at a time
 }
 
-// WriteToUDPAddrPort sends a datagram unless the network loses it. The sender can't tell.
+// WriteToUDPAddrPort sends a datagram unless the network drops it. The sender gets no error for a dropped datagram.
 func (c *conn) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
 	if c.silent.Load() {
 		return len(b), nil
 	}
 	n := c.network
 	n.sent[c.router].add(len(b))
-	receiver, known := n.number[to]
-	if known && n.loses(c.router, receiver, c.outgoing) {
+	receiver, known := n.routerByAddr[to]
+	if known && n.drops(c.router, receiver, c.outgoingRNG) {
 		return len(b), nil
 	}
-	if known && n.real[receiver] {
+	if known && n.isProcess[receiver] {
 		n.received[receiver].add(len(b))
 	}
 	return c.UDPConn.WriteToUDPAddrPort(b, to)
 }
 
-// ReadFromUDPAddrPort receives the next datagram that the network has not lost. What a process sends meets its fate here, since
-// its own side can't be reached.
+// ReadFromUDPAddrPort receives the next datagram that the network does not drop. Datagrams of a process are counted and dropped
+// here, because the network can't intercept them where the process sends them.
 func (c *conn) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
 	n := c.network
 	for {
@@ -119,10 +119,10 @@
 		if err != nil {
 			return size, from, err
 		}
-		sender, known := n.number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if known && n.real[sender] {
+		sender, known := n.routerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		if known && n.isProcess[sender] {
 			n.sent[sender].add(size)
-			if n.loses(sender, c.router, c.incoming) {
+			if n.drops(sender, c.router, c.incomingRNG) {
 				continue
 			}
 		}
@@ -131,15 +131,15 @@
 	}
 }
 
-// sink holds the address of a hollow router that is down, so that what processes still send there is counted.
+// sink listens at the address of a hollow router that is down, so that datagrams that processes still send there are counted.
 type sink struct {
 	socket *net.UDPConn
 	done   chan struct{}
 }
 
-// openSink begins to count what comes to a router that is down.
-func (n *network) openSink(router int, home netip.AddrPort) (*sink, error) {
-	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(home))
+// openSink listens at the address of a router that is down and counts the datagrams that arrive.
+func (n *network) openSink(router int, addr netip.AddrPort) (*sink, error) {
+	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, err
 	}
@@ -152,7 +152,8 @@
 	return s, nil
 }
 
-// discard counts what processes have sent until the socket is closed. The router that is down receives nothing.
+// discard counts datagrams of processes as sent until the socket is closed. They don't count as received, because the router is
+// down.
 func (c *conn) discard() {
 	b := make([]byte, 2*view.MostBytes)
 	for {
@@ -160,14 +161,14 @@
 		if err != nil {
 			return
 		}
-		sender, known := c.network.number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if known && c.network.real[sender] {
+		sender, known := c.network.routerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		if known && c.network.isProcess[sender] {
 			c.network.sent[sender].add(size)
 		}
 	}
 }
 
-// close gives the address free.
+// close stops the counting and frees the address.
 func (s *sink) close() {
 	s.socket.Close()
 	<-s.done
--- a/internal/lab/scale/plot.go
+++ b/internal/lab/scale/plot.go
@@ -8,15 +8,16 @@
 	"hoptiller/internal/lab/plot"
 )
 
-// Plot draws what a router sends over the size of the fleet, a line for each phase with the mean over the seeds, and the budget.
+// Plot draws the bytes per second that a router sends over the size of the fleet: a line for each phase with the mean over the
+// seeds, and a line for the budget.
 func Plot(records []*Record, path string) error {
-	all := sizes(records)
+	all := distinctSizes(records)
 	var curves []plot.Curve
-	for _, phase := range phases(records) {
+	for _, phase := range distinctPhases(records) {
 		curve := plot.Curve{Name: phase}
 		for _, size := range all {
 			at := slices.DeleteFunc(slices.Clone(records), func(r *Record) bool { return r.Size != size })
-			if values := plays(at, phase, FigureSent); len(values) > 0 {
+			if values := figureValues(at, phase, FigureSent); len(values) > 0 {
 				curve.X, curve.Y = append(curve.X, float64(size)), append(curve.Y, stat.Mean(values, nil))
 			}
 		}
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -18,53 +18,53 @@
 	"hoptiller/internal/fleet/peers"
 )
 
-// Times of a process.
+// Timeouts, the poll interval and the log size of a process.
 const (
-	readyWithin = 20 * time.Second // until a process that was started answers operators
-	endWithin   = 15 * time.Second // until one that was asked to end has
-	askEvery    = 50 * time.Millisecond
-	callTime    = 3 * time.Second
-	keptLog     = 600 // bytes of the last that a process wrote
+	readyTimeout = 20 * time.Second // from the start of a process until it answers operators' calls
+	endTimeout   = 15 * time.Second // from SIGTERM until the process has ended
+	pollInterval = 50 * time.Millisecond
+	callTimeout  = 3 * time.Second
+	logTailBytes = 600 // length of the log's end that is kept
 )
 
-// operatorsFile has the view on whatever datagrams are priced at.
+// operatorsFile turns the view on, whatever datagrams cost.
 const operatorsFile = "fleet {\n\tview on\n}\n"
 
-// process is a router that runs the program.
+// process is a router that runs as a process of the router's program.
 type process struct {
 	number  int
 	program string
 	folder  string
-	config  []byte // the platform's configuration
-	admin   string // where operators call
+	config  []byte // in the platform's format
+	admin   string // address for operators' calls
 
-	command *exec.Cmd // nil while it is down
+	command *exec.Cmd // nil while the process is down
 	ended   chan struct{}
-	log     lastLines
+	log     logTail
 }
 
-// lastLines keeps the last of what is written to it.
-type lastLines struct {
+// logTail keeps the last logTailBytes of what is written to it.
+type logTail struct {
 	mu   sync.Mutex
-	kept []byte
+	tail []byte
 }
 
 // Write implements io.Writer.
-func (l *lastLines) Write(b []byte) (int, error) {
+func (l *logTail) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kept = append(l.kept, b...)
-	l.kept = bytes.Clone(l.kept[max(0, len(l.kept)-keptLog):])
+	l.tail = append(l.tail, b...)
+	l.tail = bytes.Clone(l.tail[max(0, len(l.tail)-logTailBytes):])
 	return len(b), nil
 }
 
-func (l *lastLines) String() string {
+func (l *logTail) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return string(bytes.TrimSpace(l.kept))
+	return string(bytes.TrimSpace(l.tail))
 }
 
-// start starts the process and waits until it answers operators.
+// start starts the process and waits until it answers operators' calls.
 func (p *process) start(ctx context.Context) error {
 	configPath, filePath := filepath.Join(p.folder, "config.json"), filepath.Join(p.folder, "view.hop")
 	if err := os.MkdirAll(p.folder, 0o700); err != nil {
@@ -88,13 +88,13 @@
 		close(ended)
 	}()
 	p.command, p.ended = command, ended
-	return p.ready(ctx)
+	return p.waitReady(ctx)
 }
 
-// ready waits until the process answers operators.
-func (p *process) ready(ctx context.Context) error {
-	late := time.NewTimer(readyWithin)
-	defer late.Stop()
+// waitReady waits until the process answers operators' calls.
+func (p *process) waitReady(ctx context.Context) error {
+	timeout := time.NewTimer(readyTimeout)
+	defer timeout.Stop()
 	for {
 		if p.call(ctx, http.MethodGet, "/v1/readyz") == nil {
 			return nil
@@ -102,18 +102,18 @@
 		select {
 		case <-p.ended:
 			return fmt.Errorf("router %d has ended: %s", p.number, p.log.String())
-		case <-late.C:
-			return fmt.Errorf("router %d does not answer within %v", p.number, readyWithin)
+		case <-timeout.C:
+			return fmt.Errorf("router %d does not answer within %v", p.number, readyTimeout)
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(askEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// call makes an operators' call.
+// call makes an operators' call and discards the answer. Any status but 200 is an error.
 func (p *process) call(ctx context.Context, method, path string) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+p.admin+path, nil)
 	if err != nil {
@@ -143,21 +143,21 @@
 	return nil
 }
 
-// leave asks the process to end and waits until it has.
+// leave sends SIGTERM and waits until the process has ended.
 func (p *process) leave() error {
 	p.command.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.ended:
 		p.command = nil
 		return nil
-	case <-time.After(endWithin):
+	case <-time.After(endTimeout):
 		p.crash()
-		return fmt.Errorf("router %d has not ended within %v of SIGTERM", p.number, endWithin)
+		return fmt.Errorf("router %d has not ended within %v of SIGTERM", p.number, endTimeout)
 	}
 }
 
-// drain asks the fleet that this router may be out, or has it serve again. What the fleet has refused so far it is asked again by
-// the router itself.
+// drain makes the router request a permit to be out of service, or serve again if on is false. The router itself repeats a
+// permit request that the fleet refuses.
 func (p *process) drain(on bool) error {
 	path := "/v1/fleet/activate"
 	if on {
@@ -166,8 +166,8 @@
 	return p.call(context.Background(), http.MethodPost, path)
 }
 
-// report is the router's whole view.
-func (p *process) report(ctx context.Context) (*peers.Report, error) {
+// fetchView returns the router's complete view.
+func (p *process) fetchView(ctx context.Context) (*peers.Report, error) {
 	asked := peers.Ask(ctx, p.admin)
 	if asked.View == nil {
 		return nil, fmt.Errorf("router %d: %s", p.number, asked.Err)
@@ -175,8 +175,8 @@
 	return asked.View, nil
 }
 
-// runs tells whether it is up.
-func (p *process) runs() bool {
+// isRunning reports whether the process is up.
+func (p *process) isRunning() bool {
 	if p.command == nil {
 		return false
 	}
@@ -189,12 +189,12 @@
 }
 
 // end ends the process for good.
-func (p *process) end() { p.crash() }
+func (p *process) stop() { p.crash() }
 
-// pid is that of the process, which runs.
+// pid returns the id of the process, which must have been started.
 func (p *process) pid() int { return p.command.Process.Pid }
 
-// platformConfig is what a process is told, in the platform's form.
+// platformConfig is the configuration of a router in the platform's format.
 type platformConfig struct {
 	Name       string         `json:"name"`
 	Listen     string         `json:"listen"`
@@ -213,8 +213,8 @@
 	Sockets  int `json:"sockets"`
 }
 
-// text is the configuration as a file has it.
-func (c *platformConfig) text() ([]byte, error) {
+// encode fills in the name and the limits and returns the text of the configuration file.
+func (c *platformConfig) encode() ([]byte, error) {
 	c.Name = "router" + strconv.Itoa(c.Settings["selfIndex"].(int))
 	c.Limits = platformLimits{Cores: 1, MemoryMB: 192, Sockets: 1024}
 	return json.Marshal(c)
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// The operators' budget for the control of a router, and the size for which slopes are told.
+// The operators' budget for the control of a router, and the fleet size for which slopes predict figures.
 const (
 	BudgetProcessor = 2.4    // % of a core
 	BudgetMemory    = 128.0  // MB
@@ -16,38 +16,38 @@
 	targetSize      = 650.0
 )
 
-// budgets are the figures that a budget bounds.
+// budgets lists the figures that the budget limits.
 var budgets = []struct {
 	name, unit string
-	most       float64
+	limit      float64
 }{
 	{FigureProcessor, UnitCore, BudgetProcessor},
 	{FigureMemory, UnitMegabytes, BudgetMemory},
 	{FigureSent, UnitBytes, BudgetSent},
 }
 
-// tableFigures are the columns of the table.
+// tableFigures lists the figures that are columns of the table.
 var tableFigures = []struct{ name, title string }{
-	{FigureAgreed, "agreed s"}, {FigureProcessor, "processor %"}, {FigurePeakProcessor, "peak %"}, {FigureMemory, "memory MB"},
+	{FigureAgreementTime, "agreed s"}, {FigureProcessor, "processor %"}, {FigurePeakProcessor, "peak %"}, {FigureMemory, "memory MB"},
 	{FigureSent, "sent B/s"}, {FigurePeakSent, "peak B/s"}, {FigureReceived, "received B/s"}, {FigureSentDatagrams, "sent 1/s"},
 	{FigureThreads, "threads"}, {FigureConnections, "sockets"}, {FigureDiscoveryCalls, "discovery calls"},
 }
 
-// WriteTable writes the records of mostly hollow fleets as a Markdown table, a row for each size and phase with the mean over the
-// runs that count, and then tells of each run that the machine was too busy for, or that has failed phases.
+// WriteTable writes the records of mostly hollow fleets as a Markdown table, with a row for each size and phase that has the
+// means over the runs that count. Below it lists the failed phases, and the runs for which the machine was too busy.
 func WriteTable(w io.Writer, records []*Record) {
 	titles := []string{"routers", "runs", "phase"}
 	for _, f := range tableFigures {
 		titles = append(titles, f.title)
 	}
 	fmt.Fprintf(w, "| %s |\n|%s\n", strings.Join(titles, " | "), strings.Repeat(" --- |", len(titles)))
-	for _, size := range sizes(records) {
+	for _, size := range distinctSizes(records) {
 		at := Counted(slices.DeleteFunc(slices.Clone(records), func(r *Record) bool { return r.Size != size }))
 		runs := fmt.Sprint(len(at))
-		if at[0].Strain.Busy {
+		if at[0].MachineLoad.Busy {
 			runs += " (busy)"
 		}
-		for _, phase := range phases(at) {
+		for _, phase := range distinctPhases(at) {
 			row := []string{fmt.Sprint(size), runs, phase}
 			for _, f := range tableFigures {
 				row = append(row, meanText(at, phase, f.name))
@@ -59,28 +59,28 @@
 		for _, what := range r.Failed {
 			fmt.Fprintf(w, "\n%s: FAILED %s\n", r.Name(), what)
 		}
-		if r.Strain.Busy {
+		if r.MachineLoad.Busy {
 			fmt.Fprintf(w, "\n%s: the machine was too busy (load %.1f to %.1f on %d cores, a timer was %.0f ms late): its figures don't count\n",
-				r.Name(), r.Strain.LoadBefore, r.Strain.LoadAfter, r.Strain.Cores, r.Strain.StallMS)
+				r.Name(), r.MachineLoad.LoadBefore, r.MachineLoad.LoadAfter, r.MachineLoad.Cores, r.MachineLoad.MaxTimerDelayMS)
 		}
 	}
 }
 
-// Counted are the records whose figures count: those of a machine that was not too busy, or all where there are no such.
+// Counted returns the records whose figures count: those of runs on a machine that was not too busy, or all if there are none.
 func Counted(records []*Record) []*Record {
-	quiet := slices.DeleteFunc(slices.Clone(records), func(r *Record) bool { return r.Strain.Busy })
+	quiet := slices.DeleteFunc(slices.Clone(records), func(r *Record) bool { return r.MachineLoad.Busy })
 	if len(quiet) == 0 {
 		return records
 	}
 	return quiet
 }
 
-// Name tells which run a record is of.
+// Name describes the run of a record.
 func (r *Record) Name() string {
 	return fmt.Sprintf("%s, %d routers, %d real, seed %d", r.Scenario, r.Size, r.Real, r.Seed)
 }
 
-func sizes(records []*Record) (all []int) {
+func distinctSizes(records []*Record) (all []int) {
 	for _, r := range records {
 		if !slices.Contains(all, r.Size) {
 			all = append(all, r.Size)
@@ -90,7 +90,7 @@
 	return all
 }
 
-// meanText is the mean of a figure over records, or a dash where none has it.
+// meanText formats the mean of a figure over the records, or returns a dash if none has the figure.
 func meanText(records []*Record, phase, name string) string {
 	sum, count := 0.0, 0
 	for _, r := range records {
@@ -102,11 +102,11 @@
 	if count == 0 {
 		return "-"
 	}
-	return short(sum / float64(count))
+	return formatValue(sum / float64(count))
 }
 
-// short writes a value with three digits.
-func short(value float64) string {
+// formatValue formats a value with about three digits.
+func formatValue(value float64) string {
 	switch size := math.Abs(value); {
 	case size >= 100 || value == 0:
 		return fmt.Sprintf("%.0f", value)
@@ -116,47 +116,50 @@
 	return fmt.Sprintf("%.2f", value)
 }
 
-// WriteSlopes writes for each phase how the figures grow with the size, for those that were measured at three sizes at least.
+// WriteSlopes writes a Markdown table of how the figures of each phase grow with the size of the fleet, for figures that were
+// measured at three sizes at least.
 func WriteSlopes(w io.Writer, records []*Record) {
-	if len(sizes(records)) < leastSizes {
+	if len(distinctSizes(records)) < minSlopeSizes {
 		return
 	}
 	fmt.Fprintf(w, "| phase | figure | runs | at 0 | per 100 routers, 95%% | deviation | at %.0f by the line, 95%% |\n", targetSize)
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- |")
-	for _, phase := range phases(records) {
-		for _, name := range []string{FigureAgreed, FigureProcessor, FigureMemory, FigureSent, FigureDiscoveryCalls} {
-			s, ok := slopeOf(records, phase, name)
+	for _, phase := range distinctPhases(records) {
+		for _, name := range []string{FigureAgreementTime, FigureProcessor, FigureMemory, FigureSent, FigureDiscoveryCalls} {
+			s, ok := fitSlope(records, phase, name)
 			if !ok {
 				continue
 			}
 			value, half := s.Predict(targetSize)
-			fmt.Fprintf(w, "| %s | %s | %d | %s | %s ± %s | %s | %s ± %s |\n", phase, name, s.Points, short(s.At),
-				short(100*s.Per), interval(100*s.PerHalf), interval(s.Deviation), short(value), interval(half))
+			fmt.Fprintf(w, "| %s | %s | %d | %s | %s ± %s | %s | %s ± %s |\n", phase, name, s.Points, formatValue(s.Intercept),
+				formatValue(100*s.PerRouter), formatHalfInterval(100*s.PerRouterHalfInterval), formatHalfInterval(s.Deviation),
+				formatValue(value), formatHalfInterval(half))
 		}
 	}
 	fmt.Fprintln(w)
 }
 
-// interval writes half of an interval, or that there is none.
-func interval(half float64) string {
+// formatHalfInterval formats half of an interval, or returns a question mark if there is none.
+func formatHalfInterval(half float64) string {
 	if math.IsInf(half, 0) || math.IsNaN(half) {
 		return "?"
 	}
-	return short(half)
+	return formatValue(half)
 }
 
-// WriteCounted tells how many of the records count for slopes and the budget.
+// WriteCounted writes how many of the records count for slopes and the budget.
 func WriteCounted(w io.Writer, records []*Record) {
 	counted := Counted(records)
-	if counted[0].Strain.Busy {
+	if counted[0].MachineLoad.Busy {
 		fmt.Fprintf(w, "Slopes and budget are trials: the machine was too busy for all of %d runs.\n\n", len(records))
 		return
 	}
-	fmt.Fprintf(w, "Slopes and budget are of %d of %d runs; the machine was too busy for the others.\n\n", len(counted), len(records))
+	fmt.Fprintf(w, "Slopes and budget are of %d of %d runs; the machine was too busy for the others.\n\n", len(counted),
+		len(records))
 }
 
-// worstOf is the worst of a figure in all records, and the size at which it was measured.
-func worstOf(records []*Record, phase, name string) (worst float64, size int) {
+// worstValue returns the worst value of a figure in all records, and the fleet size at which it was measured.
+func worstValue(records []*Record, phase, name string) (worst float64, size int) {
 	for _, r := range records {
 		if value, ok := r.Worst(phase, name); ok && value > worst {
 			worst, size = value, r.Size
@@ -165,24 +168,24 @@
 	return worst, size
 }
 
-// WriteBudget tells for each phase whether the control budget held, by the worst process of the worst run in the mean over the
-// phase, and gives the number of phases where it did not. The worst seconds are named beside it.
+// WriteBudget writes for each phase whether the budget was kept and returns the number of phases in which it was exceeded. The
+// worst process of the worst run counts, with its mean over the phase. The peak figures of the worst second are written beside.
 func WriteBudget(w io.Writer, records []*Record) (exceeded int) {
-	for _, phase := range phases(records) {
+	for _, phase := range distinctPhases(records) {
 		verdict, parts := "held", []string{}
 		for _, b := range budgets {
-			worst, at := worstOf(records, phase, b.name)
-			if worst > b.most {
+			worst, at := worstValue(records, phase, b.name)
+			if worst > b.limit {
 				verdict = "EXCEEDED"
 			}
-			parts = append(parts, fmt.Sprintf("%s %s of %s %s (at %d)", b.name, short(worst), short(b.most), b.unit, at))
+			parts = append(parts, fmt.Sprintf("%s %s of %s %s (at %d)", b.name, formatValue(worst), formatValue(b.limit), b.unit, at))
 		}
 		if verdict != "held" {
 			exceeded++
 		}
 		for _, name := range []string{FigurePeakProcessor, FigurePeakSent} {
-			worst, at := worstOf(records, phase, name)
-			parts = append(parts, fmt.Sprintf("%s %s (at %d)", name, short(worst), at))
+			worst, at := worstValue(records, phase, name)
+			parts = append(parts, fmt.Sprintf("%s %s (at %d)", name, formatValue(worst), at))
 		}
 		fmt.Fprintf(w, "budget %-8s %-10s worst: %s\n", verdict, phase, strings.Join(parts, ", "))
 	}
