--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// Names of figures. Those of a process are means and worsts over the processes that no trouble was played on.
+// Names of figures. Those of a process are means and worst values over the processes that are no victims of the phase's fault.
 const (
-	FigureAgreed            = "agreed"             // until all routers that run have the expected view
-	FigureProcessor         = "processor"          // control, there are no requests
-	FigurePeakProcessor     = "peak_processor"     // in the worst second
-	FigureMemory            = "memory"             // resident, the most that was seen
+	FigureAgreementTime     = "agreed"             // time until all running routers have the expected view
+	FigureProcessor         = "processor"          // all of it is for control, as there are no requests
+	FigurePeakProcessor     = "peak_processor"     // processor use in the worst second
+	FigureMemory            = "memory"             // resident memory, the largest sample
 	FigureThreads           = "threads"            //
-	FigureConnections       = "connections"        // sockets of all kinds, listeners too
-	FigureSent              = "sent"               // bytes of datagrams, without headers
-	FigurePeakSent          = "peak_sent"          // in the worst second
+	FigureConnections       = "connections"        // sockets of all kinds, including listeners
+	FigureSent              = "sent"               // bytes of datagrams, without the headers of UDP and IP
+	FigurePeakSent          = "peak_sent"          // bytes sent in the worst second
 	FigureReceived          = "received"           //
 	FigureSentDatagrams     = "sent_datagrams"     //
 	FigureReceivedDatagrams = "received_datagrams" //
-	FigureDiscoveryCalls    = "discovery_calls"    // of all routers together
-	FigureHollowSent        = "hollow_sent"        // mean of the hollow routers
-	FigureHollowProcessor   = "hollow_processor"   // of this process, stand-ins and all, over the number of hollow routers
+	FigureDiscoveryCalls    = "discovery_calls"    // requests of all routers together
+	FigureHollowSent        = "hollow_sent"        // mean over the hollow routers
+	FigureHollowProcessor   = "hollow_processor"   // of this process with its stand-ins, divided by the number of hollow routers
 )
 
 // Units of figures.
@@ -38,51 +38,52 @@
 	UnitCount     = ""
 )
 
-// Figure is one thing that was measured in one phase of a run.
+// Figure is one measured quantity of one phase of a run.
 type Figure struct {
 	Phase string  `json:"phase"`
 	Name  string  `json:"name"`
 	Unit  string  `json:"unit,omitempty"`
-	Value float64 `json:"value"` // mean over what it was measured on
+	Value float64 `json:"value"` // mean over the processes on which it was measured
 	Worst float64 `json:"worst"`
 }
 
-// Strain is how busy the machine was with other things while a run lasted.
-type Strain struct {
-	Cores      int     `json:"cores"`
-	LoadBefore float64 `json:"load_before"` // load average of a minute
-	LoadAfter  float64 `json:"load_after"`
-	StallMS    float64 `json:"stall_ms"` // the longest time for which a timer of this process was late
-	Busy       bool    `json:"busy"`     // too busy for the figures to count
+// MachineLoad is how busy the machine was during a run.
+type MachineLoad struct {
+	Cores           int     `json:"cores"`
+	LoadBefore      float64 `json:"load_before"` // load average of one minute
+	LoadAfter       float64 `json:"load_after"`
+	MaxTimerDelayMS float64 `json:"stall_ms"` // the longest time for which a timer of this process was late
+	Busy            bool    `json:"busy"`     // whether the machine was too busy for the figures to count
 }
 
-// mostStall is the lateness of a timer from which figures don't count: routers may have stood still for as long.
-const mostStall = 400 * time.Millisecond
+// maxTimerDelay is the largest delay of a timer with which figures count. With a larger one routers may have been paused for
+// as long.
+const maxTimerDelay = 400 * time.Millisecond
 
-// judge tells whether the machine was too busy.
-func (s *Strain) judge() {
+// updateBusy sets Busy from the other fields.
+func (s *MachineLoad) updateBusy() {
 	cores := float64(s.Cores)
-	s.Busy = s.StallMS > float64(mostStall.Milliseconds()) || s.LoadBefore > cores || s.LoadAfter > cores
+	s.Busy = s.MaxTimerDelayMS > float64(maxTimerDelay.Milliseconds()) || s.LoadBefore > cores || s.LoadAfter > cores
 }
 
-// Record is what came of one run.
+// Record is the result of one run.
 type Record struct {
-	Scenario string   `json:"scenario"`
-	Size     int      `json:"size"`
-	Real     int      `json:"real"`
-	Seed     uint64   `json:"seed"`
-	Commit   string   `json:"commit"`
-	Started  string   `json:"started"`
-	Seconds  float64  `json:"seconds"`
-	Strain   Strain   `json:"machine"`
-	Failed   []string `json:"failed,omitempty"` // phases that came to nothing, each with the reason
-	Figures  []Figure `json:"figures"`
+	Scenario    string      `json:"scenario"`
+	Size        int         `json:"size"`
+	Real        int         `json:"real"`
+	Seed        uint64      `json:"seed"`
+	Commit      string      `json:"commit"`
+	Started     string      `json:"started"`
+	Seconds     float64     `json:"seconds"`
+	MachineLoad MachineLoad `json:"machine"`
+	Failed      []string    `json:"failed,omitempty"` // phases that failed, each with the reason
+	Figures     []Figure    `json:"figures"`
 }
 
-// AllReal tells whether the run had processes alone.
+// AllReal reports whether the run had no hollow routers.
 func (r *Record) AllReal() bool { return r.Real == r.Size }
 
-// Value is the mean of a figure over the times that its phase was played.
+// Value returns the mean of a figure over all repetitions of its phase.
 func (r *Record) Value(phase, name string) (mean float64, ok bool) {
 	count := 0
 	for _, f := range r.Figures {
@@ -94,7 +95,7 @@
 	return mean / float64(max(1, count)), count > 0
 }
 
-// Worst is the worst of a figure.
+// Worst returns the worst value of a figure over all repetitions of its phase.
 func (r *Record) Worst(phase, name string) (worst float64, ok bool) {
 	for _, f := range r.Figures {
 		if f.Phase == phase && f.Name == name {
@@ -104,8 +105,8 @@
 	return worst, ok
 }
 
-// phases are those of the records, in the order in which they are first met.
-func phases(records []*Record) (names []string) {
+// distinctPhases returns the phases of the records, in the order in which they first occur.
+func distinctPhases(records []*Record) (names []string) {
 	known := map[string]bool{}
 	for _, r := range records {
 		for _, f := range r.Figures {
@@ -128,7 +129,7 @@
 	return err
 }
 
-// ReadRecords reads the results of runs.
+// ReadRecords reads a file of records with one line of JSON each.
 func ReadRecords(path string) (all []*Record, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -32,7 +32,7 @@
 	return f
 }
 
-// What is wrong with a file is told in one line with its place.
+// Parse rejects an invalid file with an error of one line that names the place in the file.
 func TestBadFiles(t *testing.T) {
 	for text, want := range map[string]string{
 		"sizes = [50]\nrouters = 5\n":                            `x.toml:2:1: there is no "routers"`,
@@ -45,9 +45,9 @@
 		"sizes = [50]\nloss = nan\n":                             "x.toml:2: loss is NaN: 0 to 0.5 is possible",
 		"sizes = [50]\ncalm = \"1 h\"\n":                         "x.toml:2: calm is 1 h: ",
 		"sizes = [50]\ncut = \"0 s\"\n":                          "x.toml:2: cut is 0 s: ",
-		"sizes = [50]\ntroubles = [\"fire\"]\n":                  `x.toml:2: troubles has "fire": one of leave, crash, drain`,
+		"sizes = [50]\ntroubles = [\"fire\"]\n":                  `x.toml:2: troubles has "fire": must be one of leave, crash, drain`,
 		"sizes = [50]\ntroubles = [\"cut\", \"cut\"]\n":          `x.toml:2: troubles has "cut" twice`,
-		"sizes = [50]\nsettle = \"3 s\"\ntroubles = [\"drain\"]": "x.toml:2: settle is 3 s: electors grant no drain",
+		"sizes = [50]\nsettle = \"3 s\"\ntroubles = [\"drain\"]": "x.toml:2: settle is 3 s: voters grant no drain",
 	} {
 		_, err := Parse("x.toml", []byte(text))
 		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
@@ -57,7 +57,7 @@
 	parse(t, goodFile)
 }
 
-// The scenarios of the project can be read, and are within the bounds of a machine as it is bought.
+// The project's scenarios are valid, and their runs stay within the bounds of a typical machine.
 func TestOwnFiles(t *testing.T) {
 	paths, _ := filepath.Glob("../../../lab/scale/*.toml")
 	if len(paths) == 0 {
@@ -77,12 +77,12 @@
 	}
 }
 
-// A run that would break a bound is refused before it starts, with the figure.
+// Check refuses a run that would exceed a bound, with an error that names the bound.
 func TestBounds(t *testing.T) {
 	f := parse(t, goodFile)
 	plenty := Machine{Memory: 64 << 30, Sockets: 20000}
 	long := *f
-	long.Repeat = 10
+	long.Repetitions = 10
 	for _, test := range []struct {
 		run     Run
 		machine Machine
@@ -108,11 +108,11 @@
 	}
 }
 
-// Views differ from what is expected in each way that matters, and in no other.
+// Difference finds each difference of a view that matters and ignores all others.
 func TestDiffers(t *testing.T) {
 	at := time.Now()
 	start := at.UTC().Format(time.RFC3339Nano)
-	want := []Expected{{State: "alive", Phase: phaseServing, Since: at}, {State: "dead"}, {State: "unknown"}}
+	want := []ExpectedMember{{State: "alive", Phase: phaseServing, Since: at}, {State: "dead"}, {State: "unknown"}}
 	member := func(state, phase, start string) peers.Member {
 		return peers.Member{State: state, Phase: phase, Start: start}
 	}
@@ -126,27 +126,29 @@
 		{[]peers.Member{member("alive", phaseServing, start), dead}, "has 2 routers, not 3"},
 		{[]peers.Member{member("alive", phaseDraining, start), dead, unknown}, "router 0 is draining"},
 		{[]peers.Member{member("alive", phaseServing, start), unknown, unknown}, "router 1 is unknown, not dead"},
-		{[]peers.Member{member("alive", phaseServing, at.Add(-time.Second).Format(time.RFC3339Nano)), dead, unknown}, "a life that began"},
+		{[]peers.Member{member("alive", phaseServing, at.Add(-time.Second).Format(time.RFC3339Nano)), dead, unknown},
+			"a life that began"},
 	} {
-		if why := Differs(&peers.Report{Members: test.members}, want); test.why == "" && why != "" || !strings.Contains(why, test.why) {
+		if why := Difference(&peers.Report{Members: test.members}, want); test.why == "" && why != "" || !strings.Contains(why,
+			test.why) {
 			t.Errorf("%+v: %q, want %q", test.members, why, test.why)
 		}
 	}
-	if _, ok := same(nil); ok {
+	if _, ok := commonSum(nil); ok {
 		t.Error("nobody agrees")
 	}
-	if sum, ok := same([]uint32{7, 7}); !ok || sum != 7 {
+	if sum, ok := commonSum([]uint32{7, 7}); !ok || sum != 7 {
 		t.Error("7 and 7 differ")
 	}
-	if _, ok := same([]uint32{7, 7, 8}); ok {
+	if _, ok := commonSum([]uint32{7, 7, 8}); ok {
 		t.Error("7 and 8 are the same")
 	}
 }
 
-// A line through exact points is that line, and what is off the line widens the interval.
+// A fit through points on a line gives this line, and points off the line widen the interval.
 func TestSlope(t *testing.T) {
 	s := NewSlope([]float64{50, 100, 200}, []float64{10, 15, 25})
-	if value, half := s.Predict(1000); math.Abs(value-105) > 1e-9 || half > 1e-9 || math.Abs(s.Per-0.1) > 1e-9 {
+	if value, half := s.Predict(1000); math.Abs(value-105) > 1e-9 || half > 1e-9 || math.Abs(s.PerRouter-0.1) > 1e-9 {
 		t.Errorf("%+v predicts %v ± %v", s, value, half)
 	}
 	near := NewSlope([]float64{0, 1, 2, 3}, []float64{0, 1.1, 1.9, 3})
@@ -160,13 +162,14 @@
 }
 
 func record(size, real int, busy bool, figures ...Figure) *Record {
-	return &Record{Scenario: "x", Size: size, Real: real, Strain: Strain{Cores: 8, Busy: busy}, Figures: figures}
+	return &Record{Scenario: "x", Size: size, Real: real, MachineLoad: MachineLoad{Cores: 8, Busy: busy}, Figures: figures}
 }
 
-// Results come back as they were written; reports tell of excess, of calibrations, and of runs that don't count.
+// Records are read as they were written. Reports show exceeded budgets, calibrations, and runs that don't count.
 func TestReport(t *testing.T) {
 	sent := func(value, worst float64) Figure { return Figure{"calm", FigureSent, UnitBytes, value, worst} }
-	records := []*Record{record(12, 12, false, sent(100, 100)), record(12, 4, false, sent(111, 6001)), record(50, 4, true, sent(1, 9000))}
+	records := []*Record{record(12, 12, false, sent(100, 100)), record(12, 4, false, sent(111, 6001)), record(50, 4, true,
+		sent(1, 9000))}
 	path := filepath.Join(t.TempDir(), "x.jsonl")
 	var text bytes.Buffer
 	for _, r := range records {
@@ -182,19 +185,22 @@
 		t.Fatalf("%v, %v", read, err)
 	}
 	all := Calibrate(read)
-	if len(all) != 1 || all[0].Within() || all[0].Chance() || math.Abs(all[0].Difference()-0.11) > 1e-9 {
+	if len(all) != 1 || all[0].WithinMargin() || all[0].Inconclusive() || math.Abs(all[0].Difference()-0.11) > 1e-9 {
 		t.Errorf("calibration %+v", all)
 	}
-	if c := newCalibration(12, "crash", FigureAgreed, []float64{5, 6, 7}, []float64{6, 7, 8}); c.Within() || !c.Chance() || math.Abs(c.Half-0.378) > 0.001 {
+	if c := newCalibration(12, "crash", FigureAgreementTime, []float64{5, 6, 7}, []float64{6, 7, 8}); c.WithinMargin() ||
+		!c.Inconclusive() || math.Abs(c.HalfInterval-0.378) > 0.001 {
 		t.Errorf("%+v", c)
 	}
 	text.Reset()
-	if exceeded := WriteBudget(&text, Counted(read)); exceeded != 1 || !strings.Contains(text.String(), "sent 6001 of 6000 B/s (at 12)") {
+	if exceeded := WriteBudget(&text, Counted(read)); exceeded != 1 || !strings.Contains(text.String(),
+		"sent 6001 of 6000 B/s (at 12)") {
 		t.Errorf("%d exceeded: %s", exceeded, &text)
 	}
 	text.Reset()
 	WriteTable(&text, read)
-	for _, want := range []string{"x, 50 routers, 4 real, seed 0: the machine was too busy", "| 50 | 1 (busy) | calm |", "| 12 | 2 | calm |"} {
+	for _, want := range []string{"x, 50 routers, 4 real, seed 0: the machine was too busy", "| 50 | 1 (busy) | calm |",
+		"| 12 | 2 | calm |"} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("no %q in %s", want, &text)
 		}
@@ -207,29 +213,31 @@
 	}
 }
 
-// A machine is too busy by load, or by a timer that was late.
+// A machine is too busy if its load is too high or a timer was too late.
 func TestStrain(t *testing.T) {
 	for _, test := range []struct {
-		strain Strain
+		strain MachineLoad
 		busy   bool
 	}{
-		{Strain{Cores: 8, LoadBefore: 7, LoadAfter: 8, StallMS: 400}, false}, {Strain{Cores: 8, LoadBefore: 8.1}, true},
-		{Strain{Cores: 8, LoadAfter: 8.1}, true}, {Strain{Cores: 8, StallMS: 401}, true},
+		{MachineLoad{Cores: 8, LoadBefore: 7, LoadAfter: 8, MaxTimerDelayMS: 400}, false}, {MachineLoad{Cores: 8,
+			LoadBefore: 8.1}, true},
+		{MachineLoad{Cores: 8, LoadAfter: 8.1}, true}, {MachineLoad{Cores: 8, MaxTimerDelayMS: 401}, true},
 	} {
-		if test.strain.judge(); test.strain.Busy != test.busy {
+		if test.strain.updateBusy(); test.strain.Busy != test.busy {
 			t.Errorf("%+v", test.strain)
 		}
 	}
 }
 
-// Processor time counts from the start of a process that is new, and peaks are of whole seconds.
+// The processor time of a restarted process counts from its start, and peak rates ignore short intervals between samples.
 func TestFigures(t *testing.T) {
 	at := time.Now()
 	read := func(seconds float64, pid int, used time.Duration, bytes uint64) sample {
 		r := reading{pid, Usage{Processor: used, MemoryBytes: 5e6, Threads: 3}, Traffic{SentBytes: bytes}}
 		return sample{at.Add(time.Duration(seconds * float64(time.Second))), []reading{r}}
 	}
-	all := figures("x", []sample{read(0, 1, time.Second, 0), read(1, 1, 1100*time.Millisecond, 900), read(1.1, 1, 1100*time.Millisecond, 900),
+	all := processFigures("x", []sample{read(0, 1, time.Second, 0), read(1, 1, 1100*time.Millisecond, 900), read(1.1, 1,
+		1100*time.Millisecond, 900),
 		read(2.1, 2, 50*time.Millisecond, 1000), read(4, 2, 100*time.Millisecond, 1000)}, []int{0})
 	got := map[string]float64{}
 	for _, f := range all {
@@ -243,7 +251,7 @@
 	}
 }
 
-// What a process sends counts where a hollow router is cut from it or down, and is received by neither.
+// Datagrams of a process to a hollow router that is cut off or down count as sent, and don't count as received.
 func TestNetwork(t *testing.T) {
 	socket := func() (*net.UDPConn, netip.AddrPort) {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -253,35 +261,35 @@
 		t.Cleanup(func() { c.Close() })
 		return c, c.LocalAddr().(*net.UDPAddr).AddrPort()
 	}
-	process, processHome := socket()
-	listening, hollowHome := socket()
-	n := newNetwork(2, []netip.AddrPort{processHome, hollowHome}, []bool{true, false})
+	process, processAddr := socket()
+	listening, hollowAddr := socket()
+	n := newNetwork(2, []netip.AddrPort{processAddr, hollowAddr}, []bool{true, false})
 	var silent atomic.Bool
-	hollow := n.attach(1, 1, &silent, listening)
+	hollow := n.wrapSocket(1, 1, &silent, listening)
 	got := make(chan int, 1)
 	go func() {
 		size, _, _ := hollow.ReadFromUDPAddrPort(make([]byte, 16))
 		got <- size
 	}()
 	send := func(size int) {
-		if _, err := process.WriteToUDPAddrPort(make([]byte, size), hollowHome); err != nil {
+		if _, err := process.WriteToUDPAddrPort(make([]byte, size), hollowAddr); err != nil {
 			t.Fatal(err)
 		}
 	}
 	n.cut.Store(true)
 	send(5)
 	testprog.Until(t, "the datagram counts as sent", func() bool { return n.traffic(0).SentBytes == 5 })
-	hollow.WriteToUDPAddrPort(make([]byte, 9), processHome)
+	hollow.WriteToUDPAddrPort(make([]byte, 9), processAddr)
 	n.cut.Store(false)
 	send(7)
 	if size := testprog.Await(t, got, "datagram"); size != 7 {
 		t.Errorf("%d bytes came first", size)
 	}
-	hollow.WriteToUDPAddrPort(make([]byte, 3), processHome)
+	hollow.WriteToUDPAddrPort(make([]byte, 3), processAddr)
 	silent.Store(true)
-	hollow.WriteToUDPAddrPort(make([]byte, 4), processHome)
+	hollow.WriteToUDPAddrPort(make([]byte, 4), processAddr)
 	hollow.Close()
-	down, err := n.openSink(1, hollowHome)
+	down, err := n.openSink(1, hollowAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,7 +304,8 @@
 	}
 }
 
-// Hollow routers agree on a start and a crash; regions that are cut from one another differ and meet again; all is over at the end.
+// Hollow routers agree after a start and a crash. Regions that are cut off from one another disagree, and agree again after the
+// cut. After close nothing runs any more.
 func TestHollowFleet(t *testing.T) {
 	f, err := newFleet(Run{parse(t, "sizes = [8]\ncaches = 5\nreal = 1\nregions = 2\n"), 8, 0, 1}, "")
 	if err != nil {
@@ -306,17 +315,17 @@
 	ctx := t.Context()
 	agreed := func(what string) {
 		t.Helper()
-		if _, err := f.agreement().wait(ctx); err != nil {
+		if _, err := f.watchAgreement().wait(ctx); err != nil {
 			t.Fatalf("%s: %v", what, err)
 		}
 	}
-	if err := f.start(ctx, f.all()); err != nil {
+	if err := f.start(ctx, f.allNumbers()); err != nil {
 		t.Fatal(err)
 	}
 	agreed("start")
-	testprog.Until(t, "all watch discovery", func() bool { return f.discovery.watches.Load() == 8 })
+	testprog.Until(t, "all watch discovery", func() bool { return f.discovery.openWatches.Load() == 8 })
 	f.setCut(true)
-	testprog.Until(t, "each half takes the other for dead", func() bool { return f.hollow[0].life.peers.Summary().Dead == 4 })
+	testprog.Until(t, "each half takes the other for dead", func() bool { return f.hollow[0].current.peers.Summary().Dead == 4 })
 	f.setCut(false)
 	agreed("healed")
 	if err := f.crash([]int{3}); err != nil {
@@ -327,7 +336,7 @@
 		t.Errorf("traffic %+v", sum)
 	}
 	f.close()
-	testprog.Until(t, "no watch of discovery is left", func() bool { return f.discovery.watches.Load() == 0 })
+	testprog.Until(t, "no watch of discovery is left", func() bool { return f.discovery.openWatches.Load() == 0 })
 }
 
 // A run that is interrupted ends the processes that it has started.
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -11,32 +11,32 @@
 	"unsafe"
 )
 
-// Usage is what a process has used, and holds, at a moment.
+// Usage is what a process has used and what it holds at a moment.
 type Usage struct {
-	Processor   time.Duration // since its start
-	MemoryBytes int64         // resident
+	Processor   time.Duration // processor time since its start
+	MemoryBytes int64         // resident memory
 	Threads     int
 	Connections int // sockets of all kinds
 }
 
-// usageOf reads the usage of a process.
-func usageOf(pid int) (Usage, error) {
+// readUsage reads the usage of a process.
+func readUsage(pid int) (Usage, error) {
 	var u Usage
 	var err error
 	if u.Processor, err = processorTime(pid); err != nil {
 		return u, err
 	}
-	if u.MemoryBytes, u.Threads, err = memoryOf(pid); err != nil {
+	if u.MemoryBytes, u.Threads, err = readMemory(pid); err != nil {
 		return u, err
 	}
-	u.Connections, err = socketsOf(pid)
+	u.Connections, err = countSockets(pid)
 	return u, err
 }
 
-// cpuClockScheduled marks the clock of a process's processor time in Linux's numbers of clocks: ~pid << 3 | 2.
+// cpuClockScheduled selects the processor time of a process in the id of its clock, which Linux defines as ~pid << 3 | 2.
 const cpuClockScheduled = 2
 
-// processorTime is the processor time of all threads of a process, those that have ended too, in nanoseconds.
+// processorTime returns the processor time of all threads of a process, including those that have ended, in nanoseconds.
 func processorTime(pid int) (time.Duration, error) {
 	clock := int32(^pid)<<3 | cpuClockScheduled
 	var at syscall.Timespec
@@ -46,8 +46,8 @@
 	return time.Duration(at.Nano()), nil
 }
 
-// memoryOf is the resident memory of a process and the number of its threads.
-func memoryOf(pid int) (bytes int64, threads int, err error) {
+// readMemory returns the resident memory of a process in bytes and the number of its threads.
+func readMemory(pid int) (bytes int64, threads int, err error) {
 	file, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, 0, err
@@ -71,8 +71,8 @@
 	return bytes, threads, lines.Err()
 }
 
-// socketsOf counts the sockets of a process.
-func socketsOf(pid int) (count int, err error) {
+// countSockets returns the number of sockets of a process.
+func countSockets(pid int) (count int, err error) {
 	folder := fmt.Sprintf("/proc/%d/fd", pid)
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return count, nil
 }
 
-// loadAverage is that of the last minute; 0 where it is not told.
+// loadAverage returns the load average of the last minute, or 0 if the system does not report it.
 func loadAverage() (load float64) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err == nil {
