--- a/internal/lab/arrival/arrival.go
+++ b/internal/lab/arrival/arrival.go
@@ -79,8 +79,8 @@
 	return n, at, err
 }
 
-// Last returns when the bytes of the latest Read arrived.
-func (l *Log) Last() time.Time {
+// LastArrival returns when the bytes of the latest Read arrived.
+func (l *Log) LastArrival() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastReceived
--- a/internal/lab/arrival/receive.go
+++ b/internal/lab/arrival/receive.go
@@ -63,7 +63,8 @@
 	case err != nil: // the deadline has passed, or this side is closed
 		return 0, at, err
 	case failed != nil:
-		return 0, at, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("recvmsg", failed)}
+		return 0, at, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(),
+			Err: os.NewSyscallError("recvmsg", failed)}
 	case n == 0:
 		return 0, at, io.EOF
 	}
--- a/internal/lab/drill/check.go
+++ b/internal/lab/drill/check.go
@@ -70,6 +70,7 @@
 	return all
 }
 
+// appliesTo reports whether the claim is about a router, which counts from 1 as in events.
 func (c *Claim) appliesTo(router int) bool {
 	return router > 0 && (len(c.Routers) == 0 || slices.Contains(c.Routers, router-1))
 }
@@ -319,7 +320,8 @@
 			consecutive = 0
 		}
 		if begun := float64(i + 1 - serviceSeconds); consecutive == serviceSeconds {
-			return begun <= calm+c.Within.Seconds(), fmt.Sprintf("five seconds of %.2f or more from %.0f s on, %.1f s after all was calm", c.MinService, begun, begun-calm)
+			return begun <= calm+c.Within.Seconds(),
+				fmt.Sprintf("five seconds of %.2f or more from %.0f s on, %.1f s after all was calm", c.MinService, begun, begun-calm)
 		}
 	}
 	return false, fmt.Sprintf("no five seconds of %.2f in a row after %.1f s, the best has %.3f", c.MinService, calm, best)
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -91,29 +91,29 @@
 
 // permitLines returns the log lines of two routers that are out of service by permit between the given times, in seconds.
 func permitLines(from1, to1, from2, to2 float64) []Event {
-	return []Event{{At: from1, From: "router", Router: 1, Text: permitHeldLine}, {At: from2, From: "router", Router: 2,
-		Text: permitHeldLine},
-		{At: to1, From: "router", Router: 1, Text: `msg="permit given back"`}, {At: to2, From: "router", Router: 2,
-			Text: `msg="permit lost, serving again"`}}
+	return []Event{{At: from1, From: "router", Router: 1, Text: permitHeldLine},
+		{At: from2, From: "router", Router: 2, Text: permitHeldLine},
+		{At: to1, From: "router", Router: 1, Text: `msg="permit given back"`},
+		{At: to2, From: "router", Router: 2, Text: `msg="permit lost, serving again"`}}
 }
 
 // replacement returns the events of a router that a release replaces and that is ready again at one time, and of another
 // router that gets its permit at the time next, in seconds.
 func replacement(ready, next float64) []Event {
-	return []Event{{At: 2, From: "router", Router: 1, Text: permitHeldLine}, {At: 3, From: "drill", Router: 1,
-		Text: commandPrefix + "new"},
+	return []Event{{At: 2, From: "router", Router: 1, Text: permitHeldLine},
+		{At: 3, From: "drill", Router: 1, Text: commandPrefix + "new"},
 		{At: 3, From: "drill", Router: 1, Text: "term: true"}, {At: ready, From: "watch", Router: 1, Text: "ready"},
-		{At: next, From: "router", Router: 2, Text: permitHeldLine}, {At: 12, From: "router", Router: 2,
-			Text: `msg="permit given back"`}}
+		{At: next, From: "router", Router: 2, Text: permitHeldLine},
+		{At: 12, From: "router", Router: 2, Text: `msg="permit given back"`}}
 }
 
 // drainLines returns the log lines of two routers that have slot cache a and slot cache b drained at the same time.
 func drainLines(a, b string) []Event {
 	line := func(cache, what string) string { return `msg="slot cache ` + cache + " " + what + `"` }
-	return []Event{{At: 2, From: "router", Router: 1, Text: line(a, "drained")}, {At: 3, From: "router", Router: 2,
-		Text: line(b, "drained")},
-		{At: 5, From: "router", Router: 1, Text: line(a, "drained no more")}, {At: 6, From: "router", Router: 2, Text: line(b,
-			"drained no more")}}
+	return []Event{{At: 2, From: "router", Router: 1, Text: line(a, "drained")},
+		{At: 3, From: "router", Router: 2, Text: line(b, "drained")},
+		{At: 5, From: "router", Router: 1, Text: line(a, "drained no more")},
+		{At: 6, From: "router", Router: 2, Text: line(b, "drained no more")}}
 }
 
 // releaseCommands returns an event for a command of the release for each of the routers, counted from 1.
@@ -132,8 +132,8 @@
 	f.Day.Routers = 2
 	bothReady := []Event{{At: -1, From: "watch", Router: 1, Text: "ready"}, {At: -1, From: "watch", Router: 2, Text: "ready"}}
 	views := func(first, second string) []Event {
-		return []Event{{At: 6, Uncertainty: 0.1, From: "view", Router: 1, Text: first}, {At: 6, Uncertainty: 0.1, From: "view",
-			Router: 2, Text: second}}
+		return []Event{{At: 6, Uncertainty: 0.1, From: "view", Router: 1, Text: first},
+			{At: 6, Uncertainty: 0.1, From: "view", Router: 2, Text: second}}
 	}
 	goodResult := &tally.Result{Series: &tally.Series{Service: []float64{1, 1, 0, 0, 0, 0.9, 0.95, 1, 1, 1, 1}}}
 	byTime := func(a, b Event) int { return cmp.Compare(a.At, b.At) }
--- a/internal/lab/drill/file.go
+++ b/internal/lab/drill/file.go
@@ -22,7 +22,7 @@
 // File is a drill as its TOML file describes it.
 type File struct {
 	Title          string          `toml:"title"`
-	Day            model.Day       `toml:"day"`    // only what differs from model.Prairie; its faults are played too
+	Day            model.Day       `toml:"day"`    // model.Prairie with the settings that the file states; its faults are played too
 	AbsentRouters  int             `toml:"absent"` // routers that the peer lists contain but that don't exist
 	OperatorsFile  string          `toml:"file"`   // text of the operators' file that all routers read; empty: they have none
 	Plan           *ReleasePlan    `toml:"release"`
@@ -147,7 +147,8 @@
 		return nil, experiment.FaultOf(path, text, err)
 	}
 	if f.Day.Routers > 60 {
-		return nil, experiment.Fault(path, text, "day.routers", fmt.Sprintf("routers is %d: a machine has room for 60 processes", f.Day.Routers))
+		return nil, experiment.Fault(path, text, "day.routers",
+			fmt.Sprintf("routers is %d: a machine has room for 60 processes", f.Day.Routers))
 	}
 	if f.AbsentRouters < 0 || f.AbsentRouters > 1000 {
 		return nil, experiment.Fault(path, text, "absent", fmt.Sprintf("absent is %d: 0 to 1000 is possible", f.AbsentRouters))
--- a/internal/lab/drill/play.go
+++ b/internal/lab/drill/play.go
@@ -71,11 +71,12 @@
 	currentDriver  *os.Process   // the latest process that drives the release; nil if there is none
 	drivers        []*os.Process // all processes of release commands
 	proxies        map[proxyKey][]*faultproxy.StreamProxy
-	streamFaults   map[proxyKey]faultproxy.StreamFaults // the faults that new proxies begin with
+	streamFaults   map[proxyKey]faultproxy.StreamFaults // current faults, with which new proxies begin
 	closeIdleConns map[int]func()                       // by router: closes its idle connections
 	control        standin.Control
 }
 
+// proxyKey names the proxies of one router for one party.
 type proxyKey struct {
 	router int
 	party  standin.Party
@@ -133,7 +134,7 @@
 			o.Steps = append(o.Steps, standin.Step{At: day.Warm.D() + s.At.D() + s.Duration.D(), Do: func() { p.endStep(i, s) }})
 		}
 	}
-	var watch sync.WaitGroup
+	var polls sync.WaitGroup
 	var lag time.Duration
 	o.Begun = func(c standin.Control, at time.Time) {
 		p.mu.Lock()
@@ -144,15 +145,15 @@
 			opt.onBegin()
 		}
 		for i := range day.Routers {
-			watch.Go(func() { p.pollReady(ctx, i) })
-			watch.Go(func() { p.pollView(ctx, i) })
+			polls.Go(func() { p.pollReady(ctx, i) })
+			polls.Go(func() { p.pollView(ctx, i) })
 		}
-		watch.Go(func() { lag = p.measureLag(ctx) })
-		watch.Go(func() { p.pollCommands(ctx, c) })
+		polls.Go(func() { lag = p.measureLag(ctx) })
+		polls.Go(func() { p.pollCommands(ctx, c) })
 	}
 	result, err := standin.Run(ctx, &day, o)
 	cancel()
-	watch.Wait()
+	polls.Wait()
 	p.killDrivers()
 	if err != nil {
 		return nil, err
@@ -237,6 +238,7 @@
 	}
 }
 
+// record adds an event of the drill itself to the timeline. Routers count from 0; -1 is none.
 func (p *player) record(router int, format string, args ...any) {
 	p.timeline.add(time.Now(), time.Millisecond, "drill", router, fmt.Sprintf(format, args...))
 }
@@ -334,18 +336,18 @@
 		}
 		p.mu.Lock()
 		k := proxyKey{i, standin.Party(s.Kind)}
-		held, disturbed, refused := p.streamFaults[k].DelaysForwarding(), p.streamFaults[k].HasFaults(), p.streamFaults[k].Reset
+		wasDelayed, hadFaults, wasReset := p.streamFaults[k].DelaysForwarding(), p.streamFaults[k].HasFaults(), p.streamFaults[k].Reset
 		p.streamFaults[k] = x
 		list := p.proxies[k]
 		p.mu.Unlock()
-		if holds := x.DelaysForwarding(); holds != held && (k.party == standin.Cache || k.party == standin.Origin) {
-			control.HeldBack(i, holds)
+		if delays := x.DelaysForwarding(); delays != wasDelayed && (k.party == standin.Cache || k.party == standin.Origin) {
+			control.HeldBack(i, delays)
 		}
-		if x.Reset != refused && k.party == standin.Cache {
+		if x.Reset != wasReset && k.party == standin.Cache {
 			control.Unreachable(i, x.Reset)
 		}
-		if disturbs := x.HasFaults(); disturbs != disturbed && (k.party == standin.Cache || k.party == standin.Origin) {
-			control.Disturbed(i, disturbs)
+		if hasFaults := x.HasFaults(); hasFaults != hadFaults && (k.party == standin.Cache || k.party == standin.Origin) {
+			control.Disturbed(i, hasFaults)
 		}
 		for _, w := range list {
 			w.SetFaults(x)
--- a/internal/lab/drill/timeline.go
+++ b/internal/lab/drill/timeline.go
@@ -105,8 +105,8 @@
 		text := string(append(l.partialLine, line...))
 		l.partialLine, b = nil, rest
 		at, uncertainty := time.Now(), time.Second
-		if said, ok := logs.Field(text, "time"); ok {
-			if x, err := time.Parse(time.RFC3339Nano, said); err == nil {
+		if stated, ok := logs.Field(text, "time"); ok {
+			if x, err := time.Parse(time.RFC3339Nano, stated); err == nil {
 				at, uncertainty = x, time.Millisecond
 			}
 		}
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -101,7 +101,7 @@
 }
 
 // Datagrams are lost, duplicated, corrupted and reordered with the stated probabilities, alike with the same seed.
-func TestMeshParts(t *testing.T) {
+func TestMeshFaultProbabilities(t *testing.T) {
 	play := func(f DatagramFaults, n int) (all []string) {
 		m := mesh(t, 2)
 		socks, heard := routers(t, m, 2)
@@ -236,7 +236,7 @@
 }
 
 // A proxy neither listens on nor forwards to an address outside this machine.
-func TestLoopbackAlone(t *testing.T) {
+func TestLoopbackOnly(t *testing.T) {
 	if _, err := NewStreamProxy("0.0.0.0", "127.0.0.1:80"); err == nil {
 		t.Error("a proxy listens elsewhere")
 	}
--- a/internal/lab/scale/bounds.go
+++ b/internal/lab/scale/bounds.go
@@ -22,8 +22,8 @@
 	baseMemory             = 120 << 20 // bytes of this process without any router
 	hollowMemory           = 400 << 10 // bytes of a hollow router in a fleet of a few routers
 	hollowMemoryPerPeer    = 700       // bytes more of a hollow router for each router that it knows
-	realMemory             = 40 << 20  // bytes of a process of the program in a fleet of a few routers
-	realMemoryPerPeer      = 16 << 10  // bytes more of a process for each router that it knows
+	processMemory          = 40 << 20  // bytes of a process of the program in a fleet of a few routers
+	processMemoryPerPeer   = 16 << 10  // bytes more of a process for each router that it knows
 	socketsPerHollow       = 3         // its UDP socket, and both ends of its connection to discovery
 	baseSockets            = 100
 	startDuration          = 20 * time.Second // until all routers agree for the first time
@@ -103,7 +103,8 @@
 // estimateMemory estimates the memory that a run needs, in bytes.
 func (r Run) estimateMemory() int64 {
 	size := int64(r.Size)
-	return baseMemory + r.hollowCount()*(hollowMemory+size*hollowMemoryPerPeer) + int64(r.Real)*(realMemory+size*realMemoryPerPeer)
+	return baseMemory + r.hollowCount()*(hollowMemory+size*hollowMemoryPerPeer) +
+		int64(r.Real)*(processMemory+size*processMemoryPerPeer)
 }
 
 // estimateSockets estimates the file descriptors that this process needs: those of hollow routers, and a proxy for each pair
--- a/internal/lab/scale/calibrate.go
+++ b/internal/lab/scale/calibrate.go
@@ -39,19 +39,19 @@
 // Calibrate compares the runs of processes alone with the mostly hollow ones, for each size that has both.
 func Calibrate(records []*Record) (all []Calibration) {
 	for _, size := range distinctSizes(records) {
-		var real, hollow []*Record
+		var allProcesses, mostlyHollow []*Record
 		for _, r := range records {
 			switch {
 			case r.Size != size:
 			case r.AllReal():
-				real = append(real, r)
+				allProcesses = append(allProcesses, r)
 			default:
-				hollow = append(hollow, r)
+				mostlyHollow = append(mostlyHollow, r)
 			}
 		}
-		for _, phase := range distinctPhases(slices.Concat(real, hollow)) {
+		for _, phase := range distinctPhases(slices.Concat(allProcesses, mostlyHollow)) {
 			for _, name := range calibratedFigures {
-				a, b := figureValues(real, phase, name), figureValues(hollow, phase, name)
+				a, b := figureValues(allProcesses, phase, name), figureValues(mostlyHollow, phase, name)
 				if len(a) > 0 && len(b) > 0 {
 					all = append(all, newCalibration(size, phase, name, a, b))
 				}
@@ -61,18 +61,20 @@
 	return all
 }
 
-func newCalibration(size int, phase, name string, real, hollow []float64) Calibration {
-	c := Calibration{Size: size, Phase: phase, Name: name, ProcessMean: stat.Mean(real, nil), HollowMean: stat.Mean(hollow, nil),
-		Repetitions: min(len(real), len(hollow)), HalfInterval: math.Inf(1)}
+func newCalibration(size int, phase, name string, processValues, hollowValues []float64) Calibration {
+	c := Calibration{Size: size, Phase: phase, Name: name, ProcessMean: stat.Mean(processValues, nil),
+		HollowMean:  stat.Mean(hollowValues, nil),
+		Repetitions: min(len(processValues), len(hollowValues)), HalfInterval: math.Inf(1)}
 	if c.Repetitions < 2 {
 		return c
 	}
-	a, b := stat.Variance(real, nil)/float64(len(real)), stat.Variance(hollow, nil)/float64(len(hollow))
+	a, b := stat.Variance(processValues, nil)/float64(len(processValues)), stat.Variance(hollowValues,
+		nil)/float64(len(hollowValues))
 	if a+b == 0 {
 		c.HalfInterval = 0
 		return c
 	}
-	degreesOfFreedom := (a + b) * (a + b) / (a*a/float64(len(real)-1) + b*b/float64(len(hollow)-1))
+	degreesOfFreedom := (a + b) * (a + b) / (a*a/float64(len(processValues)-1) + b*b/float64(len(hollowValues)-1))
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile(0.975)
 	c.HalfInterval = t * math.Sqrt(a+b) / c.ProcessMean
 	return c
--- a/internal/lab/scale/fault.go
+++ b/internal/lab/scale/fault.go
@@ -49,17 +49,17 @@
 
 // FaultNames returns the names of all faults.
 func FaultNames() (names []string) {
-	for _, t := range faults() {
-		names = append(names, t.name)
+	for _, f := range faults() {
+		names = append(names, f.name)
 	}
 	return names
 }
 
 // faultNamed returns the fault of a name, or nil if there is none.
 func faultNamed(name string) *fault {
-	for _, t := range faults() {
-		if t.name == name {
-			return &t
+	for _, f := range faults() {
+		if f.name == name {
+			return &f
 		}
 	}
 	return nil
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -15,19 +15,19 @@
 
 // Limits of a scenario's settings.
 const (
-	minSize         = 4
-	maxSize         = 1000
-	maxReal         = 60
-	maxCaches       = 1000
-	maxZones        = 100
-	maxRegions      = 15
-	maxSeeds        = 20
-	maxRepetitions  = 10
-	maxCalm         = 5 * time.Minute
-	maxSettle       = time.Minute
-	maxCut          = 5 * time.Minute
-	minCalm         = time.Second
-	voterStartDelay = 10 * time.Second // time after its start in which a voter grants no permit
+	minSize           = 4
+	maxSize           = 1000
+	maxFleetProcesses = 60
+	maxCaches         = 1000
+	maxZones          = 100
+	maxRegions        = 15
+	maxSeeds          = 20
+	maxRepetitions    = 10
+	maxCalm           = 5 * time.Minute
+	maxSettle         = time.Minute
+	maxCut            = 5 * time.Minute
+	minCalm           = time.Second
+	voterStartDelay   = 10 * time.Second // time after its start in which a voter grants no permit
 )
 
 // File is a scenario: the sizes of the fleets that are run one after the other, and the faults of each.
@@ -35,7 +35,7 @@
 	Title       string        `toml:"title"`
 	Sizes       []int         `toml:"sizes"`
 	Seeds       int           `toml:"seeds"`     // runs of each size
-	Real        int           `toml:"real"`      // processes of the router's program in each fleet, at most its size
+	Processes   int           `toml:"real"`      // processes of the router's program in each fleet, at most its size
 	Caches      int           `toml:"caches"`    // cache servers that discovery lists
 	Zones       int           `toml:"zones"`     // routers are assigned to zones by number, round robin
 	Regions     int           `toml:"regions"`   // routers are assigned to regions in the same manner
@@ -61,7 +61,7 @@
 
 // Parse reads and checks the text of a scenario. Its errors name path, the line and the setting.
 func Parse(path string, text []byte) (*File, error) {
-	f := &File{Seeds: 1, Real: 8, Caches: 110, Zones: 15, Regions: 4, Settle: unit.Duration(voterStartDelay),
+	f := &File{Seeds: 1, Processes: 8, Caches: 110, Zones: 15, Regions: 4, Settle: unit.Duration(voterStartDelay),
 		Calm: unit.Duration(15 * time.Second),
 		Cut:  unit.Duration(20 * time.Second), Loss: 0.1, Repetitions: 1}
 	if err := experiment.Strict(path, text, f); err != nil {
@@ -98,7 +98,7 @@
 		minimum, maximum float64
 	}{
 		{"seeds", float64(f.Seeds), 1, maxSeeds},
-		{"real", float64(f.Real), 1, maxReal},
+		{"real", float64(f.Processes), 1, maxFleetProcesses},
 		{"caches", float64(f.Caches), 1, maxCaches},
 		{"zones", float64(f.Zones), 1, maxZones},
 		{"regions", float64(f.Regions), 2, maxRegions},
@@ -121,8 +121,8 @@
 	if f.Cut.D() < minCalm || f.Cut.D() > maxCut {
 		return "cut", fmt.Sprintf("cut is %v: %v to %v is possible", f.Cut, minCalm, maxCut)
 	}
-	if i := slices.IndexFunc(f.Sizes, func(n int) bool { return n < f.Real }); i >= 0 {
-		return "real", fmt.Sprintf("real is %d, and a fleet of %d is to be run", f.Real, f.Sizes[i])
+	if i := slices.IndexFunc(f.Sizes, func(n int) bool { return n < f.Processes }); i >= 0 {
+		return "real", fmt.Sprintf("real is %d, and a fleet of %d is to be run", f.Processes, f.Sizes[i])
 	}
 	for i, name := range f.Faults {
 		if faultNamed(name) == nil {
@@ -151,7 +151,7 @@
 			if f.Calibrate {
 				all = append(all, Run{f, size, size, uint64(seed + 1)})
 			}
-			all = append(all, Run{f, size, f.Real, uint64(seed + 1)})
+			all = append(all, Run{f, size, f.Processes, uint64(seed + 1)})
 		}
 	}
 	return all
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -77,6 +77,7 @@
 	return f, nil
 }
 
+// prepare starts the stand-ins and the mesh and creates the routers.
 func (f *fleet) prepare(program string) error {
 	day := f.run.day()
 	var kinds []string
@@ -97,31 +98,31 @@
 	if f.mesh, err = faultproxy.NewMesh(f.run.Real, f.run.Seed); err != nil {
 		return err
 	}
-	peerAddrs, real, err := f.peerAddrs()
+	peerAddrs, isProcess, err := f.peerAddrs()
 	if err != nil {
 		return err
 	}
-	f.network = newNetwork(f.run.File.Regions, peerAddrs, real)
+	f.network = newNetwork(f.run.File.Regions, peerAddrs, isProcess)
 	addrs := make([]string, len(peerAddrs))
 	for i, addr := range peerAddrs {
 		addrs[i] = addr.String()
 	}
-	return f.createRouters(&day, program, addrs, real)
+	return f.createRouters(&day, program, addrs, isProcess)
 }
 
 // peerAddrs returns the addresses at which routers listen for their peers, and which of the routers are processes.
-func (f *fleet) peerAddrs() (addrs []netip.AddrPort, real []bool, err error) {
-	addrs, real = make([]netip.AddrPort, f.run.Size), make([]bool, f.run.Size)
+func (f *fleet) peerAddrs() (addrs []netip.AddrPort, isProcess []bool, err error) {
+	addrs, isProcess = make([]netip.AddrPort, f.run.Size), make([]bool, f.run.Size)
 	for k := range f.run.Real {
 		number := f.run.processNumber(k)
-		real[number] = true
+		isProcess[number] = true
 		if addrs[number], err = netip.ParseAddrPort(f.mesh.RouterAddr(k)); err != nil {
 			return nil, nil, err
 		}
 	}
 	next := f.run.Real // the mesh uses the hosts with lower numbers
 	for number := range addrs {
-		if real[number] {
+		if isProcess[number] {
 			continue
 		}
 		text, err := loopback.Leave(loopback.Peers, next)
@@ -133,16 +134,16 @@
 			return nil, nil, err
 		}
 	}
-	return addrs, real, nil
+	return addrs, isProcess, nil
 }
 
 // createRouters creates all routers, each with the configuration that the platform would give it.
-func (f *fleet) createRouters(day *model.Day, program string, peerAddrs []string, real []bool) error {
+func (f *fleet) createRouters(day *model.Day, program string, peerAddrs []string, isProcess []bool) error {
 	process := 0
 	for number := range f.routers {
 		c := platformConfig{Discovery: f.discovery.addr, Seed: fmt.Sprintf("%016x", f.run.Seed<<16+uint64(number)),
 			Settings: standin.SettingsJSON(day, number), PeerListen: peerAddrs[number], Peers: peerAddrs}
-		if !real[number] {
+		if !isProcess[number] {
 			h, err := f.newHollow(number, &c)
 			if err != nil {
 				return err
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -38,7 +38,7 @@
 	peers    *peers.Peers
 	stopping atomic.Bool
 	draining atomic.Bool
-	silent   atomic.Bool
+	silent   atomic.Bool // set when the router crashes: it sends nothing more
 	cancel   context.CancelFunc
 	group    *errgroup.Group
 }
@@ -60,33 +60,35 @@
 // CloseIdle implements relay.Caller.
 func (noopCaller) CloseIdle(uint32) {}
 
-// start begins an incarnation. It assembles it as the program's serve command does, without the parts that serve clients.
+// start begins an incarnation with the same parts as the program's serve command, except those that serve clients.
 func (h *hollow) start(context.Context) error {
 	h.closeSink()
 	c := h.config
-	l := &incarnation{}
+	inc := &incarnation{}
 	module := relay.New(c.Settings, c.Seed, noopCaller{}, noopCaller{})
 	listed := drains.New(module)
 	agent := &permit.Agent{Self: h.number, Of: len(c.Peers), Zone: c.Settings.Zone, Chance: rand.Uint64}
 	var err error
-	l.peers, err = peers.New(peers.Settings{Self: h.number, Listen: c.PeerListen, Addrs: c.Peers, Seed: rand.Uint64(),
-		Phase: l.phase, Tell: func() view.Details { return details(c) }, Agent: agent, Out: l.draining.Store,
+	inc.peers, err = peers.New(peers.Settings{Self: h.number, Listen: c.PeerListen, Addrs: c.Peers, Seed: rand.Uint64(),
+		Phase: inc.phase, Tell: func() view.Details { return details(c) }, Agent: agent, Out: inc.draining.Store,
 		Caches: module.Caches, Aside: listed,
-		Wrap: func(socket *net.UDPConn) peers.Conn { return h.network.wrapSocket(h.number, c.Seed, &l.silent, socket) },
+		Wrap: func(socket *net.UDPConn) peers.Conn {
+			return h.network.wrapSocket(h.number, c.Seed, &inc.silent, socket)
+		},
 	})
 	if err != nil {
 		return err
 	}
-	l.peers.Bound(peers.Bounds{Fleet: permit.Bound{Number: 1}, Caches: permit.Bound{Number: 1}})
+	inc.peers.Bound(peers.Bounds{Fleet: permit.Bound{Number: 1}, Caches: permit.Bound{Number: 1}})
 	mapping := &discovery.Names{Zones: c.Zones, Kinds: c.Kinds, OriginKind: c.Settings.OriginKind}
 	client := discovery.NewClient(&discovery.Registry{Addr: c.Discovery, Times: discovery.PlatformTimes}, mapping, listed, c.Known)
 	var ctx context.Context
-	ctx, l.cancel = context.WithCancel(context.Background())
-	l.group, ctx = errgroup.WithContext(ctx)
-	l.group.Go(func() error { return module.Run(ctx, client) })
-	l.group.Go(func() error { return client.Run(ctx) })
-	l.group.Go(func() error { return l.peers.Run(ctx) })
-	h.current = l
+	ctx, inc.cancel = context.WithCancel(context.Background())
+	inc.group, ctx = errgroup.WithContext(ctx)
+	inc.group.Go(func() error { return module.Run(ctx, client) })
+	inc.group.Go(func() error { return client.Run(ctx) })
+	inc.group.Go(func() error { return inc.peers.Run(ctx) })
+	h.current = inc
 	return nil
 }
 
@@ -96,11 +98,11 @@
 }
 
 // phase returns the phase that the router announces. A hollow router has phases although it has no clients.
-func (l *incarnation) phase() view.Phase {
+func (inc *incarnation) phase() view.Phase {
 	switch {
-	case l.stopping.Load():
+	case inc.stopping.Load():
 		return view.Stopping
-	case l.draining.Load():
+	case inc.draining.Load():
 		return view.Draining
 	}
 	return view.Serving
@@ -111,16 +113,16 @@
 	if h.current == nil {
 		return nil
 	}
-	l := h.current
+	inc := h.current
 	h.current = nil
-	l.silent.Store(true)
-	return h.shutDown(l)
+	inc.silent.Store(true)
+	return h.shutDown(inc)
 }
 
 // shutDown ends the goroutines of an incarnation and opens a sink at its address.
-func (h *hollow) shutDown(l *incarnation) error {
-	l.cancel()
-	if err := l.group.Wait(); err != nil {
+func (h *hollow) shutDown(inc *incarnation) error {
+	inc.cancel()
+	if err := inc.group.Wait(); err != nil {
 		return err
 	}
 	addr, err := netip.ParseAddrPort(h.config.PeerListen)
@@ -140,11 +142,11 @@
 
 // leave ends the incarnation as SIGTERM ends a process without clients.
 func (h *hollow) leave() error {
-	l := h.current
+	inc := h.current
 	h.current = nil
-	l.stopping.Store(true)
+	inc.stopping.Store(true)
 	time.Sleep(lingerTime)
-	return h.shutDown(l)
+	return h.shutDown(inc)
 }
 
 // drain requests a permit to be out of service, or makes the router serve again if on is false.
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -44,8 +44,8 @@
 	sent, received []counter // by router number; for a process only its traffic with hollow routers
 }
 
-func newNetwork(regions int, peerAddrs []netip.AddrPort, real []bool) *network {
-	n := &network{regions: regions, routerByAddr: map[netip.AddrPort]int{}, isProcess: real,
+func newNetwork(regions int, peerAddrs []netip.AddrPort, isProcess []bool) *network {
+	n := &network{regions: regions, routerByAddr: map[netip.AddrPort]int{}, isProcess: isProcess,
 		sent: make([]counter, len(peerAddrs)), received: make([]counter, len(peerAddrs))}
 	for i, addr := range peerAddrs {
 		n.routerByAddr[addr] = i
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -60,13 +60,13 @@
 	watching, endWatch := context.WithCancel(ctx)
 	defer endWatch()
 	var watches sync.WaitGroup
-	var stall time.Duration
-	watches.Go(func() { stall = measureTimerDelay(watching) })
+	var timerDelay time.Duration
+	watches.Go(func() { timerDelay = measureTimerDelay(watching) })
 	watches.Go(func() { p.meter.run(watching, &p.changeMu) })
 	err = p.play(ctx)
 	endWatch()
 	watches.Wait()
-	r.MachineLoad.MaxTimerDelayMS, r.MachineLoad.LoadAfter = float64(stall.Milliseconds()), loadAverage()
+	r.MachineLoad.MaxTimerDelayMS, r.MachineLoad.LoadAfter = float64(timerDelay.Milliseconds()), loadAverage()
 	r.MachineLoad.updateBusy()
 	r.Seconds = time.Since(begun).Seconds()
 	return r, err
@@ -150,8 +150,8 @@
 		seconds := time.Since(before.at).Seconds()
 		sent := float64(p.fleet.hollowTraffic().since(sentBefore).SentBytes) / seconds / n
 		processor := 100 * (ownProcessorTime() - ownBefore).Seconds() / seconds / n
-		p.addFigures(Figure{phase, FigureHollowSent, UnitBytes, sent, sent}, Figure{phase, FigureHollowProcessor, UnitCore,
-			processor, processor})
+		p.addFigures(Figure{phase, FigureHollowSent, UnitBytes, sent, sent},
+			Figure{phase, FigureHollowProcessor, UnitCore, processor, processor})
 	}
 	p.measure(phase, before, nil)
 	p.reportProgress("%s: %v", phase, duration)
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -28,7 +28,8 @@
 
 // tableFigures lists the figures that are columns of the table.
 var tableFigures = []struct{ name, title string }{
-	{FigureAgreementTime, "agreed s"}, {FigureProcessor, "processor %"}, {FigurePeakProcessor, "peak %"}, {FigureMemory, "memory MB"},
+	{FigureAgreementTime, "agreed s"}, {FigureProcessor, "processor %"}, {FigurePeakProcessor, "peak %"}, {FigureMemory,
+		"memory MB"},
 	{FigureSent, "sent B/s"}, {FigurePeakSent, "peak B/s"}, {FigureReceived, "received B/s"}, {FigureSentDatagrams, "sent 1/s"},
 	{FigureThreads, "threads"}, {FigureConnections, "sockets"}, {FigureDiscoveryCalls, "discovery calls"},
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -109,7 +109,7 @@
 }
 
 // Difference finds each difference of a view that matters and ignores all others.
-func TestDiffers(t *testing.T) {
+func TestDifference(t *testing.T) {
 	at := time.Now()
 	start := at.UTC().Format(time.RFC3339Nano)
 	want := []ExpectedMember{{State: "alive", Phase: phaseServing, Since: at}, {State: "dead"}, {State: "unknown"}}
@@ -161,8 +161,8 @@
 	}
 }
 
-func record(size, real int, busy bool, figures ...Figure) *Record {
-	return &Record{Scenario: "x", Size: size, Real: real, MachineLoad: MachineLoad{Cores: 8, Busy: busy}, Figures: figures}
+func record(size, processes int, busy bool, figures ...Figure) *Record {
+	return &Record{Scenario: "x", Size: size, Real: processes, MachineLoad: MachineLoad{Cores: 8, Busy: busy}, Figures: figures}
 }
 
 // Records are read as they were written. Reports show exceeded budgets, calibrations, and runs that don't count.
@@ -214,17 +214,17 @@
 }
 
 // A machine is too busy if its load is too high or a timer was too late.
-func TestStrain(t *testing.T) {
+func TestMachineLoad(t *testing.T) {
 	for _, test := range []struct {
-		strain MachineLoad
-		busy   bool
+		load MachineLoad
+		busy bool
 	}{
-		{MachineLoad{Cores: 8, LoadBefore: 7, LoadAfter: 8, MaxTimerDelayMS: 400}, false}, {MachineLoad{Cores: 8,
-			LoadBefore: 8.1}, true},
+		{MachineLoad{Cores: 8, LoadBefore: 7, LoadAfter: 8, MaxTimerDelayMS: 400}, false},
+		{MachineLoad{Cores: 8, LoadBefore: 8.1}, true},
 		{MachineLoad{Cores: 8, LoadAfter: 8.1}, true}, {MachineLoad{Cores: 8, MaxTimerDelayMS: 401}, true},
 	} {
-		if test.strain.updateBusy(); test.strain.Busy != test.busy {
-			t.Errorf("%+v", test.strain)
+		if test.load.updateBusy(); test.load.Busy != test.busy {
+			t.Errorf("%+v", test.load)
 		}
 	}
 }
@@ -236,9 +236,9 @@
 		r := reading{pid, Usage{Processor: used, MemoryBytes: 5e6, Threads: 3}, Traffic{SentBytes: bytes}}
 		return sample{at.Add(time.Duration(seconds * float64(time.Second))), []reading{r}}
 	}
-	all := processFigures("x", []sample{read(0, 1, time.Second, 0), read(1, 1, 1100*time.Millisecond, 900), read(1.1, 1,
-		1100*time.Millisecond, 900),
-		read(2.1, 2, 50*time.Millisecond, 1000), read(4, 2, 100*time.Millisecond, 1000)}, []int{0})
+	all := processFigures("x", []sample{read(0, 1, time.Second, 0), read(1, 1, 1100*time.Millisecond, 900),
+		read(1.1, 1, 1100*time.Millisecond, 900), read(2.1, 2, 50*time.Millisecond, 1000), read(4, 2, 100*time.Millisecond,
+			1000)}, []int{0})
 	got := map[string]float64{}
 	for _, f := range all {
 		got[f.Name] = f.Value
