--- a/api.go
+++ b/api.go
@@ -31,14 +31,14 @@
 
 // Class describes one class of request.
 type Class struct {
-	Aim       time.Duration // an answer within this time earns the full worth
-	Deadline  time.Duration // how long the client waits at most
-	Worth     float64       // value of an answer within the aim
-	LateValue float64       // fraction of the worth that a later answer still earns
-	Effect    Effect
-	Group     Group
-	KeyTTL    time.Duration // how long the servers drop repetitions
-	Stream    bool          // the answer is streamed
+	Aim          time.Duration // an answer within this time earns the full worth
+	Deadline     time.Duration // how long the client waits at most
+	Worth        float64       // value of an answer within the aim
+	LateFraction float64       // fraction of the worth that a later answer still earns
+	Effect       Effect
+	Group        Group
+	DedupTTL     time.Duration // how long the servers drop repetitions
+	Stream       bool          // the answer is streamed
 }
 
 // Tenant is a customer with its allowance over all routers.
@@ -48,42 +48,42 @@
 
 // Settings configures a Router. A zero value means "not stated" and is legal for every field.
 type Settings struct {
-	Self, Balancers int // number of this router, and how many routers there are
-	Places          int // connections that a server accepts for each of its cores, as stated by the operator; 0: not stated
-	Zone            int // zone of this router
-	Classes         []Class
-	Tenants         []Tenant
-	OverShareWorth  float64 // worth of requests over their tenant's share
-	TailPart        float64 // fraction of the score that counts late answers against timely ones
-
-	Aside      bool // the router, not the cache server, fetches from the origin after a miss
-	OriginKind int  // machine kind of the origin in the list; -1: there is no origin
-	Ordered    bool // a connection answers its requests in order
+	RouterIndex, RouterCount int // number of this router, and how many routers there are
+	ConnsPerCore             int // connections that a server accepts for each of its cores, as stated by the operator; 0: not stated
+	Zone                     int // zone of this router
+	Classes                  []Class
+	Tenants                  []Tenant
+	OverShareWorth           float64 // worth of requests over their tenant's share
+	TailFraction             float64 // fraction of the score that counts late answers against timely ones
+
+	CacheAside     bool // the router, not the cache server, fetches from the origin after a miss
+	OriginKind     int  // machine kind of the origin in the list; -1: there is no origin
+	OrderedAnswers bool // a connection answers its requests in order
 
 	ListOnRequest     bool          // the list comes only on request
-	AskWithin         time.Duration // how soon the list must be requested after the start or a failure
+	FetchListWithin   time.Duration // how soon the list must be requested after the start or a failure
 	StopSendingWithin time.Duration // how soon after a listed drain or removal sending must stop
 	AnswerGrace       time.Duration // how long after its deadline a request may get its final answer
 
-	ColdFrom float64       // fraction of its capacity that a server has at its start
-	Cold     time.Duration // after this time at the latest a server is warm
+	ColdCapacity float64       // fraction of its capacity that a server has at its start
+	WarmUp       time.Duration // after this time at the latest a server is warm
 	// A cold server collapses if it gets more than OverloadFactor times its capacity within any time of length Fall.
 	OverloadFactor float64
-	Fall           time.Duration
+	CollapseWindow time.Duration
 
 	// Attempts after a request's first that count against the budget are limited to BudgetFree plus BudgetRatio for each request
 	// received, over any BudgetWindow. There is no budget if BudgetWindow is 0.
 	BudgetFree, BudgetRatio float64
 	BudgetWindow            time.Duration
-	RemovalNotBinding       bool // only a listed drain forbids sending; absence from the list does not
-
-	MaxAttempts   int           // attempts for each request, including the first
-	SecondCopies  bool          // two attempts of a request may be in flight at once
-	MayCancel     bool          // attempts can be cancelled
-	RetryAfter    bool          // clients can be told when to retry
-	MaxRetryAfter time.Duration // longest wait that clients honour
-	ConnTimeout   time.Duration // time-out for opening a connection
-	Tick          time.Duration // shortest time between rounds of events
+	AbsenceAllowsSending    bool // only a listed drain forbids sending; absence from the list does not
+
+	MaxAttempts     int           // attempts for each request, including the first
+	Hedging         bool          // two attempts of a request may be in flight at once
+	AllowsCancel    bool          // attempts can be cancelled
+	SendsRetryAfter bool          // clients can be told when to retry
+	MaxRetryAfter   time.Duration // longest wait that clients honour
+	ConnectTimeout  time.Duration // time-out for opening a connection
+	TickInterval    time.Duration // shortest time between rounds of events
 }
 
 // Phase is the state of a server in its life cycle.
@@ -91,7 +91,7 @@
 
 // Values of Phase, as the list states them.
 const (
-	Gone     Phase = iota // is removed
+	Removed  Phase = iota // is removed
 	Draining              // gets nothing new
 	Ready                 // accepts requests
 )
@@ -120,30 +120,30 @@
 
 // Request is one client request.
 type Request struct {
-	ID        uint32
-	Class     int
-	Tenant    int
-	Key       uint64 // 0: no key
-	Write     bool
-	Retry     bool          // the client marks this request as its own retry
-	Remaining time.Duration // until the client stops waiting
-	Narrow    Narrowing     // what the operator forbids for this request; nil: nothing
+	ID          uint32
+	Class       int
+	Tenant      int
+	Key         uint64 // 0: no key
+	Write       bool
+	IsRetry     bool          // the client marks this request as its own retry
+	Remaining   time.Duration // until the client stops waiting
+	Constraints Constraints   // what the operator forbids for this request; nil: nothing
 }
 
-// Narrowing is the set of constraints that an operator puts on a request. They can only forbid: a Router never does anything
+// Constraints is the set of constraints that an operator puts on a request. They can only forbid: a Router never does anything
 // because of them that it would not do without them. Its methods are called from within the Router's own.
-type Narrowing interface {
+type Constraints interface {
 	// Allows reports whether a server may get the request. It is not called for the origin.
 	Allows(server uint32) bool
 	// Timeout returns the longest time that one attempt may take.
 	Timeout() time.Duration
-	// Repeats reports whether another attempt may follow. The arguments are the number of attempts so far, without fetches after
+	// AllowsRetry reports whether another attempt may follow. The arguments are the number of attempts so far, without fetches after
 	// a miss, and the status of the last attempt.
-	Repeats(attempts int, last Status) bool
-	// Spend takes one retry that is about to be made out of a budget. It reports whether the budget allowed it.
-	Spend(now time.Duration) bool
-	// Copies reports whether two attempts may be in flight at once.
-	Copies() bool
+	AllowsRetry(attempts int, last Status) bool
+	// TakeRetry takes one retry that is about to be made out of a budget. It reports whether the budget allowed it.
+	TakeRetry(now time.Duration) bool
+	// AllowsHedge reports whether two attempts may be in flight at once.
+	AllowsHedge() bool
 }
 
 // Status is how an attempt ended.
@@ -153,12 +153,12 @@
 const (
 	OK            Status = iota
 	ServerError          // may have run
-	Full                 // the server refused it without running it
+	TurnedAway           // the server refused it without running it
 	Timeout              // may have run, may still be running
 	ConnectFailed        // never reached the server
 	Reset                // the connection was reset; may have run
 	Cancelled            // this router or the client ended it; may have run
-	Moot                 // was never sent
+	NotSent              // was never sent
 	Miss                 // the server does not hold the key
 )
 
@@ -197,11 +197,11 @@
 // Events is what a proxy reports to a Router. *Router implements it. The argument now is the time on the proxy's clock, which
 // never goes back.
 type Events interface {
-	List(now time.Duration, kind ListKind, servers []Server)
+	UpdateServers(now time.Duration, kind ListKind, servers []Server)
 	Request(now time.Duration, q Request)
 	Outcome(now time.Duration, o Outcome)
-	Streaming(now time.Duration, request uint32, attempt int)
-	ClientGone(now time.Duration, request uint32)
+	StreamStarted(now time.Duration, request uint32, attempt int)
+	ClientDisconnected(now time.Duration, request uint32)
 	Timer(now time.Duration, token uint64)
 }
 
--- a/budget_test.go
+++ b/budget_test.go
@@ -70,7 +70,7 @@
 	r, p = budgetRouter(1, 0, time.Second)
 	r.Request(r.now, Request{ID: 1, Key: 1, Remaining: time.Second})
 	answer(r, p, 1, ConnectFailed, 0)
-	answer(r, p, 1, Moot, 0)
+	answer(r, p, 1, NotSent, 0)
 	if len(p.sends) != 3 {
 		t.Errorf("%d sends: an attempt that was never sent counted", len(p.sends))
 	}
@@ -118,10 +118,10 @@
 			group.now += time.Second / 600
 			i := int(mix(uint64(step)) % uint64(n))
 			if step%500 == 499 { // this one restarts without any knowledge
-				set.Balancers = n
+				set.RouterCount = n
 				group.proxies[i] = newRecorder()
 				group.routers[i] = New(group.now, set, uint64(step), group.proxies[i])
-				group.routers[i].List(group.now, ListFull, fleet(1, 1, 1, 1, 1))
+				group.routers[i].UpdateServers(group.now, ListFull, fleet(1, 1, 1, 1, 1))
 				requestTimes[i], retryTimes[i] = nil, nil
 			}
 			group.routers[i].Timer(group.now, tokenSweep)
@@ -154,16 +154,16 @@
 // at its first failure. A server that was draining loses them at once.
 func TestRemovalNotBinding(t *testing.T) {
 	set := testSettings()
-	set.RemovalNotBinding = true
+	set.AbsenceAllowsSending = true
 	for _, full := range []bool{true, false} {
 		list := fleet(1, 1, 1)
 		r, p := newRouter(set, list)
 		home := r.homeOf(5)
 		leaveList := func() {
 			if full {
-				r.List(r.now, ListFull, without(list, home))
+				r.UpdateServers(r.now, ListFull, without(list, home))
 			} else {
-				r.List(r.now, ListDelta, []Server{{ID: home, Phase: Gone}})
+				r.UpdateServers(r.now, ListDelta, []Server{{ID: home, Phase: Removed}})
 			}
 		}
 		leaveList()
@@ -176,10 +176,10 @@
 		if r.homeOf(5) == home {
 			t.Error("a server that left the list and failed is still used")
 		}
-		r.List(r.now, ListFull, list)
+		r.UpdateServers(r.now, ListFull, list)
 		draining := list[home-1]
 		draining.Phase = Draining
-		r.List(r.now, ListDelta, []Server{draining})
+		r.UpdateServers(r.now, ListDelta, []Server{draining})
 		leaveList()
 		if r.homeOf(5) == home {
 			t.Error("a draining server is used again once it has left the list")
@@ -231,17 +231,17 @@
 		}
 		return list
 	}
-	lists := [][]Server{full, {}, full[:4], full, alter(func(s *Server) { s.Phase = Gone }), full,
+	lists := [][]Server{full, {}, full[:4], full, alter(func(s *Server) { s.Phase = Removed }), full,
 		alter(func(s *Server) { s.Started = 10 * time.Second }), alter(func(s *Server) { s.Started = 90 * time.Second }),
 		alter(func(s *Server) { s.Phase = Draining })}
 	for _, notBinding := range []bool{false, true} {
-		set.RemovalNotBinding = notBinding
+		set.AbsenceAllowsSending = notBinding
 		for st := OK; st <= Miss; st++ {
 			p := singleAnswerRecorder{newRecorder(), t}
 			r := New(60*time.Second, set, uint64(st), p)
 			id := uint32(0)
 			for step, list := range lists {
-				r.List(r.now, ListFull, list)
+				r.UpdateServers(r.now, ListFull, list)
 				for i := 0; i < 80; i++ {
 					id++
 					r.now += 5 * time.Millisecond
--- a/cmd/hoptiller/fleet_member.go
+++ b/cmd/hoptiller/fleet_member.go
@@ -56,9 +56,9 @@
 		reason = "the settings put a price on datagrams, which the view does not earn; fleet { view on } turns it on"
 	}
 	if reason == "" {
-		p, err := peers.New(peers.Settings{Self: c.Settings.Self, Listen: c.PeerListen, Addrs: c.Peers, Seed: c.Seed,
+		p, err := peers.New(peers.Settings{Self: c.Settings.RouterIndex, Listen: c.PeerListen, Addrs: c.Peers, Seed: c.Seed,
 			Phase: func() view.Phase { return f.phase() }, Tell: f.details,
-			Agent: &permit.Agent{Self: c.Settings.Self, Of: len(c.Peers), Zone: min(c.Settings.Zone, view.MostZone), Chance: rand.Uint64},
+			Agent: &permit.Agent{Self: c.Settings.RouterIndex, Of: len(c.Peers), Zone: min(c.Settings.Zone, view.MostZone), Chance: rand.Uint64},
 			Out: func(out bool) {
 				if out {
 					phases.Tell(lifecycle.Drain)
@@ -68,7 +68,7 @@
 			},
 			Caches: r.Caches, Aside: caches,
 			Sighted: func(s view.Sight) {
-				r.Sighted(hoptiller.Sighting{Server: s.Cache, Up: s.State == view.SeenBack, Age: s.Age})
+				r.Sighted(hoptiller.Observation{Server: s.Cache, Up: s.State == view.SeenBack, Age: s.Age})
 			}})
 		if err == nil {
 			f.peers = p
@@ -114,7 +114,7 @@
 	if f.peers == nil {
 		return
 	}
-	f.relay.Sighted(hoptiller.Sighting{Server: cache, Up: up})
+	f.relay.Sighted(hoptiller.Observation{Server: cache, Up: up})
 	if up {
 		f.peers.Saw(cache, view.SeenBack)
 	} else {
--- a/cmd/hoptiller/fleet_member_test.go
+++ b/cmd/hoptiller/fleet_member_test.go
@@ -45,7 +45,7 @@
 			t.Errorf("%s: on %v", name, f.peers != nil)
 		}
 		other, err := config.Parse([]byte(strings.Replace(text, `"selfIndex":0`, `"selfIndex":1`, 1)))
-		if err != nil || other.Digest != conf.Digest || other.Settings.Self != 1 {
+		if err != nil || other.Digest != conf.Digest || other.Settings.RouterIndex != 1 {
 			t.Errorf("%s: the settings of another router differ: %v", name, err)
 		}
 		if more, err := config.Parse([]byte(strings.Replace(text, `"worth":1`, `"worth":2`, 1))); err != nil ||
--- a/cmd/hoptiller/serve.go
+++ b/cmd/hoptiller/serve.go
@@ -150,7 +150,7 @@
 	reports := loadreport.New(c.Reports)
 	counts, phases := metrics.New(c.Classes), lifecycle.New()
 	reasons := newEndReasons()
-	c.Settings.Places = p.Limits.Places
+	c.Settings.ConnsPerCore = p.Limits.Places
 	limits := divideResources(c, &p.Limits)
 	if limits.heapBytes > 0 {
 		debug.SetMemoryLimit(int64(limits.heapBytes))
@@ -159,15 +159,15 @@
 	longValueBudget := semaphore.NewWeighted(int64(max(limits.longValueBytes, meta.MaxLong)))
 	providers := upstream.New(upstream.Settings{
 		Share: callsPerConn(c), MostConns: limits.connsPerCache, MostTotal: limits.cacheConns, MostCalls: max(1, c.MostCalls),
-		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnTimeout,
-		Kept: connlimit.Kept(c.Settings.Balancers, p.Limits.Places), Places: p.Limits.Places,
+		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnectTimeout,
+		Kept: connlimit.Kept(c.Settings.RouterCount, p.Limits.Places), Places: p.Limits.Places,
 		Called: counts.AttemptSent, Reports: reports,
 		Seen: func(id uint32, up bool) { fleet.observeCache(id, up) }, Closed: reasons.serverClosed,
 		LookedAgain: counts.LookedAgain,
 	}, upstream.Meta{})
 	origins := upstream.New(upstream.Settings{
 		Share: 1, MostConns: limits.originConns, MostCalls: 1, Kept: limits.originConns,
-		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnTimeout,
+		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnectTimeout,
 		Room: longValueBudget, Called: counts.AttemptSent, Rest: originReuseDelay, Closed: reasons.serverClosed,
 		LookedAgain: counts.LookedAgain,
 	}, origin.Protocol{})
--- a/cmd/hoptiller/server_list_test.go
+++ b/cmd/hoptiller/server_list_test.go
@@ -53,13 +53,13 @@
 	var longest time.Duration
 	for seed := range uint64(500) {
 		now := time.Hour
-		f := hoptiller.NewFacade(now, hoptiller.Settings{AskWithin: 10 * time.Second}, seed, func() {})
+		f := hoptiller.NewFacade(now, hoptiller.Settings{FetchListWithin: 10 * time.Second}, seed, func() {})
 		for range 8 {
 			for orders := f.Tick(now); !orders.Watch; orders = f.Tick(now) {
-				now = orders.Next
+				now = orders.NextTick
 			}
-			f.Directory(now, hoptiller.ListFailed, nil)
-			longest = max(longest, f.Tick(now).Next-now)
+			f.UpdateServers(now, hoptiller.ListFailed, nil)
+			longest = max(longest, f.Tick(now).NextTick-now)
 		}
 	}
 	call := discovery.PlatformTimes.Longest()
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -112,9 +112,9 @@
 	case wire.ReportBack:
 		router.Outcome(now, e.Outcome)
 	case wire.Flowing:
-		router.Streaming(now, e.Outcome.Request, e.Outcome.Attempt)
+		router.StreamStarted(now, e.Outcome.Request, e.Outcome.Attempt)
 	case wire.ClientGone:
-		router.ClientGone(now, e.ID)
+		router.ClientDisconnected(now, e.ID)
 	case wire.TimeoutFired:
 		router.Timer(now, e.Token)
 	}
@@ -124,12 +124,12 @@
 // deliverList passes a server list that an earlier List event has filled to the router.
 func (h *routerHost) deliverList(router *hoptiller.Router, e *wire.Event) error {
 	if e.Scope == hoptiller.ListFailed {
-		router.List(h.reader.Clock, e.Scope, nil)
+		router.UpdateServers(h.reader.Clock, e.Scope, nil)
 		return nil
 	}
 	if int(e.Buffer) >= len(h.lists) || h.lists[e.Buffer] == nil {
 		return fmt.Errorf("event Endpoints names list %d, which was never given", e.Buffer)
 	}
-	router.List(h.reader.Clock, e.Scope, h.lists[e.Buffer])
+	router.UpdateServers(h.reader.Clock, e.Scope, h.lists[e.Buffer])
 	return nil
 }
--- a/cold_clock_test.go
+++ b/cold_clock_test.go
@@ -11,8 +11,8 @@
 	const listedAt = 1000 * time.Hour // on the router's clock
 	set := testSettings()
 	r := New(listedAt-time.Minute, set, 1, newRecorder())
-	r.List(listedAt-time.Minute, ListFull, fleet(1, 1, 1))
-	r.List(listedAt, ListDelta, []Server{{ID: 2, Phase: Ready, Weight: 1, Started: listedAt - clockAhead - time.Second}})
+	r.UpdateServers(listedAt-time.Minute, ListFull, fleet(1, 1, 1))
+	r.UpdateServers(listedAt, ListDelta, []Server{{ID: 2, Phase: Ready, Weight: 1, Started: listedAt - clockAhead - time.Second}})
 	r.now = listedAt + after
 	return r.warmUpProgress(r.servers[2])
 }
@@ -23,8 +23,8 @@
 	if progress := progressAfterListing(-time.Hour, 0); progress > 0.1 {
 		t.Errorf("at once its warm-up progress is %.2f", progress)
 	}
-	if progress := progressAfterListing(-time.Hour, set.Cold); progress < 1 {
-		t.Errorf("%v after its start was listed its warm-up progress is %.2f", set.Cold, progress)
+	if progress := progressAfterListing(-time.Hour, set.WarmUp); progress < 1 {
+		t.Errorf("%v after its start was listed its warm-up progress is %.2f", set.WarmUp, progress)
 	}
 }
 
@@ -40,8 +40,8 @@
 	const now = 1000 * time.Hour
 	set := testSettings()
 	r := New(now, set, 1, newRecorder())
-	r.List(now, ListCached, fleet(1, 1, 1))
-	r.List(now+time.Second, ListFull, []Server{{ID: 2, Phase: Ready, Weight: 1, Started: now - time.Hour}})
+	r.UpdateServers(now, ListCached, fleet(1, 1, 1))
+	r.UpdateServers(now+time.Second, ListFull, []Server{{ID: 2, Phase: Ready, Weight: 1, Started: now - time.Hour}})
 	if progress := r.warmUpProgress(r.servers[2]); progress < 1 {
 		t.Errorf("its warm-up progress is %.2f an hour after its start", progress)
 	}
@@ -52,10 +52,10 @@
 	const now = 1000 * time.Hour
 	set := testSettings()
 	r := New(now-time.Minute, set, 1, newRecorder())
-	r.List(now-time.Minute, ListFull, fleet(1, 1, 1))
-	r.List(now-time.Second, ListDelta, []Server{{ID: 1, Phase: Draining, Weight: 1}})
-	r.List(now, ListDelta, []Server{{ID: 2, Phase: Ready, Weight: 1, Started: now - 5*time.Second}})
-	if progress, want := r.warmUpProgress(r.servers[2]), 5/set.Cold.Seconds(); progress != want {
+	r.UpdateServers(now-time.Minute, ListFull, fleet(1, 1, 1))
+	r.UpdateServers(now-time.Second, ListDelta, []Server{{ID: 1, Phase: Draining, Weight: 1}})
+	r.UpdateServers(now, ListDelta, []Server{{ID: 2, Phase: Ready, Weight: 1, Started: now - 5*time.Second}})
+	if progress, want := r.warmUpProgress(r.servers[2]), 5/set.WarmUp.Seconds(); progress != want {
 		t.Errorf("its warm-up progress is %.2f 5 s after its start, want %.2f", progress, want)
 	}
 }
@@ -64,9 +64,9 @@
 func TestCrashedServerWithClockAhead(t *testing.T) {
 	const now = 1000 * time.Hour
 	r := New(now-time.Minute, testSettings(), 1, newRecorder())
-	r.List(now-time.Minute, ListFull, fleet(1, 1, 1))
-	r.List(now-10*time.Second, ListDelta, []Server{{ID: 2, Phase: Gone}})
-	r.List(now, ListDelta, []Server{{ID: 2, Phase: Ready, Weight: 1, Started: now - time.Hour - time.Second}})
+	r.UpdateServers(now-time.Minute, ListFull, fleet(1, 1, 1))
+	r.UpdateServers(now-10*time.Second, ListDelta, []Server{{ID: 2, Phase: Removed}})
+	r.UpdateServers(now, ListDelta, []Server{{ID: 2, Phase: Ready, Weight: 1, Started: now - time.Hour - time.Second}})
 	if progress := r.warmUpProgress(r.servers[2]); progress > 0.1 {
 		t.Errorf("at once its warm-up progress is %.2f", progress)
 	}
@@ -78,9 +78,9 @@
 	list := fleet(1, 1, 1)
 	list[1].Started = now - time.Hour
 	r := New(now-time.Minute, testSettings(), 1, newRecorder())
-	r.List(now-time.Minute, ListFull, list)
-	r.List(now-10*time.Second, ListDelta, []Server{{ID: 2, Phase: Gone}})
-	r.List(now, ListDelta, list[1:2])
+	r.UpdateServers(now-time.Minute, ListFull, list)
+	r.UpdateServers(now-10*time.Second, ListDelta, []Server{{ID: 2, Phase: Removed}})
+	r.UpdateServers(now, ListDelta, list[1:2])
 	if progress := r.warmUpProgress(r.servers[2]); progress < 1 {
 		t.Errorf("its warm-up progress is %.2f", progress)
 	}
--- a/cold_late_listing_test.go
+++ b/cold_late_listing_test.go
@@ -16,7 +16,7 @@
 		interval     = time.Second / rate
 	)
 	set := testSettings()
-	set.OverloadFactor, set.Fall, set.Cold, set.Balancers = 2.5, 1500*time.Millisecond, 18*time.Second, 1
+	set.OverloadFactor, set.CollapseWindow, set.WarmUp, set.RouterCount = 2.5, 1500*time.Millisecond, 18*time.Second, 1
 	for seed := range uint64(20) {
 		p := newRecorder()
 		r := New(time.Second, set, seed, p)
@@ -25,7 +25,7 @@
 			weights[i] = 1
 		}
 		list := fleet(weights...)
-		r.List(time.Second, ListFull, list)
+		r.UpdateServers(time.Second, ListFull, list)
 		now, id := time.Second, uint32(0)
 		var sentTo []time.Duration // when the restarted server was sent a request
 		serve := func(until time.Duration) {
@@ -45,8 +45,8 @@
 		started := 10 * time.Second
 		serve(started + listingDelay)
 		listedAt := now
-		r.List(now, ListDelta, []Server{{ID: restarted, Phase: Ready, Weight: 1, Started: started}})
-		serve(listedAt + set.Fall)
+		r.UpdateServers(now, ListDelta, []Server{{ID: restarted, Phase: Ready, Weight: 1, Started: started}})
+		serve(listedAt + set.CollapseWindow)
 		const share = rate / servers
 		for i, at := range sentTo {
 			if at < listedAt {
@@ -54,12 +54,12 @@
 			}
 			window := 0
 			for _, earlier := range sentTo[:i] {
-				if earlier >= started && earlier > at-set.Fall {
+				if earlier >= started && earlier > at-set.CollapseWindow {
 					window++
 				}
 			}
-			warmth := set.ColdFrom + (1-set.ColdFrom)*float64(at-started)/float64(set.Cold)
-			if limit := 1.5 * warmth * share * set.Fall.Seconds(); float64(window) > limit {
+			warmth := set.ColdCapacity + (1-set.ColdCapacity)*float64(at-started)/float64(set.WarmUp)
+			if limit := 1.5 * warmth * share * set.CollapseWindow.Seconds(); float64(window) > limit {
 				t.Fatalf("seed %d: %v after its start was listed it gets one more request after %d in the window, want at most %.1f",
 					seed, at-listedAt, window, limit)
 			}
--- a/cold_sum_test.go
+++ b/cold_sum_test.go
@@ -68,8 +68,8 @@
 	worst = math.Inf(-1)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings()
-	set.OverloadFactor, set.Fall, set.Cold, set.ColdFrom = 2.5, 1500*time.Millisecond, d.warmUp, d.coldFrom
-	set.Balancers = d.configuredRouters
+	set.OverloadFactor, set.CollapseWindow, set.WarmUp, set.ColdCapacity = 2.5, 1500*time.Millisecond, d.warmUp, d.coldFrom
+	set.RouterCount = d.configuredRouters
 	list := make([]Server, coldServers)
 	for i := range list {
 		list[i] = Server{ID: uint32(i + 1), Phase: Ready, Weight: 1}
@@ -78,9 +78,9 @@
 	loadShares := make([]float64, d.routers) // cumulative shares of the load
 	for i := range routers {
 		recorders[i] = newRecorder()
-		set.Self = i
+		set.RouterIndex = i
 		routers[i] = New(time.Second, set, seed*1000+uint64(i), recorders[i])
-		routers[i].List(time.Second, ListFull, list)
+		routers[i].UpdateServers(time.Second, ListFull, list)
 		loadShares[i] = math.Pow(float64(i+1), -d.skew)
 		if i > 0 {
 			loadShares[i] += loadShares[i-1]
@@ -121,7 +121,7 @@
 		r, p := routers[i], recorders[i]
 		if listedAt[i] > 0 && now >= listedAt[i] {
 			listedAt[i] = 0
-			r.List(now, ListDelta, newcomer)
+			r.UpdateServers(now, ListDelta, newcomer)
 		}
 		r.Timer(now, tokenSweep)
 		id++
@@ -136,12 +136,12 @@
 			if o.Server == 99 {
 				received = append(received, (now - started).Seconds())
 			} else if !warmServers[o.Server].accepts(now) {
-				o.Status, o.Closed = Full, false
+				o.Status, o.Closed = TurnedAway, false
 			}
 			r.Outcome(now, o)
 		}
 	}
-	fall, from := set.Fall.Seconds(), 0
+	fall, from := set.CollapseWindow.Seconds(), 0
 	for to := range received {
 		for received[to]-received[from] >= fall {
 			from++
--- a/constraints_test.go
+++ b/constraints_test.go
@@ -24,11 +24,11 @@
 	return len(n.servers) == 0
 }
 func (n *testConstraints) Timeout() time.Duration { return n.timeout }
-func (n *testConstraints) Repeats(calls int, s Status) bool {
+func (n *testConstraints) AllowsRetry(calls int, s Status) bool {
 	return calls < n.attempts && s == n.retryOn
 }
-func (n *testConstraints) Spend(time.Duration) bool { n.budget--; return n.budget >= 0 }
-func (n *testConstraints) Copies() bool             { return n.hedges }
+func (n *testConstraints) TakeRetry(time.Duration) bool { n.budget--; return n.budget >= 0 }
+func (n *testConstraints) AllowsHedge() bool            { return n.hedges }
 
 // Each constraint of an operator limits what the Router does, independently of the others. Within them the Router goes on as
 // usual.
@@ -39,18 +39,18 @@
 		ended Status
 		calls int
 	}{
-		{"no limit reached", testConstraints{timeout: time.Minute, attempts: 3, retryOn: Full, budget: 9}, Full, 3},
-		{"attempts", testConstraints{timeout: time.Minute, attempts: 2, retryOn: Full, budget: 9}, Full, 2},
-		{"outcome", testConstraints{timeout: time.Minute, attempts: 3, retryOn: Full, budget: 9}, ConnectFailed, 1},
-		{"budget", testConstraints{timeout: time.Minute, attempts: 3, retryOn: Full, budget: 1}, Full, 2},
-		{"pool", testConstraints{timeout: time.Minute, attempts: 3, retryOn: Full, budget: 9, servers: []uint32{2}}, Full, 3},
-		{"empty pool", testConstraints{timeout: time.Minute, attempts: 3, retryOn: Full, budget: 9, servers: []uint32{9}}, Full, 0},
+		{"no limit reached", testConstraints{timeout: time.Minute, attempts: 3, retryOn: TurnedAway, budget: 9}, TurnedAway, 3},
+		{"attempts", testConstraints{timeout: time.Minute, attempts: 2, retryOn: TurnedAway, budget: 9}, TurnedAway, 2},
+		{"outcome", testConstraints{timeout: time.Minute, attempts: 3, retryOn: TurnedAway, budget: 9}, ConnectFailed, 1},
+		{"budget", testConstraints{timeout: time.Minute, attempts: 3, retryOn: TurnedAway, budget: 1}, TurnedAway, 2},
+		{"pool", testConstraints{timeout: time.Minute, attempts: 3, retryOn: TurnedAway, budget: 9, servers: []uint32{2}}, TurnedAway, 3},
+		{"empty pool", testConstraints{timeout: time.Minute, attempts: 3, retryOn: TurnedAway, budget: 9, servers: []uint32{9}}, TurnedAway, 0},
 	} {
 		set := testSettings()
 		set.MaxAttempts = 5
 		r, p := newRouter(set, fleet(1, 1, 1, 1))
 		n := c.n
-		r.Request(0, Request{ID: 1, Key: 7, Remaining: 400 * time.Millisecond, Narrow: &n})
+		r.Request(0, Request{ID: 1, Key: 7, Remaining: 400 * time.Millisecond, Constraints: &n})
 		calls := 0
 		for ; !p.refused[1] && calls < 9; calls++ {
 			if to := p.last(); !n.Allows(to.server) || to.timeout > 400*time.Millisecond {
@@ -63,7 +63,7 @@
 		}
 	}
 	r, p := newRouter(testSettings(), fleet(1, 1))
-	r.Request(0, Request{ID: 1, Key: 7, Remaining: 400 * time.Millisecond, Narrow: &testConstraints{timeout: 30 * time.Millisecond}})
+	r.Request(0, Request{ID: 1, Key: 7, Remaining: 400 * time.Millisecond, Constraints: &testConstraints{timeout: 30 * time.Millisecond}})
 	if p.last().timeout != 30*time.Millisecond {
 		t.Errorf("sent %+v, want a timeout of 30ms", p.last())
 	}
@@ -73,16 +73,16 @@
 // among the allowed servers.
 func TestConstraintsAfterMiss(t *testing.T) {
 	set := testSettings()
-	set.Aside, set.OriginKind, set.MaxAttempts = true, 2, 3
+	set.CacheAside, set.OriginKind, set.MaxAttempts = true, 2, 3
 	list := fleet(1, 1, 1)
 	list[2].Kind = 2
 	r, p := newRouter(set, list)
 	n := &testConstraints{timeout: time.Second, attempts: 1, servers: []uint32{1}}
-	r.Request(0, Request{ID: 1, Key: 7, Remaining: time.Second, Narrow: n})
+	r.Request(0, Request{ID: 1, Key: 7, Remaining: time.Second, Constraints: n})
 	if answer(r, p, 1, Miss, time.Millisecond); p.last().server != 3 {
 		t.Fatalf("after a miss sent %+v, want a fetch from server 3", p.last())
 	}
-	if answer(r, p, 1, Full, time.Millisecond); !p.refused[1] || n.budget != 0 {
+	if answer(r, p, 1, TurnedAway, time.Millisecond); !p.refused[1] || n.budget != 0 {
 		t.Errorf("a fetch was retried or taken from the budget: %+v", n)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -25,17 +25,17 @@
 // A request goes to its key's home server. If that can't be reached, it goes to the next-best server.
 func Example() {
 	settings := hoptiller.Settings{
-		Balancers:   2,
-		MaxAttempts: 3,
-		OriginKind:  -1,
-		Tick:        time.Millisecond,
+		RouterCount:  2,
+		MaxAttempts:  3,
+		OriginKind:   -1,
+		TickInterval: time.Millisecond,
 		Classes: []hoptiller.Class{
-			{Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1, LateValue: 0.5},
+			{Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1, LateFraction: 0.5},
 		},
 	}
 	now := time.Second
 	router := hoptiller.New(now, settings, 1, proxy{})
-	router.List(now, hoptiller.ListFull, []hoptiller.Server{
+	router.UpdateServers(now, hoptiller.ListFull, []hoptiller.Server{
 		{ID: 10, Phase: hoptiller.Ready, Weight: 2},
 		{ID: 11, Phase: hoptiller.Ready, Weight: 1},
 		{ID: 12, Phase: hoptiller.Ready, Weight: 1},
--- a/facade.go
+++ b/facade.go
@@ -24,7 +24,7 @@
 	Server     uint32        // StepCall: the server to call
 	Attempt    int           // StepCall: the number of the attempt
 	Timeout    time.Duration // StepCall: how long to wait for the answer
-	By         time.Duration // StepCall: the last byte of the request must be written by this time; 0: only Timeout limits it
+	WriteBy    time.Duration // StepCall: the last byte of the request must be written by this time; 0: only Timeout limits it
 	RetryAfter time.Duration // StepReject: how long the client should wait before a retry
 	CloseIdle  []uint32      // idle connections to these servers must be closed before the step is taken
 }
@@ -39,11 +39,11 @@
 type Orders struct {
 	Cancelled []AttemptID   // attempts to cancel and report at once
 	CloseIdle []uint32      // servers to which idle connections must be closed
-	List      bool          // fetch the complete list from discovery
+	FetchList bool          // fetch the complete list from discovery
 	Watch     bool          // watch discovery for changes of the list
 	Unwatch   bool          // end the watch
 	Logs      []string      // lines to log
-	Next      time.Duration // when Tick is due again; 0: not needed
+	NextTick  time.Duration // when Tick is due again; 0: not needed
 }
 
 // Facade wraps a Router in calls that block only for its lock: Pick for a request that came in, Report for an attempt that ended,
@@ -88,7 +88,7 @@
 	// A request has only one attempt in progress here. A hedge would wait for the end of the first attempt, and the Router would
 	// count it as in flight though it never was. Attempts at silent servers are cancelled instead, which is always possible on
 	// sockets.
-	settings.SecondCopies, settings.MayCancel = false, true
+	settings.Hedging, settings.AllowsCancel = false, true
 	// On sockets the list comes only through a watch. This includes pushed lists, since they have no other path to this process.
 	settings.ListOnRequest = true
 	f := &Facade{wake: wake, now: now, openRequests: map[uint32]*openRequest{}}
@@ -104,8 +104,8 @@
 	return f.now
 }
 
-// Reserve returns an unused id for a request, so that its attempts can be found before Pick is called.
-func (f *Facade) Reserve() uint32 {
+// ReserveID returns an unused id for a request, so that its attempts can be found before Pick is called.
+func (f *Facade) ReserveID() uint32 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for f.lastID++; f.lastID == 0 || f.openRequests[f.lastID] != nil; f.lastID++ {
@@ -143,38 +143,40 @@
 	return f.nextStep(call.Request)
 }
 
-// Gone handles the disconnect of a request's client. An attempt in progress must still be reported.
-func (f *Facade) Gone(now time.Duration, id uint32) {
+// ClientDisconnected handles the disconnect of a request's client. An attempt in progress must still be reported.
+func (f *Facade) ClientDisconnected(now time.Duration, id uint32) {
 	now = f.lock(now)
 	defer f.mu.Unlock()
 	if o := f.openRequests[id]; o != nil {
 		o.disconnected = true
-		f.router.ClientGone(now, id)
+		f.router.ClientDisconnected(now, id)
 	}
 }
 
-// Directory applies a list event from discovery.
-func (f *Facade) Directory(now time.Duration, kind ListKind, servers []Server) {
+// UpdateServers applies a list event from discovery.
+func (f *Facade) UpdateServers(now time.Duration, kind ListKind, servers []Server) {
 	now = f.lock(now)
 	defer f.mu.Unlock()
-	f.router.List(now, kind, servers)
+	f.router.UpdateServers(now, kind, servers)
 	f.updateCounts()
 }
 
-// Sighted handles a router's observation of a server.
-func (f *Facade) Sighted(now time.Duration, observed Sighting) {
+// Observe handles a router's observation of a server.
+func (f *Facade) Observe(now time.Duration, observed Observation) {
 	now = f.lock(now)
 	defer f.mu.Unlock()
-	f.router.Sighted(now, observed)
+	f.router.Observe(now, observed)
 }
 
-// Members returns how many cache servers are listed and how many of them the Router avoids. It takes no lock.
-func (f *Facade) Members() (listed, avoided int) { return int(f.listed.Load()), int(f.avoided.Load()) }
+// CacheCounts returns how many cache servers are listed and how many of them the Router avoids. It takes no lock.
+func (f *Facade) CacheCounts() (listed, avoided int) {
+	return int(f.listed.Load()), int(f.avoided.Load())
+}
 
 // updateCounts updates the counts that Members returns. The caller holds f.mu.
 func (f *Facade) updateCounts() {
 	f.countedAt = f.now
-	listed, avoided := f.router.Members()
+	listed, avoided := f.router.CacheCounts()
 	f.listed.Store(int64(listed))
 	f.avoided.Store(int64(avoided))
 }
@@ -182,11 +184,11 @@
 // avoidedBelow is the fraction of its weight below which a server counts as avoided.
 const avoidedBelow = 0.5
 
-// Members returns how many caches are listed and how many of them are avoided, which means that they drain or that their health
+// CacheCounts returns how many caches are listed and how many of them are avoided, which means that they drain or that their health
 // and network path leave them less than half of their weight.
-func (r *Router) Members() (listed, avoided int) {
+func (r *Router) CacheCounts() (listed, avoided int) {
 	for _, s := range r.servers {
-		if s.origin || s.unlisted || s.Phase == Gone {
+		if s.origin || s.unlisted || s.Phase == Removed {
 			continue
 		}
 		listed++
@@ -213,7 +215,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.router.servers {
-		if !s.origin && !s.unlisted && s.Phase != Gone {
+		if !s.origin && !s.unlisted && s.Phase != Removed {
 			all = append(all, CacheState{s.ID, s.Zone, f.router.isAvoided(s)})
 		}
 	}
@@ -242,7 +244,7 @@
 	f.orders.CloseIdle = append(f.orders.CloseIdle, f.takeIdle()...)
 	orders := f.orders
 	if f.orders = (Orders{}); len(f.timers) > 0 {
-		orders.Next = f.timers[0].due
+		orders.NextTick = f.timers[0].due
 	}
 	return orders
 }
@@ -276,7 +278,7 @@
 
 func (a *facadeActions) Send(request, server uint32, timeout time.Duration) {
 	if o := a.openRequests[request]; o != nil {
-		o.step = Step{Kind: StepCall, Server: server, Attempt: o.callCount, Timeout: timeout, By: a.router.retryWriteBy(request)}
+		o.step = Step{Kind: StepCall, Server: server, Attempt: o.callCount, Timeout: timeout, WriteBy: a.router.retryWriteBy(request)}
 		o.stepReady = true
 		o.callCount++
 	}
@@ -332,7 +334,7 @@
 	}
 }
 
-func (a *facadeActions) FetchList() { a.orders.List = true; a.wake() }
+func (a *facadeActions) FetchList() { a.orders.FetchList = true; a.wake() }
 
 func (a *facadeActions) Watch(on bool) {
 	a.orders.Watch, a.orders.Unwatch = on, !on
--- a/facade_test.go
+++ b/facade_test.go
@@ -8,8 +8,8 @@
 // newFacade returns a Facade with two caches and an origin, and a count of its wake calls.
 func newFacade(change func(*Settings)) (f *Facade, woken *int) {
 	set := Settings{
-		Balancers: 1, MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 2 * time.Second, Tick: 5 * time.Millisecond,
-		Aside: true, OriginKind: 1, ListOnRequest: true, AskWithin: 10 * time.Second,
+		RouterCount: 1, MaxAttempts: 3, AllowsCancel: true, MaxRetryAfter: 2 * time.Second, TickInterval: 5 * time.Millisecond,
+		CacheAside: true, OriginKind: 1, ListOnRequest: true, FetchListWithin: 10 * time.Second,
 		Classes: []Class{{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1},
 			{Aim: time.Second, Deadline: 4 * time.Second, Worth: 3, Effect: AtMostOnce}},
 	}
@@ -18,14 +18,14 @@
 	}
 	woken = new(int)
 	f = NewFacade(time.Hour, set, 1, func() { *woken++ })
-	f.Directory(time.Hour, ListCached, []Server{
+	f.UpdateServers(time.Hour, ListCached, []Server{
 		{ID: 1, Phase: Ready, Weight: 1}, {ID: 2, Phase: Ready, Weight: 1}, {ID: 9, Kind: 1, Phase: Ready}})
 	return f, woken
 }
 
 func TestFacadeMissGoesToOrigin(t *testing.T) {
 	f, _ := newFacade(nil)
-	id := f.Reserve()
+	id := f.ReserveID()
 	step := f.Pick(time.Hour, Request{ID: id, Key: 7, Remaining: 3 * time.Second})
 	if step.Kind != StepCall || step.Server == 9 || step.Attempt != 0 || step.Timeout <= 0 {
 		t.Fatalf("first step %+v", step)
@@ -45,7 +45,7 @@
 func TestFacadeEndsWhileCalling(t *testing.T) {
 	for _, status := range []Status{Cancelled, OK} {
 		f, woken := newFacade(nil)
-		id := f.Reserve()
+		id := f.ReserveID()
 		step := f.Pick(time.Hour, Request{ID: id, Key: 7, Remaining: 3 * time.Second})
 		before := *woken
 		late := time.Hour + 2*time.Second
@@ -68,17 +68,17 @@
 
 func TestFacadeRetriesWriteOnlyIfNotRun(t *testing.T) {
 	for status, want := range map[Status]StepKind{
-		Reset: StepFail, Timeout: StepFail, ServerError: StepFail, ConnectFailed: StepCall, Full: StepCall, Moot: StepCall,
+		Reset: StepFail, Timeout: StepFail, ServerError: StepFail, ConnectFailed: StepCall, TurnedAway: StepCall, NotSent: StepCall,
 	} {
 		f, _ := newFacade(nil)
-		id := f.Reserve()
+		id := f.ReserveID()
 		step := f.Pick(time.Hour, Request{ID: id, Class: 1, Key: 7, Write: true, Remaining: 3 * time.Second})
 		got := f.Report(time.Hour+time.Millisecond, AttemptID{id, 0}, step.Server, status, time.Millisecond)
 		if step.Server != 9 || got.Kind != want {
 			t.Errorf("after status %d: %+v, want kind %d", status, got, want)
 		}
 		// A read is retried after any status: refusing it would save just one more attempt.
-		id = f.Reserve()
+		id = f.ReserveID()
 		step = f.Pick(time.Hour, Request{ID: id, Key: 7, Remaining: 3 * time.Second})
 		if got := f.Report(time.Hour, AttemptID{id, 0}, step.Server, status, 0); got.Kind != StepCall {
 			t.Errorf("a read after status %d: %+v", status, got)
@@ -89,9 +89,9 @@
 // The disconnect of a client ends its request and cancels the attempt. Later reports do no harm.
 func TestFacadeClientDisconnects(t *testing.T) {
 	f, _ := newFacade(nil)
-	id := f.Reserve()
+	id := f.ReserveID()
 	step := f.Pick(time.Hour, Request{ID: id, Key: 7, Remaining: 3 * time.Second})
-	f.Gone(time.Hour+time.Millisecond, id)
+	f.ClientDisconnected(time.Hour+time.Millisecond, id)
 	if orders := f.Tick(time.Hour + time.Millisecond); len(orders.Cancelled) != 1 {
 		t.Errorf("orders %+v", orders)
 	}
@@ -111,11 +111,11 @@
 		cancelled     int
 	}{"read": {false, false, 0}, "write": {true, false, 1}, "fetch": {false, true, 1}} {
 		f, _ := newFacade(nil)
-		f.router.settings.Ordered = true
-		id := f.Reserve()
+		f.router.settings.OrderedAnswers = true
+		id := f.ReserveID()
 		step := f.Pick(time.Hour, Request{ID: id, Key: 7, Write: c.write, Remaining: 3 * time.Second})
 		f.router.requests[id].homeMissed = c.missed
-		f.Gone(time.Hour+time.Millisecond, id)
+		f.ClientDisconnected(time.Hour+time.Millisecond, id)
 		if orders := f.Tick(time.Hour + time.Millisecond); len(orders.Cancelled) != c.cancelled {
 			t.Errorf("%s: orders %+v", name, orders)
 		}
@@ -136,14 +136,14 @@
 func TestFacadeTime(t *testing.T) {
 	f, woken := newFacade(nil)
 	orders := f.Tick(time.Hour)
-	if orders.Next <= time.Hour || orders.Watch {
+	if orders.NextTick <= time.Hour || orders.Watch {
 		t.Fatalf("orders at the start %+v", orders)
 	}
-	if orders = f.Tick(orders.Next); !orders.Watch {
+	if orders = f.Tick(orders.NextTick); !orders.Watch {
 		t.Errorf("no watch is ordered when it is due: %+v", orders)
 	}
-	f.Directory(time.Hour, ListFailed, nil)
-	if f.now < orders.Next || f.router.now < f.now-1 {
+	f.UpdateServers(time.Hour, ListFailed, nil)
+	if f.now < orders.NextTick || f.router.now < f.now-1 {
 		t.Errorf("time went back to %v", f.now)
 	}
 	*woken = 0
@@ -163,9 +163,9 @@
 }
 
 func facadePatience(t *testing.T, hedging bool) {
-	f, _ := newFacade(func(s *Settings) { s.SecondCopies, s.MayCancel = hedging, !hedging })
+	f, _ := newFacade(func(s *Settings) { s.Hedging, s.AllowsCancel = hedging, !hedging })
 	for i := range 2 {
-		id := f.Reserve()
+		id := f.ReserveID()
 		step := f.Pick(time.Hour, Request{ID: id, Key: 7, Remaining: 3 * time.Second})
 		if i == 0 { // so the server is known to answer fast
 			f.Report(time.Hour+time.Millisecond, AttemptID{id, 0}, step.Server, OK, 50*time.Millisecond)
@@ -193,7 +193,7 @@
 	for _, overtaken := range []bool{true, false} {
 		f, _ := newFacade(nil)
 		pick := func(now time.Duration) (AttemptID, uint32) {
-			id := f.Reserve()
+			id := f.ReserveID()
 			return AttemptID{id, 0}, f.Pick(now, Request{ID: id, Key: 7, Remaining: 3 * time.Second}).Server
 		}
 		answer := func(now time.Duration) {
@@ -220,21 +220,21 @@
 func TestFacadeRetryWriteDeadline(t *testing.T) {
 	for effect, want := range map[Effect]time.Duration{Deduplicated: time.Hour + 990*time.Millisecond, Idempotent: 0} {
 		f, _ := newFacade(func(set *Settings) {
-			set.Classes[1] = Class{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: effect, KeyTTL: time.Second}
+			set.Classes[1] = Class{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: effect, DedupTTL: time.Second}
 		})
-		id := f.Reserve()
+		id := f.ReserveID()
 		step := f.Pick(time.Hour, Request{ID: id, Class: 1, Key: 7, Write: true, Remaining: 3 * time.Second})
-		if step.By != 0 {
-			t.Errorf("effect %d: the first attempt must be written by %v", effect, step.By)
+		if step.WriteBy != 0 {
+			t.Errorf("effect %d: the first attempt must be written by %v", effect, step.WriteBy)
 		}
 		sent := f.Report(time.Hour+10*time.Millisecond, AttemptID{id, 0}, step.Server, Reset, time.Millisecond)
-		if sent.Kind != StepCall || sent.By != want {
+		if sent.Kind != StepCall || sent.WriteBy != want {
 			t.Errorf("effect %d: the retry is %+v, to be written by %v", effect, sent, want)
 		}
-		other := f.Reserve()
+		other := f.ReserveID()
 		step = f.Pick(time.Hour+time.Second, Request{ID: other, Class: 1, Key: 7, Write: true, Remaining: 3 * time.Second})
 		step = f.Report(time.Hour+time.Second, AttemptID{other, 0}, step.Server, ConnectFailed, 0)
-		if step.Kind != StepCall || step.By != 0 {
+		if step.Kind != StepCall || step.WriteBy != 0 {
 			t.Errorf("effect %d: an attempt that never reached its server is followed by %+v", effect, step)
 		}
 	}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -245,7 +245,7 @@
 // so that clients that were rejected together don't retry together.
 func (c *Controller) reject(id uint64, after time.Duration, name string) Decision {
 	settings := &c.Plan().Platform().Settings
-	if !settings.RetryAfter {
+	if !settings.SendsRetryAfter {
 		return Decision{RequestID: id, Verdict: limit.No, Limit: name}
 	}
 	spread := 1 + float64(id*hashMultiplier>>hashShift)/hashRange*maxJitter
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -17,7 +17,7 @@
 
 func load(t interface{ Fatal(...any) }, text string) *plan.Plan {
 	platform := &plan.Platform{
-		Settings: hoptiller.Settings{MaxAttempts: 5, OriginKind: 2, RetryAfter: true, MaxRetryAfter: 2 * time.Second, Classes: []hoptiller.Class{
+		Settings: hoptiller.Settings{MaxAttempts: 5, OriginKind: 2, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second, Classes: []hoptiller.Class{
 			{Aim: time.Second, Deadline: 4 * time.Second}, {Aim: time.Second, Deadline: 4 * time.Second, Effect: hoptiller.AtMostOnce}}},
 		Classes: []string{"view", "book"}, Zones: []string{"a", "b"}, Kinds: []string{"x", "y", "origin"},
 	}
@@ -119,16 +119,16 @@
 	c := New(load(t, "policy p {\n\tattempts 2\n\trepeat on full timeout\n\ttimeout 30ms\n\tbudget 0% least 0.1/s\n}\nroute r {\n\tclass view\n\tpolicy p\n}\n"))
 	constraints := constraintsFor(c, 0, "k")
 	narrowing := constraints.Narrowing()
-	if narrowing.Timeout() != 30*time.Millisecond || !narrowing.Repeats(1, hoptiller.Full) ||
-		!narrowing.Repeats(1, hoptiller.Cancelled) || narrowing.Repeats(1, hoptiller.Reset) ||
-		narrowing.Repeats(2, hoptiller.Full) || narrowing.Copies() {
+	if narrowing.Timeout() != 30*time.Millisecond || !narrowing.AllowsRetry(1, hoptiller.TurnedAway) ||
+		!narrowing.AllowsRetry(1, hoptiller.Cancelled) || narrowing.AllowsRetry(1, hoptiller.Reset) ||
+		narrowing.AllowsRetry(2, hoptiller.TurnedAway) || narrowing.AllowsHedge() {
 		t.Error("the constraints differ from the policy")
 	}
-	if !narrowing.Spend(0) || narrowing.Spend(0) {
+	if !narrowing.TakeRetry(0) || narrowing.TakeRetry(0) {
 		t.Error("the retry budget does not allow exactly one retry")
 	}
 	c.SetPlan(load(t, "route r {\n\tclass view\n}\n"))
-	if narrowing.Timeout() != 30*time.Millisecond || !narrowing.Repeats(1, hoptiller.Full) {
+	if narrowing.Timeout() != 30*time.Millisecond || !narrowing.AllowsRetry(1, hoptiller.TurnedAway) {
 		t.Error("the constraints of a running request change at a reload")
 	}
 	if constraintsFor(c, 0, "k").Narrowing() != nil {
--- a/internal/admission/constraints.go
+++ b/internal/admission/constraints.go
@@ -20,7 +20,7 @@
 	constrains bool         // the plan constrains what the module may do
 }
 
-var _ hoptiller.Narrowing = (*Constraints)(nil)
+var _ hoptiller.Constraints = (*Constraints)(nil)
 
 const (
 	unboundedConcurrency = 1 << 30
@@ -75,7 +75,7 @@
 func (c *Constraints) Unlimited() bool { return c.limits == nil && c.sharedGate == nil }
 
 // Narrowing returns the constraints that the module gets with a request, or nil if there are none.
-func (c *Constraints) Narrowing() hoptiller.Narrowing {
+func (c *Constraints) Narrowing() hoptiller.Constraints {
 	if !c.constrains {
 		return nil
 	}
@@ -98,18 +98,18 @@
 	return unboundedTimeout
 }
 
-// Repeats reports whether the router may retry a request after the given number of attempts, of
+// AllowsRetry reports whether the router may retry a request after the given number of attempts, of
 // which the last one ended with the given status.
-func (c *Constraints) Repeats(attempts int, last hoptiller.Status) bool {
+func (c *Constraints) AllowsRetry(attempts int, last hoptiller.Status) bool {
 	policy := &c.entry.Policy
-	if last == hoptiller.Cancelled || last == hoptiller.Moot { // the router cancelled an attempt that got no answer in time
+	if last == hoptiller.Cancelled || last == hoptiller.NotSent { // the router cancelled an attempt that got no answer in time
 		last = hoptiller.Timeout
 	}
 	return (policy.Attempts == 0 || attempts < policy.Attempts) && policy.Repeat.Has(last)
 }
 
-// Spend takes a retry out of the route's retry budget and reports whether the budget had one.
-func (c *Constraints) Spend(now time.Duration) bool {
+// TakeRetry takes a retry out of the route's retry budget and reports whether the budget had one.
+func (c *Constraints) TakeRetry(now time.Duration) bool {
 	if !c.entry.Policy.BudgetSaid {
 		return true
 	}
@@ -118,8 +118,8 @@
 	return c.limits.budget.TakeRetry(now)
 }
 
-// Copies reports whether the router may hedge, i.e. have two attempts of one request in flight at once.
-func (c *Constraints) Copies() bool { return c.entry.Policy.Copies != singleAttempt }
+// AllowsHedge reports whether the router may hedge, i.e. have two attempts of one request in flight at once.
+func (c *Constraints) AllowsHedge() bool { return c.entry.Policy.Copies != singleAttempt }
 
 // Late reports whether an answer after duration misses the target latency of the request's class.
 func (c *Constraints) Late(duration time.Duration) bool {
--- a/internal/admission/middleware/middleware.go
+++ b/internal/admission/middleware/middleware.go
@@ -177,7 +177,7 @@
 		clear(h.serversByID)
 	}
 	for _, server := range servers {
-		if h.serversByID[server.ID] = server; server.Phase == hoptiller.Gone {
+		if h.serversByID[server.ID] = server; server.Phase == hoptiller.Removed {
 			delete(h.serversByID, server.ID)
 		}
 	}
--- a/internal/admission/middleware/middleware_test.go
+++ b/internal/admission/middleware/middleware_test.go
@@ -23,7 +23,7 @@
 		}
 		return []byte(text), nil
 	}, &plan.Platform{Classes: []string{"view"}, Zones: []string{"a", "b"},
-		Settings: hoptiller.Settings{MaxAttempts: 5, OriginKind: 2, RetryAfter: true, MaxRetryAfter: time.Second,
+		Settings: hoptiller.Settings{MaxAttempts: 5, OriginKind: 2, SendsRetryAfter: true, MaxRetryAfter: time.Second,
 			Classes: []hoptiller.Class{{Aim: time.Minute, Deadline: time.Minute}}}})
 	if p == nil {
 		t.Fatal(report)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -152,8 +152,8 @@
 // assumeFleetSize sets the number of routers and records the assumptions behind it. Limits that apply to all routers
 // together depend on that number. They are safe if the assumed number is too large, never if it is too small.
 func (c *Config) assumeFleetSize(ownAddr string) {
-	stated := c.Settings.Balancers
-	c.Settings.Balancers = max(stated, len(c.Peers), 1)
+	stated := c.Settings.RouterCount
+	c.Settings.RouterCount = max(stated, len(c.Peers), 1)
 	switch {
 	case len(c.Peers) == 0 && stated <= 0:
 		c.Assumed = append(c.Assumed, "neither peers nor settings name other routers: assuming to be the only one")
@@ -161,7 +161,7 @@
 		c.Assumed = append(c.Assumed, fmt.Sprintf("no peers: taken for one of %d routers, as the settings say", stated))
 	case len(c.Peers) != stated:
 		c.Assumed = append(c.Assumed, fmt.Sprintf("%d peers, but the settings state %d routers: assuming to be one of %d",
-			len(c.Peers), stated, c.Settings.Balancers))
+			len(c.Peers), stated, c.Settings.RouterCount))
 	case ownAddr != "" && !slices.Contains(c.Peers, ownAddr):
 		c.Assumed = append(c.Assumed, fmt.Sprintf("own address %s is not among the %d peers: counted as one of them", ownAddr, stated))
 	}
--- a/internal/config/contradictions.go
+++ b/internal/config/contradictions.go
@@ -21,18 +21,18 @@
 		name := c.Classes[i]
 		report(class.Deadline > 0 && class.Aim > class.Deadline,
 			"class %s: the aim %v is longer than the deadline %v", name, class.Aim, class.Deadline)
-		report(class.Effect == hoptiller.Deduplicated && class.KeyTTL <= 0,
+		report(class.Effect == hoptiller.Deduplicated && class.DedupTTL <= 0,
 			"class %s: deduplicated, but without a time for which repeats are dropped", name)
-		report(class.LateValue < 0 || class.LateValue > 1, "class %s: a late answer is worth %v of an answer in time",
-			name, class.LateValue)
+		report(class.LateFraction < 0 || class.LateFraction > 1, "class %s: a late answer is worth %v of an answer in time",
+			name, class.LateFraction)
 	}
-	report(set.ColdFrom > 1, "a cold server has %v of its capacity", set.ColdFrom)
-	report(set.Balancers > 0 && set.Self >= set.Balancers, "router index %d is out of range for %d routers", set.Self, set.Balancers)
+	report(set.ColdCapacity > 1, "a cold server has %v of its capacity", set.ColdCapacity)
+	report(set.RouterCount > 0 && set.RouterIndex >= set.RouterCount, "router index %d is out of range for %d routers", set.RouterIndex, set.RouterCount)
 	report(len(c.Zones) > 0 && set.Zone >= len(c.Zones), "zone index %d is out of range for %d zones", set.Zone, len(c.Zones))
 	report(len(c.Kinds) > 0 && set.OriginKind >= len(c.Kinds), "the origin's kind %d is out of range for %d kinds",
 		set.OriginKind, len(c.Kinds))
-	report(set.Aside && set.OriginKind < 0, "routers fetch missing values, but there is no origin")
-	report(!set.RetryAfter && set.MaxRetryAfter > 0, "clients get no retry delay, but honour up to %v", set.MaxRetryAfter)
+	report(set.CacheAside && set.OriginKind < 0, "routers fetch missing values, but there is no origin")
+	report(!set.SendsRetryAfter && set.MaxRetryAfter > 0, "clients get no retry delay, but honour up to %v", set.MaxRetryAfter)
 	for what, list := range map[string][]string{"class": c.Classes, "account": c.Tenants, "zone": c.Zones} {
 		known := map[string]bool{}
 		for _, name := range list {
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -19,7 +19,7 @@
 	s := &c.Settings
 	if len(s.Classes) == 0 {
 		c.AnyClass, c.Classes = true, []string{"any"}
-		s.Classes = []hoptiller.Class{{Effect: hoptiller.AtMostOnce, Deadline: defaultDeadline, Worth: 1, LateValue: 1}}
+		s.Classes = []hoptiller.Class{{Effect: hoptiller.AtMostOnce, Deadline: defaultDeadline, Worth: 1, LateFraction: 1}}
 		warn("no classes: no request is sent twice")
 	}
 	firstIndex := map[string]int{}
@@ -44,8 +44,8 @@
 			warn("account %d has no name: no customer can use its share", i)
 		}
 	}
-	if s.ConnTimeout <= 0 {
-		s.ConnTimeout = defaultConnTimeout
+	if s.ConnectTimeout <= 0 {
+		s.ConnectTimeout = defaultConnTimeout
 	}
 	return warnings
 }
--- a/internal/config/defaults_test.go
+++ b/internal/config/defaults_test.go
@@ -32,7 +32,7 @@
 		if !strings.HasSuffix(c.Doubts, warning) || (warning == "") != (c.Doubts == "") || strings.Contains(c.Doubts, "\n") {
 			t.Errorf("%s: got the warnings %q", set, c.Doubts)
 		}
-		if len(c.Classes) != len(c.Settings.Classes) || len(c.Tenants) != len(c.Settings.Tenants) || c.Settings.ConnTimeout <= 0 {
+		if len(c.Classes) != len(c.Settings.Classes) || len(c.Tenants) != len(c.Settings.Tenants) || c.Settings.ConnectTimeout <= 0 {
 			t.Errorf("%s: classes %q of %+v", set, c.Classes, c.Settings)
 		}
 		for i, class := range c.Settings.Classes {
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	now := time.Duration(time.Now().UnixNano())
-	if class := c.Settings.Classes[0]; now+3*class.KeyTTL < now || now+3*class.Deadline < now || class.KeyTTL != maxTime {
+	if class := c.Settings.Classes[0]; now+3*class.DedupTTL < now || now+3*class.Deadline < now || class.DedupTTL != maxTime {
 		t.Errorf("%+v", class)
 	}
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -31,9 +31,9 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		assumed := strings.Join(got.Assumed, "\n")
-		if got.Settings.Balancers != c.size || !strings.Contains(assumed, c.assumption) || (c.assumption == "") != (assumed == "") ||
+		if got.Settings.RouterCount != c.size || !strings.Contains(assumed, c.assumption) || (c.assumption == "") != (assumed == "") ||
 			strings.Contains(assumed, "\n") {
-			t.Errorf("%s: one of %d routers, assumed %q", name, got.Settings.Balancers, assumed)
+			t.Errorf("%s: one of %d routers, assumed %q", name, got.Settings.RouterCount, assumed)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -20,20 +20,20 @@
 	}
 	r := &reader{root: gjson.ParseBytes(text)}
 	s = hoptiller.Settings{
-		Self: r.int("selfIndex"), Balancers: r.int("balancers"), Zone: r.int("zone"),
-		OverShareWorth: r.float("overShareWorth"), TailPart: r.float("scoringMix.tailPart"), OriginKind: -1,
-		Aside: r.text("familyInfo.mode") == "aside", Ordered: r.bool("familyInfo.ordered"),
+		RouterIndex: r.int("selfIndex"), RouterCount: r.int("balancers"), Zone: r.int("zone"),
+		OverShareWorth: r.float("overShareWorth"), TailFraction: r.float("scoringMix.tailPart"), OriginKind: -1,
+		CacheAside: r.text("familyInfo.mode") == "aside", OrderedAnswers: r.bool("familyInfo.ordered"),
 		ListOnRequest:     r.text("membershipMode") == "on_request",
-		AskWithin:         r.time("rules.askWithin"),
+		FetchListWithin:   r.time("rules.askWithin"),
 		StopSendingWithin: r.time("rules.stopSendingWithin"),
 		AnswerGrace:       r.time("rules.graceToAnswer"),
-		ColdFrom:          r.float("rules.coldFrom"), Cold: r.time("rules.cold"),
-		OverloadFactor: r.float("rules.overloadFactor"), Fall: r.time("rules.fall"),
-		RemovalNotBinding: r.bool("rules.removalNotBinding"),
-		MaxAttempts:       r.int("bounds.mostTries"), SecondCopies: r.bool("bounds.secondCopies"),
-		MayCancel: r.bool("bounds.mayCancel"), RetryAfter: r.bool("bounds.retryAfter"),
-		MaxRetryAfter: r.time("bounds.maxRetryAfter"), ConnTimeout: r.time("bounds.connectTimeout"),
-		Tick: r.time("period"),
+		ColdCapacity:      r.float("rules.coldFrom"), WarmUp: r.time("rules.cold"),
+		OverloadFactor: r.float("rules.overloadFactor"), CollapseWindow: r.time("rules.fall"),
+		AbsenceAllowsSending: r.bool("rules.removalNotBinding"),
+		MaxAttempts:          r.int("bounds.mostTries"), Hedging: r.bool("bounds.secondCopies"),
+		AllowsCancel: r.bool("bounds.mayCancel"), SendsRetryAfter: r.bool("bounds.retryAfter"),
+		MaxRetryAfter: r.time("bounds.maxRetryAfter"), ConnectTimeout: r.time("bounds.connectTimeout"),
+		TickInterval: r.time("period"),
 	}
 	if r.has("familyInfo.originKind") {
 		s.OriginKind = r.int("familyInfo.originKind")
@@ -146,7 +146,7 @@
 func (r *reader) parseClass() hoptiller.Class {
 	c := hoptiller.Class{
 		Aim: r.time("onTime"), Deadline: r.time("deadline"), Worth: r.float("worth"),
-		LateValue: r.float("lateValue"), KeyTTL: r.time("keyTtl"), Stream: r.bool("stream"),
+		LateFraction: r.float("lateValue"), DedupTTL: r.time("keyTtl"), Stream: r.bool("stream"),
 	}
 	switch effect := r.text("effect"); effect {
 	case "idempotent":
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -17,9 +17,9 @@
 		t.Fatal(warnings, err)
 	}
 	c := s.Classes[0]
-	if s.Balancers != 2 || s.MaxAttempts != 4 || !s.SecondCopies || !s.Aside || s.OriginKind != 2 ||
-		!s.ListOnRequest || s.Tenants[0].Allowance != 241 || s.Cold != 23*time.Second || s.ColdFrom != 0.13 ||
-		c.Effect != hoptiller.Deduplicated || c.Group != hoptiller.GroupZone || c.KeyTTL != 3*time.Second ||
+	if s.RouterCount != 2 || s.MaxAttempts != 4 || !s.Hedging || !s.CacheAside || s.OriginKind != 2 ||
+		!s.ListOnRequest || s.Tenants[0].Allowance != 241 || s.WarmUp != 23*time.Second || s.ColdCapacity != 0.13 ||
+		c.Effect != hoptiller.Deduplicated || c.Group != hoptiller.GroupZone || c.DedupTTL != 3*time.Second ||
 		c.Aim != 500*time.Millisecond {
 		t.Errorf("settings: %+v", s)
 	}
@@ -64,8 +64,8 @@
 		`{"scoringMix": {}}`: 0,
 		`{}`:                 0,
 	} {
-		if s, _, err := ParseSettings([]byte(text)); err != nil || s.TailPart != want {
-			t.Errorf("%s: tail share %v, error %v", text, s.TailPart, err)
+		if s, _, err := ParseSettings([]byte(text)); err != nil || s.TailFraction != want {
+			t.Errorf("%s: tail share %v, error %v", text, s.TailFraction, err)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	s, _, err := ParseSettings([]byte(`{"rules": {"budgetFree": 2, "furtherRatio": 0.15, "budgetWindow": 2000000,
 		"removalNotBinding": true}}`))
 	if err != nil || s.BudgetFree != 2 || s.BudgetRatio != 0.15 || s.BudgetWindow != 2*time.Second ||
-		!s.RemovalNotBinding {
+		!s.AbsenceAllowsSending {
 		t.Errorf("settings %+v, error %v", s, err)
 	}
 	for text, window := range map[string]time.Duration{
@@ -87,7 +87,7 @@
 		`{"rules": {"furtherRatio": 7, "budgetFree": -3}}`:          0,
 		`{"rules": {"furtherRatio": null, "budgetWindow": 100000}}`: 0,
 	} {
-		if s, _, err := ParseSettings([]byte(text)); err != nil || s.BudgetWindow != window || s.RemovalNotBinding {
+		if s, _, err := ParseSettings([]byte(text)); err != nil || s.BudgetWindow != window || s.AbsenceAllowsSending {
 			t.Errorf("%s: window %v, error %v", text, s.BudgetWindow, err)
 		}
 	}
--- a/internal/fleet/drains/drains.go
+++ b/internal/fleet/drains/drains.go
@@ -81,7 +81,7 @@
 	}
 	changed := servers
 	for i, s := range servers {
-		if s.Phase == hoptiller.Gone {
+		if s.Phase == hoptiller.Removed {
 			delete(c.listed, s.ID)
 		} else {
 			c.listed[s.ID] = s
--- a/internal/lab/rival/rival.go
+++ b/internal/lab/rival/rival.go
@@ -47,7 +47,7 @@
 		r := &Router{set: set, act: act, chooser: newChooser(), known: map[uint32]*server{}, requests: map[uint32]*request{},
 			rand: rand.New(rand.NewPCG(seed, 0))}
 		if set.ListOnRequest {
-			act.SetTimer(watchToken, time.Duration(r.rand.Float64()*float64(set.AskWithin)/20))
+			act.SetTimer(watchToken, time.Duration(r.rand.Float64()*float64(set.FetchListWithin)/20))
 		}
 		return r
 	}
@@ -103,8 +103,8 @@
 	listFailures int // consecutive server lists that could not be fetched
 }
 
-// List implements hoptiller.Events.
-func (r *Router) List(now time.Duration, kind hoptiller.ListKind, entries []hoptiller.Server) {
+// UpdateServers implements hoptiller.Events.
+func (r *Router) UpdateServers(now time.Duration, kind hoptiller.ListKind, entries []hoptiller.Server) {
 	if kind == hoptiller.ListFailed {
 		r.listFailures++
 		r.act.SetTimer(watchToken, time.Second<<min(r.listFailures, 3)/2+time.Duration(r.rand.Float64()*float64(time.Second)))
@@ -127,9 +127,9 @@
 	for id, s := range r.known {
 		switch {
 		case kind != hoptiller.ListDelta && !listed[id]:
-			s.Phase = hoptiller.Gone
+			s.Phase = hoptiller.Removed
 			delete(r.known, id)
-		case s.Phase == hoptiller.Gone:
+		case s.Phase == hoptiller.Removed:
 			delete(r.known, id)
 		case s.Phase == hoptiller.Ready && s.Kind == r.set.OriginKind:
 			r.origins = append(r.origins, s)
@@ -190,7 +190,7 @@
 func (r *Router) callIsSafe(now time.Duration, q *request) bool {
 	for _, c := range q.calls {
 		if c.mayHaveRun && (q.class.Effect == hoptiller.AtMostOnce ||
-			q.class.Effect == hoptiller.Deduplicated && now-c.sentAt >= q.class.KeyTTL-10*time.Millisecond) {
+			q.class.Effect == hoptiller.Deduplicated && now-c.sentAt >= q.class.DedupTTL-10*time.Millisecond) {
 			return false
 		}
 	}
@@ -245,13 +245,13 @@
 	c.pending = false
 	c.server.inFlight--
 	switch o.Status {
-	case hoptiller.Full, hoptiller.ConnectFailed, hoptiller.Moot, hoptiller.Miss:
+	case hoptiller.TurnedAway, hoptiller.ConnectFailed, hoptiller.NotSent, hoptiller.Miss:
 		c.mayHaveRun = false
 	}
 	switch o.Status {
 	case hoptiller.OK, hoptiller.Miss:
 		c.server.errors = 0
-	case hoptiller.Cancelled, hoptiller.Moot:
+	case hoptiller.Cancelled, hoptiller.NotSent:
 	default:
 		if c.server.errors++; c.server.errors >= ejectAfter {
 			c.server.errors = 0
@@ -264,9 +264,9 @@
 		return
 	}
 	q.missed = q.missed || o.Status == hoptiller.Miss
-	if n := q.Narrow; n != nil && o.Status != hoptiller.Miss { // an operator's limits on retries apply to these policies as well
+	if n := q.Constraints; n != nil && o.Status != hoptiller.Miss { // an operator's limits on retries apply to these policies as well
 		q.endedCalls++
-		if !n.Repeats(q.endedCalls, o.Status) || !n.Spend(now) {
+		if !n.AllowsRetry(q.endedCalls, o.Status) || !n.TakeRetry(now) {
 			r.finish(q)
 			return
 		}
@@ -274,15 +274,15 @@
 	r.next(now, q)
 }
 
-// Streaming implements hoptiller.Events.
-func (r *Router) Streaming(_ time.Duration, id uint32, _ int) {
+// StreamStarted implements hoptiller.Events.
+func (r *Router) StreamStarted(_ time.Duration, id uint32, _ int) {
 	if q := r.requests[id]; q != nil {
 		r.close(q)
 	}
 }
 
-// ClientGone implements hoptiller.Events.
-func (r *Router) ClientGone(_ time.Duration, id uint32) {
+// ClientDisconnected implements hoptiller.Events.
+func (r *Router) ClientDisconnected(_ time.Duration, id uint32) {
 	if q := r.requests[id]; q != nil {
 		for i := range q.calls {
 			if q.calls[i].pending {
--- a/internal/lab/rival/rival_test.go
+++ b/internal/lab/rival/rival_test.go
@@ -111,7 +111,7 @@
 		for id := range uint32(5) {
 			list = append(list, hoptiller.Server{ID: 100 + id, Phase: hoptiller.Ready, Weight: 1})
 		}
-		r.List(0, hoptiller.ListFull, list)
+		r.UpdateServers(0, hoptiller.ListFull, list)
 		end := func(id uint32, status hoptiller.Status) {
 			r.Outcome(0, hoptiller.Outcome{Request: id, Attempt: len(act.sent) - 1, Server: act.sent[len(act.sent)-1], Status: status})
 		}
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -199,7 +199,7 @@
 	ended := &request.attempts[attempt]
 	ended.inFlight = false
 	switch status {
-	case hoptiller.Full, hoptiller.ConnectFailed, hoptiller.Moot, hoptiller.Miss:
+	case hoptiller.TurnedAway, hoptiller.ConnectFailed, hoptiller.NotSent, hoptiller.Miss:
 		ended.mayHaveRun = false
 	}
 	c.forgetIfDone(router, id, request)
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -98,7 +98,7 @@
 		{"a booking repeated after it was rejected", "", func(c *Checker) {
 			c.Taken(0, 0, 2, book, time.Second)
 			c.Sent(0, 0, 2, 0)
-			c.Ended(0, 0, 2, 0, hoptiller.Full)
+			c.Ended(0, 0, 2, 0, hoptiller.TurnedAway)
 			c.Sent(0, 0, 2, 0)
 		}},
 		{"a booking repeated after a reset", Effects, func(c *Checker) {
@@ -375,7 +375,7 @@
 func sendCalls(c *Checker, count int) {
 	for i := range count {
 		c.Sent(0, 0, 1, 1)
-		c.Ended(0, 0, 1, i, hoptiller.Full)
+		c.Ended(0, 0, 1, i, hoptiller.TurnedAway)
 	}
 }
 
--- a/internal/lab/sim/actions.go
+++ b/internal/lab/sim/actions.go
@@ -34,7 +34,7 @@
 	t.Tally.Called(m.Zone != r.index%t.day.Zones)
 	if !known || len(inv.calls) > t.day.Rules.Attempts {
 		// The call ends after 1 ms, not at once: time would not pass for a policy that always sends again.
-		t.World.After(time.Millisecond, func() { r.endCall(c, hoptiller.Moot) })
+		t.World.After(time.Millisecond, func() { r.endCall(c, hoptiller.NotSent) })
 		return
 	}
 	if abandoned := inv.abandonedConn; abandoned != nil {
--- a/internal/lab/sim/homes.go
+++ b/internal/lab/sim/homes.go
@@ -36,7 +36,7 @@
 		servers[i] = hoptiller.Server{ID: member.ID, Zone: member.Zone, Kind: member.Kind, Cell: member.Cell, Phase: hoptiller.Ready,
 			Weight: member.Weight}
 	}
-	router.List(now, hoptiller.ListFull, servers)
+	router.UpdateServers(now, hoptiller.ListFull, servers)
 	class := 0
 	for i, c := range day.Classes {
 		if !c.Write {
--- a/internal/lab/sim/limited.go
+++ b/internal/lab/sim/limited.go
@@ -70,7 +70,7 @@
 		q.admitted = true
 		r := q.Request
 		r.Remaining -= l.now - q.arrivedAt
-		r.Narrow = q.constraints.Narrowing()
+		r.Constraints = q.constraints.Narrowing()
 		l.run(l.now, func() { l.next.Request(l.now, r) })
 	case limit.Wait:
 		l.SetTimer(queueTimerFlag|decision.RequestID, decision.WaitUntil-l.now)
@@ -128,11 +128,11 @@
 	})
 }
 
-func (l *limitedPolicy) ClientGone(now time.Duration, id uint32) {
+func (l *limitedPolicy) ClientDisconnected(now time.Duration, id uint32) {
 	l.run(now, func() {
 		q := l.requests[id]
 		if l.finish(id, limit.Unknown); q == nil || q.admitted {
-			l.next.ClientGone(now, id)
+			l.next.ClientDisconnected(now, id)
 		}
 	})
 }
@@ -149,11 +149,11 @@
 	})
 }
 
-func (l *limitedPolicy) Streaming(now time.Duration, id uint32, attempt int) {
-	l.run(now, func() { l.next.Streaming(now, id, attempt) })
+func (l *limitedPolicy) StreamStarted(now time.Duration, id uint32, attempt int) {
+	l.run(now, func() { l.next.StreamStarted(now, id, attempt) })
 }
 
-func (l *limitedPolicy) List(now time.Duration, kind hoptiller.ListKind, servers []hoptiller.Server) {
+func (l *limitedPolicy) UpdateServers(now time.Duration, kind hoptiller.ListKind, servers []hoptiller.Server) {
 	if l.servers == nil || kind == hoptiller.ListFull {
 		l.servers = map[uint32]admission.Server{}
 	}
@@ -167,7 +167,7 @@
 		}
 		l.control.SetServers(all)
 	}
-	l.run(now, func() { l.next.List(now, kind, servers) })
+	l.run(now, func() { l.next.UpdateServers(now, kind, servers) })
 }
 
 // SendMessage implements MessageSender if the router does.
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -152,7 +152,7 @@
 		r.closeConn(cn, hoptiller.Cancelled)
 	}
 	r.endCall(c, [...]hoptiller.Status{model.Served: hoptiller.OK, model.Missed: hoptiller.Miss,
-		model.Failed: hoptiller.ServerError, model.Busy: hoptiller.Full, model.Stale: hoptiller.Full}[a])
+		model.Failed: hoptiller.ServerError, model.Busy: hoptiller.TurnedAway, model.Stale: hoptiller.TurnedAway}[a])
 }
 
 // scheduleIdleClose has a connection closed once it has been idle for long enough. It stays open if it is used again,
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -142,7 +142,7 @@
 func (r *router) disconnectClient(inv *invocation) {
 	r.trace(inv.id, "the client has gone")
 	r.closeInvocation(inv)
-	r.deliver(func() { r.policy.ClientGone(r.now(), inv.id) })
+	r.deliver(func() { r.policy.ClientDisconnected(r.now(), inv.id) })
 }
 
 // giveFinalAnswer sends the final answer of a request to its client.
@@ -196,7 +196,7 @@
 	kind := hoptiller.ListDelta
 	switch {
 	case u.Failed:
-		r.deliver(func() { r.policy.List(r.now(), hoptiller.ListFailed, nil) })
+		r.deliver(func() { r.policy.UpdateServers(r.now(), hoptiller.ListFailed, nil) })
 		return
 	case u.Full:
 		kind = hoptiller.ListFull
@@ -227,7 +227,7 @@
 		}
 		r.servers[m.ID] = m
 	}
-	r.policy.List(r.now(), kind, servers)
+	r.policy.UpdateServers(r.now(), kind, servers)
 }
 
 // endCall ends a call and passes its outcome to the policy.
--- a/internal/lab/sim/settings.go
+++ b/internal/lab/sim/settings.go
@@ -8,20 +8,20 @@
 // Settings returns the settings with which router number self starts on a day.
 func Settings(day *model.Day, self int) hoptiller.Settings {
 	set := hoptiller.Settings{
-		Self: self, Balancers: day.Routers, Zone: self % day.Zones, OverShareWorth: 0.1,
-		Aside: true, OriginKind: len(day.Kinds), Ordered: true,
-		ListOnRequest: true, AskWithin: day.Rules.AskWithin.D(), StopSendingWithin: day.Rules.Drain.D(),
-		AnswerGrace: day.Rules.Grace.D(), OverloadFactor: day.Rules.Overload, Fall: day.Rules.Fall.D(),
-		MaxAttempts: day.Rules.Attempts, SecondCopies: day.Rules.Copies, MayCancel: true, RetryAfter: true,
-		MaxRetryAfter: day.Clients.MostWait.D(), ConnTimeout: day.Fleet.ConnectFor.D(), Tick: day.Round.D(),
-		ColdFrom: 1,
+		RouterIndex: self, RouterCount: day.Routers, Zone: self % day.Zones, OverShareWorth: 0.1,
+		CacheAside: true, OriginKind: len(day.Kinds), OrderedAnswers: true,
+		ListOnRequest: true, FetchListWithin: day.Rules.AskWithin.D(), StopSendingWithin: day.Rules.Drain.D(),
+		AnswerGrace: day.Rules.Grace.D(), OverloadFactor: day.Rules.Overload, CollapseWindow: day.Rules.Fall.D(),
+		MaxAttempts: day.Rules.Attempts, Hedging: day.Rules.Copies, AllowsCancel: true, SendsRetryAfter: true,
+		MaxRetryAfter: day.Clients.MostWait.D(), ConnectTimeout: day.Fleet.ConnectFor.D(), TickInterval: day.Round.D(),
+		ColdCapacity: 1,
 	}
 	for _, k := range day.Kinds {
-		set.ColdFrom = min(set.ColdFrom, k.ColdFrom)
-		set.Cold = max(set.Cold, k.ColdFor.D())
+		set.ColdCapacity = min(set.ColdCapacity, k.ColdFrom)
+		set.WarmUp = max(set.WarmUp, k.ColdFor.D())
 	}
 	for _, c := range day.Classes {
-		class := hoptiller.Class{Aim: c.Aim.D(), Deadline: c.Deadline.D(), Worth: c.Worth, LateValue: c.Late, KeyTTL: c.Window.D()}
+		class := hoptiller.Class{Aim: c.Aim.D(), Deadline: c.Deadline.D(), Worth: c.Worth, LateFraction: c.Late, DedupTTL: c.Window.D()}
 		switch c.Effect {
 		case "unsafe":
 			class.Effect = hoptiller.AtMostOnce
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -97,10 +97,10 @@
 	}
 }
 
-func (b *faultyPolicy) List(_ time.Duration, kind hoptiller.ListKind, list []hoptiller.Server) {
+func (b *faultyPolicy) UpdateServers(_ time.Duration, kind hoptiller.ListKind, list []hoptiller.Server) {
 	if kind == hoptiller.ListFull || kind == hoptiller.ListCached {
 		for id, s := range b.listed {
-			s.Phase = hoptiller.Gone
+			s.Phase = hoptiller.Removed
 			b.listed[id] = s
 		}
 	}
@@ -148,7 +148,7 @@
 	if b.fault == "silent" {
 		return
 	}
-	if b.fault == rules.Serving && b.set.Self == 0 {
+	if b.fault == rules.Serving && b.set.RouterIndex == 0 {
 		b.act.Refuse(q.ID, 0)
 		return
 	}
@@ -183,9 +183,9 @@
 		b.act.Fail(o.Request)
 	}
 }
-func (b *faultyPolicy) Streaming(time.Duration, uint32, int)  {}
-func (b *faultyPolicy) ClientGone(time.Duration, uint32)      {}
-func (b *faultyPolicy) Timer(now time.Duration, token uint64) { b.act.Watch(true) }
+func (b *faultyPolicy) StreamStarted(time.Duration, uint32, int) {}
+func (b *faultyPolicy) ClientDisconnected(time.Duration, uint32) {}
+func (b *faultyPolicy) Timer(now time.Duration, token uint64)    { b.act.Watch(true) }
 
 // For each invariant there is a policy that violates it, and the checker must report that.
 func TestCheckerReportsViolations(t *testing.T) {
@@ -336,7 +336,7 @@
 func TestMessages(t *testing.T) {
 	var all []*messenger
 	policy := func(now time.Duration, set hoptiller.Settings, seed uint64, act hoptiller.Actions) hoptiller.Events {
-		p := &messenger{faultyPolicy: *newFaultyPolicy("silent")(now, set, seed, act).(*faultyPolicy), self: set.Self,
+		p := &messenger{faultyPolicy: *newFaultyPolicy("silent")(now, set, seed, act).(*faultyPolicy), self: set.RouterIndex,
 			received: map[int]int{}}
 		all = append(all, p)
 		return p
--- a/internal/lab/standin/answer.go
+++ b/internal/lab/standin/answer.go
@@ -11,7 +11,7 @@
 // Answered implements model.ConnHandler.
 func (l *link) Answered(call *model.Call, result model.Answer) {
 	status := [...]hoptiller.Status{model.Served: hoptiller.OK, model.Missed: hoptiller.Miss, model.Failed: hoptiller.ServerError,
-		model.Busy: hoptiller.Full, model.Stale: hoptiller.Full}[result]
+		model.Busy: hoptiller.TurnedAway, model.Stale: hoptiller.TurnedAway}[result]
 	request := l.finish(call, status)
 	if request == nil {
 		return
--- a/internal/lab/standin/cause_test.go
+++ b/internal/lab/standin/cause_test.go
@@ -35,7 +35,7 @@
 		{hoptiller.OK, aim / 2, false, false},
 		{hoptiller.Miss, aim/2 + 1, true, false},
 		{hoptiller.Reset, 0, false, true},
-		{hoptiller.Full, 0, false, true},
+		{hoptiller.TurnedAway, 0, false, true},
 	} {
 		var summary callSummary
 		summary.callEnded(test.status, test.took, aim)
--- a/internal/lab/tally/tally.go
+++ b/internal/lab/tally/tally.go
@@ -387,6 +387,6 @@
 }
 
 // StatusNames are the names of the results of a call.
-var StatusNames = [...]string{hoptiller.OK: "served", hoptiller.ServerError: "error", hoptiller.Full: "turned away",
+var StatusNames = [...]string{hoptiller.OK: "served", hoptiller.ServerError: "error", hoptiller.TurnedAway: "turned away",
 	hoptiller.Timeout: "timed out", hoptiller.ConnectFailed: "no connection", hoptiller.Reset: "reset",
-	hoptiller.Cancelled: "cancelled", hoptiller.Moot: "moot", hoptiller.Miss: "miss"}
+	hoptiller.Cancelled: "cancelled", hoptiller.NotSent: "moot", hoptiller.Miss: "miss"}
--- a/internal/origin/crossing_test.go
+++ b/internal/origin/crossing_test.go
@@ -74,7 +74,7 @@
 		"receipt, reset":       {"200 OK", "r7", true, true, hoptiller.ServerError, ""},
 		"receipt of two words": {"200 OK", "r 7", false, true, hoptiller.ServerError, ""},
 		"error":                {"500 No", "why", false, false, hoptiller.ServerError, ""},
-		"not processed":        {"503 No\r\nX-Unprocessed: 1", "why", false, true, hoptiller.Full, ""},
+		"not processed":        {"503 No\r\nX-Unprocessed: 1", "why", false, true, hoptiller.TurnedAway, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/origin/origin.go
+++ b/internal/origin/origin.go
@@ -53,7 +53,7 @@
 		r.Status, r.Data = hoptiller.OK, body
 	}
 	if (h.Status == 503 || h.Status == 504) && h.Extra[unprocessedHeader] == "1" {
-		r.Status = hoptiller.Full
+		r.Status = hoptiller.TurnedAway
 	}
 	return r, nil
 }
--- a/internal/plan/check_platform.go
+++ b/internal/plan/check_platform.go
@@ -84,7 +84,7 @@
 			fmt.Sprintf("%d attempts, and the settings allow %d", p.Attempts, set.MaxAttempts),
 			fmt.Sprintf("1 to %d", set.MaxAttempts))
 	}
-	if p.Copies > 1 && !set.SecondCopies {
+	if p.Copies > 1 && !set.Hedging {
 		c.addFinding(p.locations.lookup("copies"), "second-copies", "the settings allow no second copies", "copies 1")
 	}
 	if never := p.RetryStated && p.Repeat == 0; p.Attempts > 1 && never {
@@ -136,11 +136,11 @@
 		}
 	case hoptiller.Deduplicated:
 		last := time.Duration(attempts-1) * p.Timeout // latest start of the last attempt, after that of the first
-		if (afterRun != 0 || p.Copies > 1) && class.KeyTTL > 0 && last >= class.KeyTTL {
+		if (afterRun != 0 || p.Copies > 1) && class.DedupTTL > 0 && last >= class.DedupTTL {
 			addFinding(p.locations.lookup("timeout"), "repeat-window",
 				fmt.Sprintf("attempt %d may begin %s after the first, and repeats are dropped for %s only %s",
-					attempts, formatTime(last), formatTime(class.KeyTTL), where),
-				fmt.Sprintf("less than %s for %d attempts", formatTime(class.KeyTTL/time.Duration(max(1, attempts-1))), attempts))
+					attempts, formatTime(last), formatTime(class.DedupTTL), where),
+				fmt.Sprintf("less than %s for %d attempts", formatTime(class.DedupTTL/time.Duration(max(1, attempts-1))), attempts))
 		}
 		if (afterRun != 0 || p.Copies > 1) && r.Pool != nil && c.spansGroups(r.Pool, class.Group) {
 			addFinding(r.locations.lookup("pool"), "repeat-group",
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -40,16 +40,16 @@
 	name   string
 	status hoptiller.Status
 }{
-	{"full", hoptiller.Full}, {"unreachable", hoptiller.ConnectFailed}, {"error", hoptiller.ServerError},
+	{"full", hoptiller.TurnedAway}, {"unreachable", hoptiller.ConnectFailed}, {"error", hoptiller.ServerError},
 	{"timeout", hoptiller.Timeout}, {"reset", hoptiller.Reset},
 }
 
 // AllOutcomes contains all outcomes that a file can name. NeverRan contains those after which a call has certainly
 // not run.
 const (
-	AllOutcomes = Outcomes(1<<hoptiller.Full | 1<<hoptiller.ConnectFailed | 1<<hoptiller.ServerError |
+	AllOutcomes = Outcomes(1<<hoptiller.TurnedAway | 1<<hoptiller.ConnectFailed | 1<<hoptiller.ServerError |
 		1<<hoptiller.Timeout | 1<<hoptiller.Reset)
-	NeverRan = Outcomes(1<<hoptiller.Full | 1<<hoptiller.ConnectFailed)
+	NeverRan = Outcomes(1<<hoptiller.TurnedAway | 1<<hoptiller.ConnectFailed)
 )
 
 // Pool selects the cache servers that match all stated fields.
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -20,11 +20,11 @@
 func testPlatform() *Platform {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	return &Platform{
-		Settings: hoptiller.Settings{MaxAttempts: 5, OriginKind: 2, RetryAfter: true, Classes: []hoptiller.Class{
+		Settings: hoptiller.Settings{MaxAttempts: 5, OriginKind: 2, SendsRetryAfter: true, Classes: []hoptiller.Class{
 			{Aim: ms(1200), Deadline: ms(4000), Worth: 1, Effect: hoptiller.Idempotent},
 			{Aim: ms(1500), Deadline: ms(5000), Worth: 3, Effect: hoptiller.AtMostOnce},
-			{Aim: ms(1000), Deadline: ms(2000), Worth: 2, Effect: hoptiller.Deduplicated, KeyTTL: ms(1500)},
-			{Aim: ms(1000), Deadline: ms(2000), Worth: 2, Effect: hoptiller.Deduplicated, KeyTTL: ms(1500), Group: hoptiller.GroupZone},
+			{Aim: ms(1000), Deadline: ms(2000), Worth: 2, Effect: hoptiller.Deduplicated, DedupTTL: ms(1500)},
+			{Aim: ms(1000), Deadline: ms(2000), Worth: 2, Effect: hoptiller.Deduplicated, DedupTTL: ms(1500), Group: hoptiller.GroupZone},
 		}},
 		Classes: []string{"slot-view", "book", "cancel", "hold"}, Zones: []string{"regina", "saskatoon", "winnipeg"},
 		Kinds: []string{"std-6c", "small-5c", "origin"}, MemoryMB: 96, Sockets: 600,
--- a/internal/plan/table.go
+++ b/internal/plan/table.go
@@ -144,7 +144,7 @@
 	}
 	if e.Copies == 0 {
 		e.Copies = 1
-		if set.SecondCopies {
+		if set.Hedging {
 			e.Copies = 2
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,9 +31,9 @@
 	Arrived time.Time     // when the last byte of the request arrived
 	Wait    time.Duration // how long the client waits for the answer, counted from Arrived
 
-	Client netip.Addr          // the client's address; invalid if unknown
-	Gone   func() bool         // checks whether the client has disconnected, even if nothing has noticed yet; nil: unknown
-	Narrow hoptiller.Narrowing // what an operator forbids for the request; nil: nothing
+	Client netip.Addr            // the client's address; invalid if unknown
+	Gone   func() bool           // checks whether the client has disconnected, even if nothing has noticed yet; nil: unknown
+	Narrow hoptiller.Constraints // what an operator forbids for the request; nil: nothing
 }
 
 // Deadline returns the time at which the client stops waiting.
@@ -46,8 +46,8 @@
 // routerRequest returns the request in the form that the decision module takes.
 func (req *Request) routerRequest(id uint32, now time.Time) hoptiller.Request {
 	return hoptiller.Request{
-		ID: id, Class: req.Class, Tenant: req.Tenant, Key: keyNumber(req.Key), Write: req.Write, Retry: req.Retry,
-		Remaining: max(0, req.Deadline().Sub(now)), Narrow: req.Narrow,
+		ID: id, Class: req.Class, Tenant: req.Tenant, Key: keyNumber(req.Key), Write: req.Write, IsRetry: req.Retry,
+		Remaining: max(0, req.Deadline().Sub(now)), Constraints: req.Narrow,
 	}
 }
 
@@ -166,13 +166,13 @@
 }
 
 // Members returns how many cache servers are listed, and how many of them the decision module avoids now.
-func (r *Relay) Members() (listed, avoided int) { return r.facade.Members() }
+func (r *Relay) Members() (listed, avoided int) { return r.facade.CacheCounts() }
 
 // Caches returns the listed cache servers as this router sees them.
 func (r *Relay) Caches() []hoptiller.CacheState { return r.facade.Caches() }
 
 // Sighted passes on that some router observed a cache server to be down or up before the list reported it.
-func (r *Relay) Sighted(observation hoptiller.Sighting) { r.facade.Sighted(r.now(), observation) }
+func (r *Relay) Sighted(observation hoptiller.Observation) { r.facade.Observe(r.now(), observation) }
 
 // Run carries out the orders of the decision module that belong to no single request, until ctx is done.
 func (r *Relay) Run(ctx context.Context, discovery Directory) error {
@@ -197,14 +197,14 @@
 		if orders.Watch || orders.Unwatch {
 			discovery.Watch(orders.Watch)
 		}
-		if orders.List {
+		if orders.FetchList {
 			discovery.List()
 		}
 		for _, text := range orders.Logs {
 			slog.Info("module", "said", text)
 		}
-		if orders.Next > 0 {
-			wait := max(0, orders.Next-r.now())
+		if orders.NextTick > 0 {
+			wait := max(0, orders.NextTick-r.now())
 			due = time.Now().Add(wait)
 			timer.Reset(wait)
 		}
@@ -226,7 +226,7 @@
 // Serve carries one request to its final answer. When ctx is done, the client has disconnected and the answer no
 // longer matters. Serve returns once no attempt of the request is in flight.
 func (r *Relay) Serve(ctx context.Context, req *Request) Answer {
-	id := r.facade.Reserve()
+	id := r.facade.ReserveID()
 	active := &activeRequest{}
 	r.activeMu.Lock()
 	r.active[id] = active
@@ -238,7 +238,7 @@
 	}()
 
 	step := r.facade.Pick(r.now(), req.routerRequest(id, time.Now()))
-	defer context.AfterFunc(ctx, func() { r.facade.Gone(r.now(), id) })()
+	defer context.AfterFunc(ctx, func() { r.facade.ClientDisconnected(r.now(), id) })()
 	trace := &requestTrace{started: time.Now()}
 	for {
 		r.closeIdle(step.CloseIdle)
@@ -250,8 +250,8 @@
 		result := r.makeAttempt(ctx, active, req, step)
 		now := r.now()
 		// Whatever the result is, no other attempt follows.
-		if ctx.Err() != nil || result.Status == hoptiller.Moot && req.ClientDisconnected() {
-			r.facade.Gone(now, id)
+		if ctx.Err() != nil || result.Status == hoptiller.NotSent && req.ClientDisconnected() {
+			r.facade.ClientDisconnected(now, id)
 		}
 		trace.addAttempt(req, step.Server, result.Status, now-sent)
 		if r.AttemptEnded != nil {
@@ -270,8 +270,8 @@
 			// A request has at most one attempt in flight. The previous attempt could not be aborted, so the next one
 			// is not made.
 			attempt.Attempt = step.Attempt
-			r.facade.Gone(r.now(), id)
-			r.facade.Report(r.now(), attempt, step.Server, hoptiller.Moot, 0)
+			r.facade.ClientDisconnected(r.now(), id)
+			r.facade.Report(r.now(), attempt, step.Server, hoptiller.NotSent, 0)
 			trace.logUnserved(req, hoptiller.StepFail)
 			return Answer{Kind: hoptiller.StepFail}
 		}
@@ -297,7 +297,7 @@
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(clientCtx), end)
 	defer cancel()
 	sendBy, cause := end, error(nil)
-	if t := time.Now().Add(step.By - r.now()); step.By > 0 && t.Before(end) {
+	if t := time.Now().Add(step.WriteBy - r.now()); step.WriteBy > 0 && t.Before(end) {
 		sendBy, cause = t, errRetryWindow
 	}
 	sendCtx, cancelSend := context.WithDeadlineCause(clientCtx, sendBy, cause)
@@ -310,7 +310,7 @@
 	}
 	r.activeMu.Unlock()
 	if cancelled {
-		return Result{Status: hoptiller.Moot}
+		return Result{Status: hoptiller.NotSent}
 	}
 	return r.upstreamByID(step.Server).Call(sendCtx, ctx, step.Server, req)
 }
@@ -348,13 +348,13 @@
 	}
 	if kind == hoptiller.ListFull || kind == hoptiller.ListCached {
 		for id, s := range r.servers {
-			if !listed[id] && s.Phase != hoptiller.Gone {
-				s.Phase = hoptiller.Gone
+			if !listed[id] && s.Phase != hoptiller.Removed {
+				s.Phase = hoptiller.Removed
 				leaving = append(leaving, s)
 			}
 		}
 	}
-	r.facade.Directory(r.now(), kind, entries)
+	r.facade.UpdateServers(r.now(), kind, entries)
 	for _, s := range leaving {
 		r.updateServer(s)
 	}
@@ -363,7 +363,7 @@
 	}
 	// Servers come and go for as long as the process runs, and each would leave an entry behind.
 	for id, s := range r.servers {
-		if s.Phase == hoptiller.Gone && !r.facade.Knows(id) && r.upstreamOf(s).Forget(id) {
+		if s.Phase == hoptiller.Removed && !r.facade.Knows(id) && r.upstreamOf(s).Forget(id) {
 			delete(r.servers, id)
 		}
 	}
@@ -382,14 +382,14 @@
 // updateServer records a server and notifies its Upstream. The caller holds r.mu.
 func (r *Relay) updateServer(s Server) {
 	old, known := r.servers[s.ID]
-	if s.Phase == hoptiller.Gone && known { // the entry of a removed server may lack the other fields
+	if s.Phase == hoptiller.Removed && known { // the entry of a removed server may lack the other fields
 		s.Addr, s.Started, s.Origin = old.Addr, old.Started, old.Origin
 	}
 	if s.EarliestStart = old.EarliestStart; !known || old.Started != s.Started {
 		s.EarliestStart = r.earliestStart(s.Started)
 	}
 	if !known || old.Phase != s.Phase {
-		phase := [...]string{hoptiller.Gone: "gone", hoptiller.Draining: "draining", hoptiller.Ready: "ready"}[s.Phase]
+		phase := [...]string{hoptiller.Removed: "gone", hoptiller.Draining: "draining", hoptiller.Ready: "ready"}[s.Phase]
 		slog.Info("server told", "server", s.Name, "id", fmt.Sprintf("%08x", s.ID), "phase", phase)
 	}
 	moved := known && (old.Addr != s.Addr || old.Started != s.Started)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -64,7 +64,7 @@
 	return calls
 }
 
-var testSettings = hoptiller.Settings{Balancers: 1, Aside: true, OriginKind: 1, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
+var testSettings = hoptiller.Settings{RouterCount: 1, CacheAside: true, OriginKind: 1, MaxAttempts: 3, AllowsCancel: true, SendsRetryAfter: true,
 	MaxRetryAfter: 2 * time.Second, Classes: []hoptiller.Class{
 		{Aim: 9 * time.Second, Deadline: 9 * time.Second, Worth: 1},
 		{Aim: 9 * time.Second, Deadline: 9 * time.Second, Worth: 3, Effect: hoptiller.AtMostOnce}}}
@@ -127,7 +127,7 @@
 
 // If every attempt is rejected, the client is told that a retry is safe, and when.
 func TestRejectedEverywhere(t *testing.T) {
-	r, _, origins := newRelay([]Result{{}}, []Result{{Status: hoptiller.Full}})
+	r, _, origins := newRelay([]Result{{}}, []Result{{Status: hoptiller.TurnedAway}})
 	a := r.Serve(context.Background(), newRequest(1, true))
 	if a.Kind != hoptiller.StepReject || a.RetryAfter != 2*time.Second || len(origins.takeCalls()) > 3 {
 		t.Errorf("%+v", a)
@@ -191,7 +191,7 @@
 // longer be picked. A removed server is forgotten as soon as there are no connections to it. A new start time or
 // address is reported as a move.
 func TestListUpdates(t *testing.T) {
-	r, caches, _ := newRelay([]Result{{Status: hoptiller.OK}}, []Result{{Status: hoptiller.Full}})
+	r, caches, _ := newRelay([]Result{{Status: hoptiller.OK}}, []Result{{Status: hoptiller.TurnedAway}})
 	caches.keepServers = true
 	moved := listEntry(1, hoptiller.Ready, false)
 	moved.Addr = "elsewhere"
@@ -253,7 +253,7 @@
 	now := time.Now()
 	req := &Request{Key: []byte("00000000000000ff"), Class: 1, Tenant: 3, Write: true, Retry: true,
 		Arrived: now.Add(-time.Second), Wait: 2 * time.Second}
-	want := hoptiller.Request{ID: 7, Class: 1, Tenant: 3, Key: 255, Write: true, Retry: true, Remaining: time.Second}
+	want := hoptiller.Request{ID: 7, Class: 1, Tenant: 3, Key: 255, Write: true, IsRetry: true, Remaining: time.Second}
 	if got := req.routerRequest(7, now); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
@@ -317,7 +317,7 @@
 	testprog.Await(t, c.ctx.Done(), "end of ctx after the attempt was cancelled")
 	finish <- true
 
-	step.By = r.now() + 5*time.Second
+	step.WriteBy = r.now() + 5*time.Second
 	go r.makeAttempt(t.Context(), &activeRequest{}, newRequest(0, false), step)
 	c = testprog.Await(t, attempts, "attempt")
 	sendBy, _ := c.sendCtx.Deadline()
@@ -333,7 +333,7 @@
 
 func (u contextUpstream) Call(sendCtx, ctx context.Context, _ uint32, _ *Request) Result {
 	u(sendCtx, ctx)
-	return Result{Status: hoptiller.Moot}
+	return Result{Status: hoptiller.NotSent}
 }
 func (contextUpstream) Update(Server, bool) {}
 func (contextUpstream) Forget(uint32) bool  { return true }
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -63,7 +63,7 @@
 			go func() { result <- p.Call(sendCtx, t.Context(), 1, readRequest("01")) }()
 			until(t, p, "a connection is being opened", func(s *server) bool { return s.dialing == 1 })
 			cancelSend()
-			if r := testprog.Await(t, result, "end of the call"); r.Status != hoptiller.Moot {
+			if r := testprog.Await(t, result, "end of the call"); r.Status != hoptiller.NotSent {
 				t.Errorf("the call ended with status %d", r.Status)
 			}
 			received := readLines(listen())
@@ -200,7 +200,7 @@
 				disconnect()
 			}
 			c.writeMu.Unlock()
-			if r := testprog.Await(t, result, "end of the call"); r.Status != hoptiller.Moot {
+			if r := testprog.Await(t, result, "end of the call"); r.Status != hoptiller.NotSent {
 				t.Errorf("the call ended with status %d", r.Status)
 			}
 			stop()
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -30,14 +30,14 @@
 	if errors.Is(context.Cause(sendCtx), context.DeadlineExceeded) {
 		return hoptiller.ConnectFailed
 	}
-	return hoptiller.Moot
+	return hoptiller.NotSent
 }
 
 // openConn opens a connection for a call and counts the call on it. The caller holds p.mu, which is released while
 // openConn waits.
 func (p *Pool) openConn(sendCtx context.Context, s *server) (*conn, hoptiller.Status) {
 	if p.ctx.Err() != nil {
-		return nil, hoptiller.Moot
+		return nil, hoptiller.NotSent
 	}
 	d := &dial{done: make(chan struct{})}
 	addr, started := s.Addr, s.Started
--- a/internal/upstream/final_check_test.go
+++ b/internal/upstream/final_check_test.go
@@ -38,7 +38,7 @@
 	req := &relay.Request{Key: []byte("k"), ID: []byte("01"), Facts: []byte("c=read,d=9"), Gone: disconnected.Load}
 	ctx, cancel := context.WithTimeout(t.Context(), testprog.Patience)
 	defer cancel()
-	if r := p.Call(ctx, ctx, 1, req); r.Status != hoptiller.Moot || sent > 0 {
+	if r := p.Call(ctx, ctx, 1, req); r.Status != hoptiller.NotSent || sent > 0 {
 		t.Errorf("status %v, %d calls were sent", r.Status, sent)
 	}
 }
@@ -58,7 +58,7 @@
 		return before
 	}
 	sent, status := c.send(t.Context(), callContext(t), &pendingCall{req: req, result: make(chan relay.Result, 1)})
-	if sent || status != hoptiller.Moot || repeated != 1 {
+	if sent || status != hoptiller.NotSent || repeated != 1 {
 		t.Errorf("sent %v, status %v, %d repeated checks", sent, status, repeated)
 	}
 	if p.mu.Lock(); c.load != 0 || len(c.pending) != 0 || c.closed {
@@ -120,7 +120,7 @@
 		}
 		drained += n
 	}
-	if end := testprog.Await(t, ended, "end of the call"); end.sent || end.status != hoptiller.Moot {
+	if end := testprog.Await(t, ended, "end of the call"); end.sent || end.status != hoptiller.NotSent {
 		t.Errorf("sent %v, status %v", end.sent, end.status)
 	}
 	if p.mu.Lock(); c.load != 0 || len(c.pending) != 0 {
--- a/internal/upstream/find.go
+++ b/internal/upstream/find.go
@@ -30,7 +30,7 @@
 	var atLimit bool
 	for {
 		if s = p.servers[id]; s == nil || s.Phase != hoptiller.Ready {
-			return nil, hoptiller.Moot
+			return nil, hoptiller.NotSent
 		}
 		c = p.takeIdle(s)
 		atLimit = len(s.conns)+s.dialing >= p.settings.MostConns
--- a/internal/upstream/outgoing.go
+++ b/internal/upstream/outgoing.go
@@ -86,7 +86,7 @@
 	}
 	timeLeft = remainingTime(o.ctx)
 	if !o.conn.server.ready.Load() || timeLeft < minTimeLeft || deadlinePassed(o.sendCtx) || o.call.req.ClientDisconnected() {
-		return 0, hoptiller.Moot
+		return 0, hoptiller.NotSent
 	}
 	return timeLeft, hoptiller.OK
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -68,7 +68,7 @@
 		"value":                    {answer("VA 1 O01\r\nx\r\n"), hoptiller.OK, false},
 		"miss":                     {answer("EN O01\r\n"), hoptiller.Miss, false},
 		"error":                    {answer("SERVER_ERROR failed\r\n"), hoptiller.ServerError, false},
-		"busy":                     {answer("SERVER_ERROR busy\r\n"), hoptiller.Full, false},
+		"busy":                     {answer("SERVER_ERROR busy\r\n"), hoptiller.TurnedAway, false},
 		"malformed length":         {answer("VA x\r\n"), hoptiller.ServerError, true},
 		"value of another request": {answer("VA 1 O02\r\nx\r\n"), hoptiller.ServerError, true},
 		"value without an ID":      {answer("VA 1\r\nx\r\n"), hoptiller.ServerError, true},
@@ -119,9 +119,9 @@
 		update relay.Server
 		want   hoptiller.Status
 	}{
-		"cancelled before": {cancelled, listEntry(addr, hoptiller.Ready), hoptiller.Moot},
-		"draining":         {ctx, listEntry(addr, hoptiller.Draining), hoptiller.Moot},
-		"removed":          {ctx, listEntry(addr, hoptiller.Gone), hoptiller.Moot},
+		"cancelled before": {cancelled, listEntry(addr, hoptiller.Ready), hoptiller.NotSent},
+		"draining":         {ctx, listEntry(addr, hoptiller.Draining), hoptiller.NotSent},
+		"removed":          {ctx, listEntry(addr, hoptiller.Removed), hoptiller.NotSent},
 		"refused":          {ctx, listEntry("127.0.0.1:1", hoptiller.Ready), hoptiller.ConnectFailed},
 	} {
 		p.Update(c.update, true)
@@ -202,7 +202,7 @@
 	if p.Forget(1) || !p.Forget(2) {
 		t.Error("server 1 was forgotten with a connection, or server 2 was not forgotten without one")
 	}
-	p.Update(listEntry("", hoptiller.Gone), false)
+	p.Update(listEntry("", hoptiller.Removed), false)
 	if !p.Forget(1) || len(p.servers) != 0 || p.connCount != 0 {
 		t.Errorf("%d servers and %d connections are left", len(p.servers), p.connCount)
 	}
@@ -359,7 +359,7 @@
 	clientCtx, disconnect := context.WithCancel(t.Context())
 	until(t, p, "a call waits", func(s *server) bool { return s.nextDial != nil })
 	disconnect()
-	if r := p.Call(clientCtx, clientCtx, 1, exampleRead); r.Status != hoptiller.Moot {
+	if r := p.Call(clientCtx, clientCtx, 1, exampleRead); r.Status != hoptiller.NotSent {
 		t.Errorf("a call whose client disconnected meanwhile ended with status %d", r.Status)
 	}
 	p.mu.Lock()
--- a/internal/upstream/protocol.go
+++ b/internal/upstream/protocol.go
@@ -94,7 +94,7 @@
 	case meta.Failed:
 		r.Status = hoptiller.ServerError
 	case meta.Busy:
-		r.Status = hoptiller.Full
+		r.Status = hoptiller.TurnedAway
 	case meta.Miss:
 		r.Status = hoptiller.Miss
 	default:
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -38,7 +38,7 @@
 	case o.status != hoptiller.OK:
 		return false, o.status
 	case errors.Is(ctx.Err(), context.Canceled):
-		return false, hoptiller.Moot
+		return false, hoptiller.NotSent
 	case sendCtx.Err() != nil, deadlinePassed(sendCtx):
 		return false, unsentStatus(sendCtx)
 	}
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(minTimeLeft-1))
 	defer cancel()
 	sent, status := c.send(t.Context(), ctx, &pendingCall{req: readRequest("01"), result: make(chan relay.Result, 1)})
-	if sent || status != hoptiller.Moot || c.load != 0 {
+	if sent || status != hoptiller.NotSent || c.load != 0 {
 		t.Errorf("sent %v, status %d, %d attempts on the connection", sent, status, c.load)
 	}
 	p.Close()
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -181,7 +181,7 @@
 	q.Remaining = r.time()
 	q.Class = int(r.u8())
 	flags := r.u16()
-	q.Write, q.Retry = flags&4 != 0, flags&2 != 0
+	q.Write, q.IsRetry = flags&4 != 0, flags&2 != 0
 	q.Tenant = int(r.u16())
 	r.u32() // hint, ignored
 	q.Key = r.u64()
@@ -189,8 +189,8 @@
 
 // statusByCode maps the outcome codes of the wire to statuses.
 var statusByCode = map[uint16]hoptiller.Status{
-	200: hoptiller.OK, 500: hoptiller.ServerError, 503: hoptiller.Full, 504: hoptiller.Timeout,
-	502: hoptiller.ConnectFailed, 598: hoptiller.Reset, 499: hoptiller.Cancelled, 410: hoptiller.Moot,
+	200: hoptiller.OK, 500: hoptiller.ServerError, 503: hoptiller.TurnedAway, 504: hoptiller.Timeout,
+	502: hoptiller.ConnectFailed, 598: hoptiller.Reset, 499: hoptiller.Cancelled, 410: hoptiller.NotSent,
 	404: hoptiller.Miss,
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -167,7 +167,7 @@
 func TestRetryFlag(t *testing.T) {
 	if events, err := decode(frame(2, instanceRecord,
 		strings.Replace(requestRecord, "00 0100 0000", "00 0200 0000", 1))); err != nil ||
-		!events[1].Request.Retry {
+		!events[1].Request.IsRetry {
 		t.Errorf("a marked retry: %+v, error %v", events, err)
 	}
 }
--- a/observations.go
+++ b/observations.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Sighting is a router's observation that a server is up or down.
-type Sighting struct {
+// Observation is a router's observation that a server is up or down.
+type Observation struct {
 	Server uint32
 	Up     bool          // accepts connections again; false: refuses them
 	Age    time.Duration // time since the observation
@@ -43,11 +43,11 @@
 	commonCause    bool          // most other servers restarted at the same time, so the paths are at fault
 }
 
-// Sighted handles a router's observation of a server. The same observation may arrive repeatedly.
-func (r *Router) Sighted(now time.Duration, observed Sighting) {
+// Observe handles a router's observation of a server. The same observation may arrive repeatedly.
+func (r *Router) Observe(now time.Duration, observed Observation) {
 	r.now = now
 	s := r.servers[observed.Server]
-	if s == nil || s.origin || r.settings.Cold <= 0 {
+	if s == nil || s.origin || r.settings.WarmUp <= 0 {
 		return
 	}
 	observedAt, p := now-observed.Age, &s.inferred
--- a/observations_test.go
+++ b/observations_test.go
@@ -26,14 +26,14 @@
 
 func newObservedFleet() *observedFleet {
 	set := testSettings()
-	set.OverloadFactor, set.Fall, set.Cold, set.Balancers = 2.5, 1500*time.Millisecond, 18*time.Second, 1
+	set.OverloadFactor, set.CollapseWindow, set.WarmUp, set.RouterCount = 2.5, 1500*time.Millisecond, 18*time.Second, 1
 	p := &observedFleet{recorder: newRecorder(), now: 10 * time.Second}
 	p.router = New(p.now, set, 7, p.recorder)
 	weights := make([]float64, observedServers)
 	for i := range weights {
 		weights[i] = 1
 	}
-	p.router.List(p.now, ListFull, fleet(weights...))
+	p.router.UpdateServers(p.now, ListFull, fleet(weights...))
 	return p
 }
 
@@ -48,7 +48,7 @@
 		for n := 0; n < len(p.recorder.sends); n++ {
 			p.router.Outcome(p.now, p.answer(n))
 		}
-		p.router.ClientGone(p.now, p.requestID)
+		p.router.ClientDisconnected(p.now, p.requestID)
 	}
 	return p.sentToServer
 }
@@ -71,7 +71,7 @@
 }
 
 func (p *observedFleet) observe(server uint32, up bool, age time.Duration) {
-	p.router.Sighted(p.now, Sighting{Server: server, Up: up, Age: age})
+	p.router.Observe(p.now, Observation{Server: server, Up: up, Age: age})
 }
 
 // Guards against overloading a cold server whose restart is not listed yet. If routers observed that a server refused connections
@@ -186,7 +186,7 @@
 	p.now += 4 * time.Second
 	started := p.now
 	p.serve(time.Second)
-	p.router.List(p.now, ListDelta, []Server{{ID: observedServer, Phase: Ready, Weight: 1, Started: started}})
+	p.router.UpdateServers(p.now, ListDelta, []Server{{ID: observedServer, Phase: Ready, Weight: 1, Started: started}})
 	s := p.router.servers[observedServer]
 	if at, notified, known := p.router.knownStart(s); at != started || notified != p.now || !known {
 		t.Errorf("started at %v, notified at %v, %v; want %v, %v", at, notified, known, started, p.now)
--- a/pressure.go
+++ b/pressure.go
@@ -93,19 +93,19 @@
 // for its health.
 func (r *Router) learnPressure(q *request, t *attempt, o *Outcome) {
 	s, failed := t.target, o.Status == ServerError || o.Status == Reset || o.Status == ConnectFailed
-	bad := boolToFloat(t.cancelled || failed || o.Status == Full ||
+	bad := boolToFloat(t.cancelled || failed || o.Status == TurnedAway ||
 		o.Latency.Seconds() > badLatencyFraction*q.class.Aim.Seconds())
 	if t.failed {
 		bad = r.retryHelpFraction // the fraction for which the server is likely to blame
 	}
 	if s.unlisted && (t.cancelled || failed || o.Status == Timeout) {
-		s.Phase = Gone
+		s.Phase = Removed
 		r.rebuildReady()
 	}
 	if q.Write || bad == 0 && o.Status != OK && o.Status != Miss {
 		return // a write is the origin's work
 	}
-	if !r.settings.Aside && o.Status != Reset && o.Status != ConnectFailed {
+	if !r.settings.CacheAside && o.Status != Reset && o.Status != ConnectFailed {
 		lost := o.Status != OK && o.Status != Miss || o.Latency > q.class.Aim
 		r.learnGate(q.needsFetch, t.sentAt, boolToFloat(lost))
 	}
--- a/pressure_test.go
+++ b/pressure_test.go
@@ -29,7 +29,7 @@
 				q.Class, q.Write = 1, true
 			}
 			r.Request(r.now, q)
-			r.ClientGone(r.now, q.ID)
+			r.ClientDisconnected(r.now, q.ID)
 			if p.refused[q.ID] && q.Tenant == 0 {
 				low++
 			} else if p.refused[q.ID] && q.Write {
@@ -68,7 +68,7 @@
 		r, p := newRouter(testSettings(), fleet(1, 1, 1))
 		r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second})
 		r.pressure = c.pressure
-		answer(r, p, 1, Full, time.Millisecond)
+		answer(r, p, 1, TurnedAway, time.Millisecond)
 		if len(p.sends) != c.sends || p.refused[1] != (c.sends == 1) {
 			t.Errorf("pressure %.1f: %d sends, refused %v", c.pressure, len(p.sends), p.refused[1])
 		}
--- a/protection_test.go
+++ b/protection_test.go
@@ -96,7 +96,7 @@
 // show that the server is unhealthy.
 func TestHedgeOnlyAtSilentUnhealthyServer(t *testing.T) {
 	set := testSettings()
-	set.SecondCopies, set.MayCancel = true, false
+	set.Hedging, set.AllowsCancel = true, false
 	r, p := newRouter(set, fleet(1, 1, 1))
 	r.usualLatency[0] = 0.03
 	r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second})
@@ -237,7 +237,7 @@
 			r.now += 5 * time.Millisecond
 			r.Outcome(r.now, Outcome{Request: id, Server: s.server, Status: st, Closed: st == OK,
 				Latency: map[bool]time.Duration{true: 20 * time.Millisecond, false: time.Millisecond}[st == OK]})
-			r.ClientGone(r.now, id)
+			r.ClientDisconnected(r.now, id)
 		}
 		for id := uint32(1); id < 20; id += 2 {
 			for _, s := range r.caches {
@@ -285,12 +285,12 @@
 		for i, from := range at {
 			n := 0
 			for _, x := range at[i:] {
-				if x < from+set.Fall {
+				if x < from+set.CollapseWindow {
 					n++
 				}
 			}
 			// The capacity is 200 requests per second over 4 servers, and this router's share is half of that: 25 for each.
-			warm := set.ColdFrom + (1-set.ColdFrom)*float64(from+set.Fall-time.Second)/float64(set.Cold)
+			warm := set.ColdCapacity + (1-set.ColdCapacity)*float64(from+set.CollapseWindow-time.Second)/float64(set.WarmUp)
 			if allowed := set.OverloadFactor * warm * 25; float64(n) > allowed+2 {
 				t.Fatalf("server %d got %d in the second from %v, %.0f are allowed", id, n, from, allowed)
 			}
@@ -309,7 +309,7 @@
 	r.now += time.Second
 	again := fleet(1)[0]
 	again.Started = r.now
-	r.List(r.now, ListDelta, []Server{again})
+	r.UpdateServers(r.now, ListDelta, []Server{again})
 	if r.health(s) != 1 || s.window < 100 {
 		t.Errorf("a new process inherits state: %+v", s)
 	}
@@ -325,7 +325,7 @@
 	r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second})
 	leaving := fleet(1, 1)[home-1]
 	leaving.Phase = Draining
-	r.List(r.now, ListDelta, []Server{leaving})
+	r.UpdateServers(r.now, ListDelta, []Server{leaving})
 	r.Request(r.now, Request{ID: 2, Key: 5, Remaining: time.Second})
 	if p.last().server == home {
 		t.Error("a draining server got a new request")
@@ -334,7 +334,7 @@
 	if r.servers[home].inFlight != 0 {
 		t.Error("the answer from a draining server was not counted")
 	}
-	r.List(r.now, ListFull, nil)
+	r.UpdateServers(r.now, ListFull, nil)
 	r.Request(r.now, Request{ID: 3, Key: 5, Remaining: time.Second})
 	if !p.refused[3] {
 		t.Error("a request is not refused though no server is left")
@@ -345,10 +345,10 @@
 // retry is refused without an attempt.
 func TestLateRetryIsRefused(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].LateValue = 0
+	set.Classes[0].LateFraction = 0
 	r, p := newRouter(set, fleet(1, 1))
 	r.Request(r.now, Request{ID: 1, Key: 5, Remaining: 900 * time.Millisecond})
-	r.Request(r.now, Request{ID: 2, Key: 5, Retry: true, Remaining: 400 * time.Millisecond})
+	r.Request(r.now, Request{ID: 2, Key: 5, IsRetry: true, Remaining: 400 * time.Millisecond})
 	if len(p.sends) != 1 || !p.refused[2] {
 		t.Errorf("%d attempts sent; retry refused: %v", len(p.sends), p.refused[2])
 	}
@@ -359,7 +359,7 @@
 // in the lab until it stopped.
 func TestOriginWindowOfMany(t *testing.T) {
 	set := testSettings()
-	set.Aside, set.OriginKind, set.Balancers, set.MaxAttempts = true, 2, 1, 2
+	set.CacheAside, set.OriginKind, set.RouterCount, set.MaxAttempts = true, 2, 1, 2
 	list := fleet(slices.Repeat([]float64{1}, 101)...)
 	list[100].Kind = 2
 	r, p := newRouter(set, list)
@@ -396,7 +396,7 @@
 // few good fetches, and stayed nearly shut for 10 s after a drain at a fifth of the load (behind-rendezvous-1-250).
 func TestOriginWindow(t *testing.T) {
 	set := testSettings()
-	set.Aside, set.OriginKind, set.Balancers, set.MaxAttempts = true, 2, 1, 2
+	set.CacheAside, set.OriginKind, set.RouterCount, set.MaxAttempts = true, 2, 1, 2
 	list := fleet(1, 1, 1, 1)
 	list[3].Kind = 2
 	r, p := newRouter(set, list)
@@ -441,9 +441,9 @@
 	if third := flood(100); len(third) < len(second) {
 		t.Errorf("after immediate errors %d are in flight, %d before", len(third), len(second))
 	} else {
-		endAll(third, Full, 5*time.Millisecond)
+		endAll(third, TurnedAway, 5*time.Millisecond)
 	}
-	for _, st := range []Status{Full, Timeout, Full, Timeout, Full, Timeout, Full, Timeout} {
+	for _, st := range []Status{TurnedAway, Timeout, TurnedAway, Timeout, TurnedAway, Timeout, TurnedAway, Timeout} {
 		r.now += time.Second
 		endAll(flood(20), st, 400*time.Millisecond)
 	}
@@ -467,7 +467,7 @@
 // reads, within half of their aim, the window fell to a third and a tenth of all reads was refused.
 func TestSlowWorkKeepsOriginWindow(t *testing.T) {
 	set := testSettings()
-	set.Aside, set.OriginKind, set.Balancers, set.MaxAttempts = true, 2, 1, 2
+	set.CacheAside, set.OriginKind, set.RouterCount, set.MaxAttempts = true, 2, 1, 2
 	list := fleet(1, 1, 1, 1)
 	list[3].Kind = 2
 	r, p := newRouter(set, list)
@@ -529,7 +529,7 @@
 // The watch is requested at the start and again after each failure, each time after a longer wait.
 func TestWatchIsRetried(t *testing.T) {
 	set := testSettings()
-	set.ListOnRequest, set.AskWithin = true, 10*time.Second
+	set.ListOnRequest, set.FetchListWithin = true, 10*time.Second
 	p := newRecorder()
 	r := New(time.Second, set, 1, p)
 	for i := 1; i <= 4; i++ {
@@ -541,15 +541,15 @@
 		if p.watches != i {
 			t.Fatalf("%d watches after %d timers", p.watches, i)
 		}
-		r.List(r.now, ListFailed, nil)
+		r.UpdateServers(r.now, ListFailed, nil)
 	}
 	// This list is the last message of a watch that ran beside the failed one, so no watch is left.
-	r.List(r.now, ListFull, fleet(1))
+	r.UpdateServers(r.now, ListFull, fleet(1))
 	r.Timer(r.now, tokenWatch)
 	if p.watches != 5 {
 		t.Error("no new watch requested though none is left")
 	}
-	r.List(r.now, ListFull, fleet(1))
+	r.UpdateServers(r.now, ListFull, fleet(1))
 	r.Timer(r.now, tokenWatch)
 	if p.watches != 5 {
 		t.Error("another watch requested though one is open")
@@ -561,17 +561,17 @@
 	p := newRecorder()
 	r := New(0, Settings{}, 0, p)
 	r.Request(0, Request{ID: 1, Class: 77, Tenant: 99, Remaining: time.Second})
-	r.List(0, ListFull, nil)
-	r.List(0, ListDelta, []Server{{ID: 1, Phase: Ready}, {ID: 2, Phase: Gone}})
+	r.UpdateServers(0, ListFull, nil)
+	r.UpdateServers(0, ListDelta, []Server{{ID: 1, Phase: Ready}, {ID: 2, Phase: Removed}})
 	r.Request(0, Request{ID: 2, Class: -1, Key: 3})
 	r.Request(0, Request{ID: 3, Class: 3, Remaining: time.Second, Write: true})
 	r.Request(0, Request{ID: 3, Class: 3, Remaining: time.Second})
 	r.Outcome(0, Outcome{Request: 99})
 	r.Outcome(0, Outcome{Request: 3, Attempt: 40})
-	r.Outcome(0, Outcome{Request: 3, Server: 1, Status: Full})
-	r.Streaming(0, 3, 0)
-	r.Streaming(0, 98, 0)
-	r.ClientGone(0, 97)
+	r.Outcome(0, Outcome{Request: 3, Server: 1, Status: TurnedAway})
+	r.StreamStarted(0, 3, 0)
+	r.StreamStarted(0, 98, 0)
+	r.ClientDisconnected(0, 97)
 	r.Timer(0, 1234)
 	r.Timer(time.Hour, tokenSweep)
 	if !p.refused[1] {
@@ -599,7 +599,7 @@
 		timeout time.Duration
 	}{{0.3, 499 * time.Millisecond}, {0, time.Second}} {
 		set := testSettings()
-		set.TailPart = c.tail
+		set.TailFraction = c.tail
 		r, p := newRouter(set, fleet(1, 1))
 		r.Request(r.now, Request{ID: 1, Key: 5, Remaining: time.Second})
 		if got := p.last().timeout; got != c.timeout {
@@ -612,14 +612,14 @@
 // immediate refusal may have more time left than any first request.
 func TestOnlyMarkedRequestsAreRetries(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].LateValue = 0
+	set.Classes[0].LateFraction = 0
 	r, p := newRouter(set, fleet(1, 1))
-	r.Request(r.now, Request{ID: 1, Key: 5, Retry: true, Remaining: 990 * time.Millisecond})
+	r.Request(r.now, Request{ID: 1, Key: 5, IsRetry: true, Remaining: 990 * time.Millisecond})
 	r.Request(r.now, Request{ID: 2, Key: 5, Remaining: 600 * time.Millisecond})
 	if len(p.sends) != 2 {
 		t.Errorf("%d of 2 sent: a first request was taken for a late retry", len(p.sends))
 	}
-	r.Request(r.now, Request{ID: 3, Key: 5, Retry: true, Remaining: 300 * time.Millisecond})
+	r.Request(r.now, Request{ID: 3, Key: 5, IsRetry: true, Remaining: 300 * time.Millisecond})
 	if !p.refused[3] {
 		t.Error("a retry whose aim has passed was sent")
 	}
--- a/router.go
+++ b/router.go
@@ -207,7 +207,7 @@
 	lastLogged           map[string]time.Duration // when a line of a kind was last logged
 }
 
-var unknownClass = Class{Effect: AtMostOnce, Worth: 1, LateValue: 1}
+var unknownClass = Class{Effect: AtMostOnce, Worth: 1, LateFraction: 1}
 
 // New returns a Router without servers. The seed is its only source of randomness.
 func New(now time.Duration, settings Settings, seed uint64, actions Actions) *Router {
@@ -224,21 +224,21 @@
 		r.buckets[i] = bucket{r.tenantRate(i) + 10, now}
 	}
 	if settings.ListOnRequest {
-		actions.SetTimer(tokenWatch, r.jitter(settings.AskWithin/20))
+		actions.SetTimer(tokenWatch, r.jitter(settings.FetchListWithin/20))
 	}
 	return r
 }
 
 // ---- the server list ----
 
-// List applies a list event from discovery.
-func (r *Router) List(now time.Duration, kind ListKind, entries []Server) {
+// UpdateServers applies a list event from discovery.
+func (r *Router) UpdateServers(now time.Duration, kind ListKind, entries []Server) {
 	r.now = now
 	if kind == ListFailed {
 		r.watching = false
 		r.watchFailures++
 		base := min(watchRetryFirst*time.Duration(r.watchFailures), watchRetryMax)
-		base = min(base, cmp.Or(r.settings.AskWithin/4, base))
+		base = min(base, cmp.Or(r.settings.FetchListWithin/4, base))
 		r.actions.SetTimer(tokenWatch, base/2+r.jitter(base))
 		return
 	}
@@ -268,7 +268,7 @@
 // one is forgotten, but its attempts still count as in flight until their outcomes come.
 func (r *Router) applyEntry(e Server, kind ListKind) {
 	s := r.servers[e.ID]
-	if s != nil && e.Phase == Gone {
+	if s != nil && e.Phase == Removed {
 		r.handleAbsence(s)
 		return
 	}
@@ -294,10 +294,10 @@
 // handleAbsence handles a server that has left the list. If absence does not mean removal, a server that was
 // not draining keeps its keys while it answers, and its first bad outcome removes it.
 func (r *Router) handleAbsence(s *server) {
-	if r.settings.RemovalNotBinding && s.Phase == Ready {
+	if r.settings.AbsenceAllowsSending && s.Phase == Ready {
 		s.unlisted = true
 	} else {
-		s.Phase = Gone
+		s.Phase = Removed
 	}
 }
 
@@ -305,7 +305,7 @@
 func (r *Router) rebuildReady() {
 	r.caches, r.origins = r.caches[:0], r.origins[:0]
 	for id, s := range r.servers {
-		if s.Phase == Gone && s.inFlight == 0 {
+		if s.Phase == Removed && s.inFlight == 0 {
 			r.former.add(s)
 			delete(r.servers, id)
 		} else if s.Phase == Ready && s.origin {
@@ -414,7 +414,7 @@
 	var fallback *server
 	fullCount, skip := 0, r.homesToSkip(q)
 	for s := range r.ranking(q) {
-		if q.Narrow != nil && !q.Narrow.Allows(s.ID) {
+		if q.Constraints != nil && !q.Constraints.Allows(s.ID) {
 			continue
 		}
 		if !r.coldHasRoom(q, s, fullCount+len(q.attempts) == 0) || !r.mayResend(q, s) {
@@ -471,11 +471,11 @@
 	q := &request{Request: in, class: r.classOf(in.Class), attempts: make([]attempt, 0, 3)}
 	q.answerBy = now + in.Remaining
 	q.overShare = !r.withinShare(in.Tenant)
-	if (q.class.LateValue <= 0 || r.settings.TailPart > 0) && q.class.Aim > 0 {
+	if (q.class.LateFraction <= 0 || r.settings.TailFraction > 0) && q.class.Aim > 0 {
 		// An answer after the aim is worth nothing or less, so the request is ended just before the aim. A
 		// client's own retry has already used up part of that time.
-		elapsed := time.Duration(boolToFloat(q.Retry)) * max(0, q.class.Deadline-q.Remaining)
-		q.answerBy = min(q.answerBy, now+q.class.Aim-elapsed-r.settings.Tick)
+		elapsed := time.Duration(boolToFloat(q.IsRetry)) * max(0, q.class.Deadline-q.Remaining)
+		q.answerBy = min(q.answerBy, now+q.class.Aim-elapsed-r.settings.TickInterval)
 	}
 	r.requests[in.ID] = q
 	r.requestOrder = append(r.requestOrder, q)
@@ -491,10 +491,10 @@
 // mayNeedFetch reports whether a server may have to fetch a read's key from the origin.
 func (r *Router) mayNeedFetch(q *request) bool {
 	answeredAt, ok := r.cachedAt[q.Key]
-	return !r.settings.Aside && q.Key != 0 && !q.Write && (!ok || (r.now-answeredAt).Seconds() > keyCachedFor)
+	return !r.settings.CacheAside && q.Key != 0 && !q.Write && (!ok || (r.now-answeredAt).Seconds() > keyCachedFor)
 }
 
-func (r *Router) routerCount() float64     { return float64(max(r.settings.Balancers, 1)) }
+func (r *Router) routerCount() float64     { return float64(max(r.settings.RouterCount, 1)) }
 func (r *Router) tenantRate(i int) float64 { return r.settings.Tenants[i].Allowance / r.routerCount() }
 
 // withinShare meters a tenant's traffic against this router's share of the allowance. The bucket holds one
@@ -523,7 +523,7 @@
 		r.finish(q, true) // no useful answer can come any more
 		return
 	}
-	if r.settings.Aside && len(r.origins) > 0 && (q.homeMissed || q.Write) {
+	if r.settings.CacheAside && len(r.origins) > 0 && (q.homeMissed || q.Write) {
 		r.sendToOrigin(q)
 		return
 	}
@@ -579,8 +579,8 @@
 		s.silentSince = r.now
 	}
 	timeout := q.answerBy - r.now
-	if q.Narrow != nil {
-		timeout = min(timeout, max(q.Narrow.Timeout(), time.Millisecond))
+	if q.Constraints != nil {
+		timeout = min(timeout, max(q.Constraints.Timeout(), time.Millisecond))
 	}
 	r.actions.Send(q.ID, s.ID, timeout)
 }
@@ -639,7 +639,7 @@
 
 // mayResend alone decides whether a request may be sent to a server now, given the effect of its class.
 func (r *Router) mayResend(q *request, s *server) bool {
-	openLimitReached := !r.settings.SecondCopies // at most two attempts are open
+	openLimitReached := !r.settings.Hedging // at most two attempts are open
 	for i := range q.attempts {
 		t := &q.attempts[i]
 		if t.open && openLimitReached {
@@ -664,7 +664,7 @@
 // dedupEnd returns the time from which servers may run a repeat of the attempt again. It counts from the
 // earliest time at which the attempt can have arrived.
 func (r *Router) dedupEnd(q *request, t *attempt) time.Duration {
-	return t.sentAt + q.class.KeyTTL - 2*r.settings.Tick
+	return t.sentAt + q.class.DedupTTL - 2*r.settings.TickInterval
 }
 
 func sameGroup(g Group, a, b *server) bool {
@@ -689,7 +689,7 @@
 // retry.
 func (q *request) operatorAllowsRetry() bool {
 	n := len(q.attempts)
-	if n == 0 || q.Narrow == nil || !q.attempts[n-1].open && q.attempts[n-1].endStatus == Miss {
+	if n == 0 || q.Constraints == nil || !q.attempts[n-1].open && q.attempts[n-1].endStatus == Miss {
 		return true
 	}
 	calls, last := 0, q.attempts[n-1].endStatus
@@ -701,17 +701,17 @@
 	if q.attempts[n-1].open {
 		last = Timeout
 	}
-	return q.Narrow.Repeats(calls, last)
+	return q.Constraints.AllowsRetry(calls, last)
 }
 
 // takeOperatorRetry takes a retry out of the operator's budget, if there is one. It reports whether the
 // budget allowed it.
 func (q *request) takeOperatorRetry(now time.Duration) bool {
 	n := len(q.attempts)
-	if n == 0 || q.Narrow == nil || !q.attempts[n-1].open && q.attempts[n-1].endStatus == Miss {
+	if n == 0 || q.Constraints == nil || !q.attempts[n-1].open && q.attempts[n-1].endStatus == Miss {
 		return true
 	}
-	return q.Narrow.Spend(now)
+	return q.Constraints.TakeRetry(now)
 }
 
 // dropBefore returns the sorted times without those before from.
@@ -743,7 +743,7 @@
 
 func (r *Router) cancelAttempts(q *request) {
 	for i := range q.attempts {
-		if q.attempts[i].open && r.settings.MayCancel {
+		if q.attempts[i].open && r.settings.AllowsCancel {
 			r.actions.Cancel(q.ID, i)
 		}
 	}
@@ -767,11 +767,11 @@
 	}
 	t := &q.attempts[o.Attempt]
 	t.open, t.endStatus = false, o.Status
-	t.mayHaveRun = o.Status != Full && o.Status != ConnectFailed && o.Status != Moot && o.Status != Miss
+	t.mayHaveRun = o.Status != TurnedAway && o.Status != ConnectFailed && o.Status != NotSent && o.Status != Miss
 	t.target.inFlight--
 	if o.Status == Miss {
 		q.missGrants++
-	} else if i := slices.Index(r.retryTimes, t.sentAt); o.Status == Moot && t.usedBudget && i >= 0 {
+	} else if i := slices.Index(r.retryTimes, t.sentAt); o.Status == NotSent && t.usedBudget && i >= 0 {
 		r.retryTimes = slices.Delete(r.retryTimes, i, i+1)
 	}
 	t.failed = o.Status == ServerError
@@ -801,7 +801,7 @@
 // client or this router cancelled says nothing about the server.
 func (r *Router) learnOutcome(q *request, s *server, o *Outcome) {
 	switch o.Status {
-	case OK, Miss, Full, ServerError:
+	case OK, Miss, TurnedAway, ServerError:
 		s.silentSince, s.lastAnsweredSentAt = r.now, max(s.lastAnsweredSentAt, q.attempts[o.Attempt].sentAt)
 	}
 	if !s.origin && !q.Write && (o.Status == OK || o.Status == Timeout) {
@@ -830,21 +830,21 @@
 	}
 }
 
-// Streaming handles the start of a streamed answer. From here on the attempt belongs to the client.
-func (r *Router) Streaming(now time.Duration, id uint32, _ int) {
+// StreamStarted handles the start of a streamed answer. From here on the attempt belongs to the client.
+func (r *Router) StreamStarted(now time.Duration, id uint32, _ int) {
 	r.now = now
 	if q := r.requests[id]; q != nil {
 		r.close(q)
 	}
 }
 
-// ClientGone handles the disconnect of a client, after which the request needs no answer. If connections
+// ClientDisconnected handles the disconnect of a client, after which the request needs no answer. If connections
 // answer in order, a call can be ended only by closing its connection, and the handshake of the next one
 // costs a server as much as the rest of a read. So a read then runs on until its time-out.
-func (r *Router) ClientGone(now time.Duration, id uint32) {
+func (r *Router) ClientDisconnected(now time.Duration, id uint32) {
 	r.now = now
 	if q := r.requests[id]; q != nil && !q.closed {
-		if !r.settings.Ordered || q.Write || q.homeMissed {
+		if !r.settings.OrderedAnswers || q.Write || q.homeMissed {
 			r.cancelAttempts(q)
 		}
 		r.close(q)
@@ -943,11 +943,11 @@
 	if silence.Seconds() <= patience || !r.budgetAllows(q) || !q.operatorAllowsRetry() {
 		return
 	}
-	if r.settings.MayCancel {
+	if r.settings.AllowsCancel {
 		t.cancelled = true
 		r.actions.Cancel(q.ID, len(q.attempts)-1)
-	} else if r.settings.SecondCopies && unhealthy && r.pressure <= 0.5 &&
-		(q.Narrow == nil || q.Narrow.Copies()) {
+	} else if r.settings.Hedging && unhealthy && r.pressure <= 0.5 &&
+		(q.Constraints == nil || q.Constraints.AllowsHedge()) {
 		if to := r.chooseServer(q); to != nil && to != t.target && q.takeOperatorRetry(r.now) {
 			r.send(q, to)
 		}
@@ -982,7 +982,7 @@
 // every router, a key has one home in each zone for the routers of that zone. Servers of other zones come
 // next if that home is unhealthy, cold or removed.
 func (r *Router) zoneWeight(zone int) float64 {
-	if zone != r.settings.Zone && connlimit.Kept(r.settings.Balancers, r.settings.Places) == 0 {
+	if zone != r.settings.Zone && connlimit.Kept(r.settings.RouterCount, r.settings.ConnsPerCore) == 0 {
 		return otherZoneWeight
 	}
 	return 1
--- a/router_test.go
+++ b/router_test.go
@@ -44,13 +44,13 @@
 
 func testSettings() Settings {
 	return Settings{
-		Balancers: 2, OriginKind: -1, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond,
-		ColdFrom: 0.2, Cold: 20 * time.Second, OverloadFactor: 3, Fall: time.Second,
+		RouterCount: 2, OriginKind: -1, MaxAttempts: 3, AllowsCancel: true, TickInterval: time.Millisecond,
+		ColdCapacity: 0.2, WarmUp: 20 * time.Second, OverloadFactor: 3, CollapseWindow: time.Second,
 		Classes: []Class{
-			{Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1, LateValue: 0.5},
-			{Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1, LateValue: 0.5, Effect: Deduplicated,
-				KeyTTL: 2 * time.Second},
-			{Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1, LateValue: 0.5, Effect: AtMostOnce},
+			{Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1, LateFraction: 0.5},
+			{Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1, LateFraction: 0.5, Effect: Deduplicated,
+				DedupTTL: 2 * time.Second},
+			{Aim: 500 * time.Millisecond, Deadline: time.Second, Worth: 1, LateFraction: 0.5, Effect: AtMostOnce},
 		},
 	}
 }
@@ -66,7 +66,7 @@
 func newRouter(set Settings, list []Server) (*Router, *recorder) {
 	p := newRecorder()
 	r := New(time.Second, set, 7, p)
-	r.List(time.Second, ListFull, list)
+	r.UpdateServers(time.Second, ListFull, list)
 	return r, p
 }
 
@@ -123,7 +123,7 @@
 	r, _ := newRouter(testSettings(), nil)
 	s := &server{Server: Server{Started: time.Second}}
 	last := 0.0
-	for age := time.Duration(0); age <= r.settings.Cold; age += 100 * time.Millisecond {
+	for age := time.Duration(0); age <= r.settings.WarmUp; age += 100 * time.Millisecond {
 		r.now = s.Started + age
 		f := r.warmUpProgress(s)
 		if f < last || f > r.warmth(s) {
@@ -170,9 +170,9 @@
 	}
 	for i, c := range cases {
 		set := testSettings()
-		set.SecondCopies = c.second
+		set.Hedging = c.second
 		r, _ := newRouter(set, nil)
-		q := &request{class: &Class{Effect: c.effect, Group: c.group, KeyTTL: ttl}}
+		q := &request{class: &Class{Effect: c.effect, Group: c.group, DedupTTL: ttl}}
 		q.attempts = []attempt{{target: home, sentAt: r.now, open: c.open, mayHaveRun: c.ran}}
 		r.now += c.after
 		if got := r.mayResend(q, c.to); got != c.resend {
@@ -187,7 +187,7 @@
 // If hedges are allowed, two attempts of a request may be open, but never three.
 func TestAtMostTwoOpenAttempts(t *testing.T) {
 	set := testSettings()
-	set.SecondCopies = true
+	set.Hedging = true
 	r, _ := newRouter(set, fleet(1, 1, 1))
 	q := &request{class: &set.Classes[0]}
 	for i, want := range []bool{true, true, false} {
--- a/scale_test.go
+++ b/scale_test.go
@@ -17,12 +17,12 @@
 
 func newRouterGroup(n int, set Settings, list []Server) *routerGroup {
 	group := &routerGroup{now: time.Second}
-	set.Balancers = n
+	set.RouterCount = n
 	for i := 0; i < n; i++ {
-		set.Self = i
+		set.RouterIndex = i
 		p := newRecorder()
 		r := New(group.now, set, uint64(i)*7919+3, p)
-		r.List(group.now, ListFull, list)
+		r.UpdateServers(group.now, ListFull, list)
 		group.routers, group.proxies = append(group.routers, r), append(group.proxies, p)
 	}
 	return group
@@ -75,7 +75,7 @@
 				if step == 4800 {
 					list[0].Started = group.now
 					for _, r := range group.routers {
-						r.List(group.now, ListFull, list)
+						r.UpdateServers(group.now, ListFull, list)
 					}
 				}
 				i := int(mix(uint64(step)) % uint64(n))
@@ -94,10 +94,10 @@
 			for early < len(sends) && sends[early] < 9*time.Second+4*time.Second {
 				early++
 			}
-			if got := maxInWindow(sends[:early], set.Fall); got > 3*60*36/100 {
+			if got := maxInWindow(sends[:early], set.CollapseWindow); got > 3*60*36/100 {
 				t.Errorf("%d sends within a second in the first 4 s, %d allowed", got, 3*60*36/100)
 			}
-			if got := maxInWindow(sends, set.Fall); got > 3*60*68/100 {
+			if got := maxInWindow(sends, set.CollapseWindow); got > 3*60*68/100 {
 				t.Errorf("%d sends within a second, %d allowed", got, 3*60*68/100)
 			}
 			if len(sends) < 100 {
@@ -166,7 +166,7 @@
 func TestOddScale(t *testing.T) {
 	for _, n := range []int{0, 1, 10000} {
 		set := testSettings()
-		set.Balancers, set.Self = n, n+7
+		set.RouterCount, set.RouterIndex = n, n+7
 		set.Tenants = []Tenant{{0}, {1e-9}}
 		p := newRecorder()
 		r := New(time.Second, set, 3, p)
@@ -176,7 +176,7 @@
 			for i := range list {
 				list[i] = Server{ID: uint32(i + 1), Phase: Ready, Started: r.now}
 			}
-			r.List(r.now, ListFull, list)
+			r.UpdateServers(r.now, ListFull, list)
 			for i := 0; i < 50; i++ {
 				id++
 				before := len(p.sends)
@@ -201,7 +201,7 @@
 		list[i] = 1
 	}
 	set := testSettings()
-	set.Balancers = 400
+	set.RouterCount = 400
 	r, p := newRouter(set, fleet(list...))
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -239,7 +239,7 @@
 		if sends == nil && group.now >= 9*time.Second {
 			sends = []time.Duration{}
 			for _, r := range group.routers {
-				r.List(group.now, ListFull, cold)
+				r.UpdateServers(group.now, ListFull, cold)
 			}
 		}
 		key := uint64(step + 1)
@@ -257,7 +257,7 @@
 		}
 	}
 	// In the two seconds after its start the server has at most 0.28 of its capacity, and it may get three times that.
-	if got := maxInWindow(sends, set.Fall); got > 3*60*28/100 || got == 0 {
+	if got := maxInWindow(sends, set.CollapseWindow); got > 3*60*28/100 || got == 0 {
 		t.Errorf("%d sends within a second, 1 to %d allowed", got, 3*60*28/100)
 	}
 }
@@ -308,7 +308,7 @@
 			lost = append(lost, s.Server)
 		}
 	}
-	r.List(group.now, ListFull, lost)
+	r.UpdateServers(group.now, ListFull, lost)
 	if home := r.homeOf(1); int(home-1)%3 == 0 {
 		t.Errorf("a key's home is still in its lost zone: %d", home)
 	}
@@ -361,7 +361,7 @@
 	s, passed := r.caches[0], 0
 	for range 1000 {
 		r.now += 10 * time.Second // the router's share is 0.3 requests per second at a warm cache and 0.17 at a half warm one
-		s.Started = r.now - r.settings.Cold/2
+		s.Started = r.now - r.settings.WarmUp/2
 		r.updateWeights()
 		passed += int(boolToFloat(r.coldHasRoom(&request{}, s, true)))
 	}
--- a/sequence_test.go
+++ b/sequence_test.go
@@ -84,7 +84,7 @@
 		c.t.Fatalf("request %d has more than %d attempts", id, c.settings.MaxAttempts)
 	}
 	for _, t := range w.attempts {
-		if t.open && !c.settings.SecondCopies {
+		if t.open && !c.settings.Hedging {
 			c.t.Fatalf("request %d has two open attempts", id)
 		}
 		if !t.mayHaveRun {
@@ -93,7 +93,7 @@
 		if w.class.Effect == AtMostOnce {
 			c.t.Fatalf("request %d may have run and is retried", id)
 		}
-		if w.class.Effect == Deduplicated && (c.now-t.sentAt > w.class.KeyTTL ||
+		if w.class.Effect == Deduplicated && (c.now-t.sentAt > w.class.DedupTTL ||
 			w.class.Group == GroupZone && c.zones[t.server] != c.zones[server]) {
 			c.t.Fatalf("deduplicated request %d retried outside its group or time", id)
 		}
@@ -151,7 +151,7 @@
 		limit = timeout
 	}
 	at := time.Duration(c.random.Int63n(int64(400 * time.Millisecond)))
-	st := []Status{OK, OK, OK, OK, Miss, ServerError, Full, ConnectFailed, Reset, Timeout, Moot}[c.random.Intn(11)]
+	st := []Status{OK, OK, OK, OK, Miss, ServerError, TurnedAway, ConnectFailed, Reset, Timeout, NotSent}[c.random.Intn(11)]
 	if at >= limit || st == Timeout {
 		at, st = limit, Timeout
 	}
@@ -222,10 +222,10 @@
 		w := c.requests[d.request]
 		t := &w.attempts[d.attempt]
 		t.open = false
-		t.mayHaveRun = d.status != Miss && d.status != Full && d.status != ConnectFailed && d.status != Moot
+		t.mayHaveRun = d.status != Miss && d.status != TurnedAway && d.status != ConnectFailed && d.status != NotSent
 		if d.status == Miss {
 			w.missGrants++
-		} else if d.status == Moot {
+		} else if d.status == NotSent {
 			c.notSent(d.request, d.attempt)
 		}
 		if d.status == OK {
@@ -246,10 +246,10 @@
 		list[i].Zone, list[i].Kind = i%2, 0
 		c.zones[list[i].ID] = i % 2
 	}
-	if set.Aside {
+	if set.CacheAside {
 		list[5].Kind = set.OriginKind
 	}
-	r.List(c.now, ListCached, list)
+	r.UpdateServers(c.now, ListCached, list)
 	next := uint32(1)
 	for step := 0; step < 6000; step++ {
 		c.now += time.Duration(c.random.Int63n(int64(4 * time.Millisecond)))
@@ -296,7 +296,7 @@
 		Write: class > 0, Remaining: remaining})
 	if c.random.Intn(60) == 0 && !w.answered {
 		w.answered = true
-		r.ClientGone(c.now, id)
+		r.ClientDisconnected(c.now, id)
 	}
 	if id%20 > 0 {
 		return
@@ -318,8 +318,8 @@
 	case Ready:
 		delete(c.stopKnown, s.ID)
 		s.Started = c.now
-	case Gone:
-		if c.settings.RemovalNotBinding {
+	case Removed:
+		if c.settings.AbsenceAllowsSending {
 			break // without a listed drain, requests may still be sent
 		}
 		fallthrough
@@ -329,9 +329,9 @@
 		}
 	}
 	if c.random.Intn(4) == 0 {
-		r.List(c.now, ListFailed, nil)
+		r.UpdateServers(c.now, ListFailed, nil)
 	}
-	r.List(c.now, ListDelta, []Server{*s})
+	r.UpdateServers(c.now, ListDelta, []Server{*s})
 }
 
 func sequenceSettings(variant int) Settings {
@@ -341,16 +341,16 @@
 	set.Tenants = []Tenant{{50}, {20}}
 	set.Classes[1].Group = Group(variant % 2)
 	if variant%2 == 1 {
-		set.Classes[0].LateValue = 0
-		set.SecondCopies = true
+		set.Classes[0].LateFraction = 0
+		set.Hedging = true
 	}
 	if variant >= 4 {
 		set.BudgetFree, set.BudgetRatio, set.BudgetWindow = 2, 0.05, 300*time.Millisecond
-		set.RemovalNotBinding = variant == 5
+		set.AbsenceAllowsSending = variant == 5
 	}
 	if variant == 2 || variant == 3 || variant == 5 {
-		set.Aside, set.OriginKind, set.ListOnRequest = true, 2, true
-		set.AskWithin = 10 * time.Second
+		set.CacheAside, set.OriginKind, set.ListOnRequest = true, 2, true
+		set.FetchListWithin = 10 * time.Second
 	}
 	return set
 }
--- a/serving_test.go
+++ b/serving_test.go
@@ -21,7 +21,7 @@
 	const servers, warm, after = 10, 10 * time.Second, 10 * time.Second
 	rng := rand.New(rand.NewPCG(seed, 3))
 	set := testSettings()
-	set.Balancers = 300
+	set.RouterCount = 300
 	r, p := newRouter(set, fleet(make([]float64, servers)...)) // a weight of 0 means not stated and counts as 1
 	start, lastSend, unsent := r.now, r.now, 0
 	for id := uint32(1); r.now < start+warm+faultTime+after; id++ {
--- a/slow_start.go
+++ b/slow_start.go
@@ -14,7 +14,7 @@
 
 // warmth returns the minimum fraction of its capacity that a server has, by the configured warm-up.
 func (r *Router) warmth(s *server) float64 {
-	return r.settings.ColdFrom + (1-r.settings.ColdFrom)*r.warmUpProgress(s)
+	return r.settings.ColdCapacity + (1-r.settings.ColdCapacity)*r.warmUpProgress(s)
 }
 
 // warmUpProgress returns how far a server is in its warm-up: near 0 at its start, 1 once it is over.
@@ -31,10 +31,10 @@
 
 func (r *Router) progressSince(started time.Duration, known bool) float64 {
 	age := r.now - started
-	if !known || r.settings.Cold <= 0 || age >= r.settings.Cold {
+	if !known || r.settings.WarmUp <= 0 || age >= r.settings.WarmUp {
 		return 1
 	}
-	return max(0.01, float64(age)/float64(r.settings.Cold))
+	return max(0.01, float64(age)/float64(r.settings.WarmUp))
 }
 
 // maxDiscoveryLag is the longest time between the start of a process and its list entry while other updates
@@ -111,7 +111,7 @@
 }
 
 // collapseWindow returns the time over which the requests sent to a cold server are added up.
-func (r *Router) collapseWindow() time.Duration { return max(r.settings.Fall, time.Second) }
+func (r *Router) collapseWindow() time.Duration { return max(r.settings.CollapseWindow, time.Second) }
 
 // sentBeforeListed counts the own attempts within the collapse window that were sent after the server started
 // and before that start was listed. They were sent as to a warm server, but the cold one got them.
--- a/stall_test.go
+++ b/stall_test.go
@@ -118,20 +118,20 @@
 	}{
 		"pressure: nothing answers":           {200, 40, all, OK, false},
 		"pressure: few reads":                 {20, 20, all, OK, false},
-		"pressure: everything is refused":     {200, 40, all, Full, false},
+		"pressure: everything is refused":     {200, 40, all, TurnedAway, false},
 		"health: all connections are reset":   {200, 40, all, Reset, false},
 		"health: no connection can be opened": {200, 40, all, ConnectFailed, false},
 		"retry help: all answers are errors":  {200, 40, all, ServerError, false},
 		"health: one server of eight stalls":  {200, 40, func(id uint32) bool { return id == 3 }, OK, false},
 		"path: one zone of two stalls":        {200, 40, func(id uint32) bool { return id%2 == 0 }, OK, false},
 		"origin's window: the origin stalls":  {200, 0, origin, OK, true},
-		"origin's window: the origin refuses": {200, 0, origin, Full, true},
+		"origin's window: the origin refuses": {200, 0, origin, TurnedAway, true},
 		"origin's window: everything stalls":  {200, 0, all, OK, true},
 		"gate: reads of uncached keys":        {200, 0, all, OK, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := testSettings()
-			set.Aside = c.aside
+			set.CacheAside = c.aside
 			list := fleet(1, 1, 1, 1, 1, 1, 1, 1)
 			for i := range list {
 				list[i].Zone = i % 2
@@ -146,7 +146,7 @@
 				perSecond: map[int]*servedInSecond{},
 				recorder:  *newRecorder()}
 			f.r = New(f.now, set, 7, f)
-			f.r.List(f.now, ListFull, list)
+			f.r.UpdateServers(f.now, ListFull, list)
 			for id := uint32(1); f.now < 15*time.Second; f.step() {
 				if f.now%(time.Second/time.Duration(c.reads)) != 0 {
 					continue
--- a/status.go
+++ b/status.go
@@ -4,8 +4,8 @@
 const statusCount = int(Miss) + 1
 
 var statusNames = [statusCount]string{
-	OK: "ok", ServerError: "server_error", Full: "turned_away", Timeout: "timeout", ConnectFailed: "connect_failed",
-	Reset: "reset", Cancelled: "cancelled", Moot: "not_sent", Miss: "miss",
+	OK: "ok", ServerError: "server_error", TurnedAway: "turned_away", Timeout: "timeout", ConnectFailed: "connect_failed",
+	Reset: "reset", Cancelled: "cancelled", NotSent: "not_sent", Miss: "miss",
 }
 
 // String returns the name of the status in logs and metrics.
--- a/window_test.go
+++ b/window_test.go
@@ -12,7 +12,7 @@
 	for i := 0; i < 10; i++ {
 		s.inFlight = 6
 		r.now += time.Millisecond
-		r.learnWindow(q, &attempt{target: s, sentAt: r.now}, &Outcome{Status: Full})
+		r.learnWindow(q, &attempt{target: s, sentAt: r.now}, &Outcome{Status: TurnedAway})
 	}
 	cut := s.window
 	if cut > 3 {
