--- a/cmd/hoptiller/calls.go
+++ b/cmd/hoptiller/calls.go
@@ -106,10 +106,10 @@
 
 // errorStatus returns the HTTP status for an error.
 func errorStatus(err error) int {
-	var takenErr *notes.ErrTaken
+	var takenErr *notes.AlreadyManagedError
 	var runsErr *peers.ErrRuns
 	switch {
-	case errors.Is(err, peers.ErrNoCache), errors.Is(err, notes.ErrNone):
+	case errors.Is(err, peers.ErrNoCache), errors.Is(err, notes.ErrNotFound):
 		return http.StatusNotFound
 	case errors.Is(err, peers.ErrEnded):
 		return http.StatusGone
--- a/cmd/hoptiller/fleet_member.go
+++ b/cmd/hoptiller/fleet_member.go
@@ -42,7 +42,7 @@
 // newFleetMember opens the fleet view if the settings and the operator's file turn it on. The file takes precedence over the
 // price of datagrams, but it can't allow what the platform forbids.
 func newFleetMember(c *config.Config, operatorFleet plan.Fleet, counts *metrics.Counters, phases *lifecycle.State,
-	r *relay.Relay, caches *drains.Caches) *fleetMember {
+	r *relay.Relay, caches *drains.Filter) *fleetMember {
 	f := &fleetMember{counts: counts, config: c, relay: r, countedAt: time.Now()}
 	reason := ""
 	switch {
@@ -58,7 +58,7 @@
 	if reason == "" {
 		p, err := peers.New(peers.Settings{Self: c.Settings.RouterIndex, Listen: c.PeerListen, Addrs: c.Peers, Seed: c.Seed,
 			Phase: func() view.Phase { return f.phase() }, Tell: f.details,
-			Agent: &permit.Agent{Self: c.Settings.RouterIndex, Of: len(c.Peers), Zone: min(c.Settings.Zone, view.MostZone), Chance: rand.Uint64},
+			Agent: &permit.Agent{Self: c.Settings.RouterIndex, RouterCount: len(c.Peers), Zone: min(c.Settings.Zone, view.MostZone), Random: rand.Uint64},
 			Out: func(out bool) {
 				if out {
 					phases.Tell(lifecycle.Drain)
@@ -94,7 +94,7 @@
 	if b == (plan.Bound{}) {
 		return permit.Bound{Number: defaultNumber}
 	}
-	return permit.Bound{Number: b.Number, Part: b.Part}
+	return permit.Bound{Number: b.Number, Fraction: b.Part}
 }
 
 // details returns what this router announces about itself. It measures the request rate, per second.
--- a/cmd/hoptiller/serve.go
+++ b/cmd/hoptiller/serve.go
@@ -160,7 +160,7 @@
 	providers := upstream.New(upstream.Settings{
 		Share: callsPerConn(c), MostConns: limits.connsPerCache, MostTotal: limits.cacheConns, MostCalls: max(1, c.MostCalls),
 		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnectTimeout,
-		Kept: connlimit.Kept(c.Settings.RouterCount, p.Limits.Places), Places: p.Limits.Places,
+		Kept: connlimit.MaxIdle(c.Settings.RouterCount, p.Limits.Places), Places: p.Limits.Places,
 		Called: counts.AttemptSent, Reports: reports,
 		Seen: func(id uint32, up bool) { fleet.observeCache(id, up) }, Closed: reasons.serverClosed,
 		LookedAgain: counts.LookedAgain,
--- a/internal/fleet/connlimit/connlimit.go
+++ b/internal/fleet/connlimit/connlimit.go
@@ -23,11 +23,11 @@
 	meanWindow = 64
 )
 
-// Kept returns how many idle connections to one slot cache each router may retain for as long as the cache retains them: its
+// MaxIdle returns how many idle connections to one slot cache each router may retain for as long as the cache retains them: its
 // share of the cache's connections that are not busy. connsPerCore is how many connections the cache accepts for each core; 0
 // means that it is not stated. With 14 per core the result is 0 for more than 60 routers, where the cache can't retain one
 // connection from each.
-func Kept(routers, connsPerCore int) int {
+func MaxIdle(routers, connsPerCore int) int {
 	return idleConnsPerCore(connsPerCore) * minCores / max(routers, 1)
 }
 
@@ -36,23 +36,23 @@
 	return max(cmp.Or(connsPerCore, defaultConnsPerCore)-busyConnsPerCore, 0)
 }
 
-// Calls keeps the mean duration of a router's latest calls.
-type Calls struct {
+// MeanCallDuration keeps the mean duration of a router's latest calls.
+type MeanCallDuration struct {
 	n    int // number of calls in the mean, up to meanWindow
 	mean time.Duration
 }
 
-// Ended adds the duration of a call that has ended.
-func (c *Calls) Ended(duration time.Duration) {
+// Add adds the duration of a call that has ended.
+func (c *MeanCallDuration) Add(duration time.Duration) {
 	c.n = min(c.n+1, meanWindow)
 	c.mean += (duration - c.mean) / time.Duration(c.n)
 }
 
-// Idle returns how long connections beyond the number that Kept returns may stay idle. However many routers there are and
+// IdleTimeout returns how long connections beyond the number that Kept returns may stay idle. However many routers there are and
 // however uneven their load is, the connections that all of them have open to a cache are those on which a call ended within
 // that time. In the time of one call a cache ends at most one call for each core, and typically half of its cores are busy.
 // The cache's connection limit therefore suffices for an idle time of twice the call's duration, times the number of
 // connections for each core. In a burst the limit may be reached, and connects fail.
-func (c *Calls) Idle(connsPerCore int) time.Duration {
+func (c *MeanCallDuration) IdleTimeout(connsPerCore int) time.Duration {
 	return time.Duration(float64(idleConnsPerCore(connsPerCore)) / typicalUtilization * float64(c.mean))
 }
--- a/internal/fleet/drains/drains.go
+++ b/internal/fleet/drains/drains.go
@@ -27,8 +27,8 @@
 
 // Drain says how a slot cache is drained.
 type Drain struct {
-	Over  time.Duration // time in which the weight falls from full to zero, and rises again afterwards
-	Whole bool          // the weight has reached zero already: a router that learns of the drain late starts at zero
+	Duration time.Duration // time in which the weight falls from full to zero, and rises again afterwards
+	Complete bool          // the weight has reached zero already: a router that learns of the drain late starts at zero
 }
 
 // weightSteps is the number of steps in which a weight falls or rises.
@@ -45,8 +45,8 @@
 // stepAt returns the step at a time.
 func (s *drainState) stepAt(now time.Duration) int {
 	fraction := 1.0
-	if s.drain.Over > 0 && (s.rising || !s.drain.Whole) {
-		fraction = min(1, float64(now-s.since)/float64(s.drain.Over))
+	if s.drain.Duration > 0 && (s.rising || !s.drain.Complete) {
+		fraction = min(1, float64(now-s.since)/float64(s.drain.Duration))
 	}
 	if s.rising {
 		return int(fraction * weightSteps)
@@ -54,9 +54,9 @@
 	return weightSteps - int(fraction*weightSteps)
 }
 
-// Caches is a Listener that changes the entries of drained slot caches and passes server lists on to the next Listener. It is
+// Filter is a Listener that changes the entries of drained slot caches and passes server lists on to the next Listener. It is
 // safe for use by several goroutines at once.
-type Caches struct {
+type Filter struct {
 	next Listener
 
 	mu     sync.Mutex // held during calls of next too, so that next receives updates in their order
@@ -65,15 +65,15 @@
 }
 
 // New returns a Caches that passes server lists on to next.
-func New(next Listener) *Caches {
-	return &Caches{next: next, listed: map[uint32]relay.Server{}, states: map[uint32]*drainState{}}
+func New(next Listener) *Filter {
+	return &Filter{next: next, listed: map[uint32]relay.Server{}, states: map[uint32]*drainState{}}
 }
 
 // Knows implements Listener.
-func (c *Caches) Knows(id uint32) bool { return c.next.Knows(id) }
+func (c *Filter) Knows(id uint32) bool { return c.next.Knows(id) }
 
 // Told implements Listener.
-func (c *Caches) Told(kind hoptiller.ListKind, servers []relay.Server) {
+func (c *Filter) Told(kind hoptiller.ListKind, servers []relay.Server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if kind == hoptiller.ListFull || kind == hoptiller.ListCached {
@@ -111,9 +111,9 @@
 	return entry
 }
 
-// Set replaces the set of drained slot caches and passes on the weights that have changed since the last call. It must be
+// SetDrains replaces the set of drained slot caches and passes on the weights that have changed since the last call. It must be
 // called several times a second.
-func (c *Caches) Set(now time.Duration, drains map[uint32]Drain) {
+func (c *Filter) SetDrains(now time.Duration, drains map[uint32]Drain) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var changed []relay.Server
@@ -121,18 +121,18 @@
 		state := c.states[id]
 		if state == nil || state.rising {
 			began := now
-			if state != nil && d.Over > 0 { // the weight was rising: it falls from where it is
-				began -= time.Duration(float64(weightSteps-state.step) / weightSteps * float64(d.Over))
+			if state != nil && d.Duration > 0 { // the weight was rising: it falls from where it is
+				began -= time.Duration(float64(weightSteps-state.step) / weightSteps * float64(d.Duration))
 			}
 			c.states[id] = &drainState{drain: d, since: began, step: weightSteps}
-		} else if d.Whole {
-			state.drain.Whole = true
+		} else if d.Complete {
+			state.drain.Complete = true
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.states)) {
 		state := c.states[id]
 		if _, drained := drains[id]; !drained && !state.rising {
-			state.rising, state.since = true, now-time.Duration(float64(state.step)/weightSteps*float64(state.drain.Over))
+			state.rising, state.since = true, now-time.Duration(float64(state.step)/weightSteps*float64(state.drain.Duration))
 		}
 		step := state.stepAt(now)
 		if step == state.step && step != weightSteps {
@@ -150,16 +150,16 @@
 	}
 }
 
-// Whole reports whether the drain of a slot cache is complete: its weight is zero and it gets no new requests from this router.
-func (c *Caches) Whole(id uint32) bool {
+// IsDrained reports whether the drain of a slot cache is complete: its weight is zero and it gets no new requests from this router.
+func (c *Filter) IsDrained(id uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := c.states[id]
 	return state != nil && !state.rising && state.step == 0
 }
 
-// Find returns the entry of the slot cache with a name, as discovery lists it. It doesn't find the origin.
-func (c *Caches) Find(name string) (s relay.Server, ok bool) {
+// FindByName returns the entry of the slot cache with a name, as discovery lists it. It doesn't find the origin.
+func (c *Filter) FindByName(name string) (s relay.Server, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.listed {
@@ -171,7 +171,7 @@
 }
 
 // Name returns the name of a slot cache, or an empty string if discovery doesn't list it.
-func (c *Caches) Name(id uint32) string {
+func (c *Filter) Name(id uint32) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.listed[id].Name
--- a/internal/fleet/drains/drains_test.go
+++ b/internal/fleet/drains/drains_test.go
@@ -41,11 +41,11 @@
 		entry(9, hoptiller.Ready, 0)})
 	r.flush()
 	drains := map[uint32]Drain{1: {}, 7: {}}
-	c.Set(0, drains)
+	c.SetDrains(0, drains)
 	if got := r.flush(); got != "0: 1 phase 1 weight 2" {
 		t.Errorf("after the drain began: %s", got)
 	}
-	if c.Set(time.Second, drains); r.flush() != "" || !c.Whole(1) || c.Whole(2) {
+	if c.SetDrains(time.Second, drains); r.flush() != "" || !c.IsDrained(1) || c.IsDrained(2) {
 		t.Error("a second update for the same drain, or the drain is not complete")
 	}
 	c.Told(hoptiller.ListFull, []relay.Server{entry(1, hoptiller.Ready, 3), entry(2, hoptiller.Ready, 0),
@@ -55,17 +55,17 @@
 	}
 	c.Told(hoptiller.ListDelta, []relay.Server{entry(7, hoptiller.Draining, 1)})
 	r.flush()
-	c.Set(2*time.Second, nil)
+	c.SetDrains(2*time.Second, nil)
 	if got := r.flush(); got != "0: 1 phase 2 weight 3; 0: 7 phase 1 weight 1" {
 		t.Errorf("after the drain ended: %s", got)
 	}
-	if c.Set(3*time.Second, nil); r.flush() != "" {
+	if c.SetDrains(3*time.Second, nil); r.flush() != "" {
 		t.Error("a second update for the end of the drain")
 	}
-	if _, ok := c.Find("s-9"); ok {
+	if _, ok := c.FindByName("s-9"); ok {
 		t.Error("Find returns the origin")
 	}
-	if s, ok := c.Find("s-2"); !ok || s.ID != 2 || c.Name(2) != "s-2" {
+	if s, ok := c.FindByName("s-2"); !ok || s.ID != 2 || c.Name(2) != "s-2" {
 		t.Error("a slot cache is not found by its name")
 	}
 }
@@ -77,7 +77,7 @@
 	c := New(r)
 	c.Told(hoptiller.ListFull, []relay.Server{entry(1, hoptiller.Ready, 2), entry(2, hoptiller.Ready, 0)})
 	r.flush()
-	drains := map[uint32]Drain{2: {Over: 16 * time.Second}}
+	drains := map[uint32]Drain{2: {Duration: 16 * time.Second}}
 	for _, step := range []struct {
 		at     time.Duration
 		drains map[uint32]Drain
@@ -92,9 +92,9 @@
 		{21 * time.Second, drains, "0: 2 phase 1 weight 0"},
 		{30 * time.Second, nil, ""},
 		{46 * time.Second, nil, "0: 2 phase 2 weight 0"},
-		{50 * time.Second, map[uint32]Drain{2: {Over: 16 * time.Second, Whole: true}}, "0: 2 phase 1 weight 0"},
+		{50 * time.Second, map[uint32]Drain{2: {Duration: 16 * time.Second, Complete: true}}, "0: 2 phase 1 weight 0"},
 	} {
-		c.Set(step.at, step.drains)
+		c.SetDrains(step.at, step.drains)
 		if got := r.flush(); got != step.want {
 			t.Errorf("at %v: %q, want %q", step.at, got, step.want)
 		}
--- a/internal/fleet/notes/answer.go
+++ b/internal/fleet/notes/answer.go
@@ -21,7 +21,7 @@
 	}
 	for _, stored := range s.byNeed(to) {
 		lease := stored.Lease
-		lease.Ends = stored.endsAt - now
+		lease.EndsIn = stored.endsAt - now
 		encoded := appendLease(nil, &lease, stored.expires-now)
 		if len(b)+len(encoded)+checksumBytes > maxDatagramBytes {
 			flush()
--- a/internal/fleet/notes/leases_test.go
+++ b/internal/fleet/notes/leases_test.go
@@ -33,7 +33,7 @@
 
 type router struct {
 	agent       *permit.Agent
-	manager     *Keeper
+	manager     *Manager
 	started     time.Duration
 	dead        bool
 	pausedUntil time.Duration
@@ -59,30 +59,30 @@
 	for i := range n {
 		f.start(i)
 	}
-	f.run(permit.MostLease + time.Second)
+	f.run(permit.MaxLease + time.Second)
 	return f
 }
 
 // start begins a new incarnation of a router, which remembers nothing. Its clock starts at zero, as that of a process does.
 func (f *fleet) start(i int) {
-	a := &permit.Agent{Self: i, Of: len(f.routers), Fleet: permit.Bound{Number: 1}, Caches: f.cacheBound, Chance: f.rng.Uint64,
-		See: func() permit.Sight {
+	a := &permit.Agent{Self: i, RouterCount: len(f.routers), MaxRouters: permit.Bound{Number: 1}, MaxCaches: f.cacheBound, Random: f.rng.Uint64,
+		ObserveFleet: func() permit.FleetState {
 			alive := 0
 			for _, r := range f.routers {
 				if !r.dead {
 					alive++
 				}
 			}
-			return permit.Sight{Alive: alive, Caches: f.caches, CachesDown: f.down}
+			return permit.FleetState{AliveCount: alive, CacheZones: f.caches, DownCaches: f.down}
 		}}
 	r := f.routers[i]
 	*r = router{agent: a, started: f.now}
 	if f.noSilence {
-		a.Start(-permit.MostLease)
+		a.Start(-permit.MaxLease)
 	} else {
 		a.Start(0)
 	}
-	r.manager = NewKeeper(0, a)
+	r.manager = NewManager(0, a)
 }
 
 // clock returns the time that a router's clock shows.
@@ -117,16 +117,16 @@
 			if f.now >= r.pausedUntil {
 				r.agent.Tick(f.clock(r))
 				r.manager.Tick(f.clock(r))
-				for _, d := range r.agent.Out() {
+				for _, d := range r.agent.Outgoing() {
 					f.send(i, d.To, d.Body, false)
 				}
-				for _, d := range r.manager.Out() {
+				for _, d := range r.manager.Outgoing() {
 					f.send(i, d.To, d.Body, true)
 					f.sent++
 				}
 			}
 			for key, stored := range r.manager.leases {
-				if f.clock(r) < stored.expires && !stored.Off {
+				if f.clock(r) < stored.expires && !stored.Ended {
 					drained[key.ID] = true
 				}
 			}
@@ -152,13 +152,13 @@
 // drain asks a router to drain a slot cache for a duration.
 func (f *fleet) drain(i int, cache uint32, duration time.Duration) error {
 	r := f.routers[i]
-	return r.manager.Ask(f.clock(r), Key{Cache, cache}, r.agent.CacheGroups(f.caches[cache]), "x", duration)
+	return r.manager.Acquire(f.clock(r), Key{KindCache, cache}, r.agent.CacheGroups(f.caches[cache]), "x", duration)
 }
 
 // undo asks a router to end the drain of a slot cache.
 func (f *fleet) undo(i int, cache uint32) error {
 	r := f.routers[i]
-	return r.manager.Undo(f.clock(r), Key{Cache, cache})
+	return r.manager.End(f.clock(r), Key{KindCache, cache})
 }
 
 // drainedAt returns the slot caches that a router believes to be out of service.
@@ -215,7 +215,7 @@
 
 // No more slot caches are drained than the bound allows. A slot cache that is down without a permit counts against it.
 func TestBound(t *testing.T) {
-	f := newFleet(5, 2, permit.Bound{Part: 0.2}, 10)
+	f := newFleet(5, 2, permit.Bound{Fraction: 0.2}, 10)
 	for i := range 4 {
 		must(t, f.drain(i, uint32(100+i), time.Hour))
 	}
@@ -230,7 +230,7 @@
 	if f.run(5 * time.Second); len(f.drainedAt(0)) != 1 && len(f.drainedAt(0)) != 2 {
 		t.Errorf("%v are drained while another one is down", f.drainedAt(0))
 	}
-	if _, reason := f.routers[1].manager.Stand(f.clock(f.routers[1]), Key{Cache, 101}); reason == "" {
+	if _, reason := f.routers[1].manager.Status(f.clock(f.routers[1]), Key{KindCache, 101}); reason == "" {
 		t.Error("no reason for the refusal")
 	}
 }
@@ -261,21 +261,21 @@
 	must(t, f.drain(3, 100, time.Hour))
 	f.run(2 * time.Second)
 	f.isolated[0], f.isolated[1], f.isolated[2] = true, true, true // each is alone, so that no router reaches a majority
-	f.run(permit.MostLease)
+	f.run(permit.MaxLease)
 	must(t, f.checkDrained())
 	must(t, f.drain(4, 101, time.Hour))
-	f.run(permit.MostLease)
+	f.run(permit.MaxLease)
 	must(t, f.checkDrained())
 }
 
 // Commands that are not possible return an error, which names the owner if another lease is in the way.
 func TestRefused(t *testing.T) {
 	f := newFleet(5, 5, permit.Bound{Number: 1}, 10)
-	if err := f.undo(0, 100); !errors.Is(err, ErrNone) {
+	if err := f.undo(0, 100); !errors.Is(err, ErrNotFound) {
 		t.Errorf("end of a drain that nobody has requested: %v", err)
 	}
 	must(t, f.drain(1, 100, time.Hour))
-	var taken *ErrTaken
+	var taken *AlreadyManagedError
 	if err := f.drain(1, 100, time.Hour); !errors.As(err, &taken) || taken.Router != 1 {
 		t.Errorf("second request to the same router: %v", err)
 	}
@@ -359,7 +359,7 @@
 			f.start(i)
 		}
 		must(t, f.drain(0, 101, time.Hour))
-		if maxDrained := f.run(permit.MostLease); maxDrained > 1 != broken {
+		if maxDrained := f.run(permit.MaxLease); maxDrained > 1 != broken {
 			t.Errorf("broken %v: %d slot caches are drained at once", broken, maxDrained)
 		}
 	}
@@ -368,8 +368,8 @@
 // A datagram decodes to the message that was encoded, and a corrupt one is rejected. Whatever arrives, a store sends only short
 // datagrams, and only to other routers.
 func FuzzParse(f *testing.F) {
-	lease := Lease{Key: Key{Cache, 0x5be2a07c}, Epoch: 3<<16 | 1, Owner: 4, Seq: 9, Permit: 1<<60 | 7, Off: true,
-		Ends: 90 * time.Second, Slots: []permit.Slot{{Group: permit.AllCaches}, {Group: permit.FirstCacheZone + 1, Number: 2}},
+	lease := Lease{Key: Key{KindCache, 0x5be2a07c}, Epoch: 3<<16 | 1, Owner: 4, Seq: 9, Permit: 1<<60 | 7, Ended: true,
+		EndsIn: 90 * time.Second, Slots: []permit.Slot{{Group: permit.GroupAllCaches}, {Group: permit.GroupFirstCacheZone + 1, Number: 2}},
 		Body: "x y"}
 	answer := appendChecksum(appendLease(appendAnswer(4, 1, 77), &lease, 1500*time.Millisecond))
 	m, err := parse(answer)
@@ -404,7 +404,7 @@
 				}
 			}
 		}
-		for _, d := range s.Out() {
+		for _, d := range s.Outgoing() {
 			if d.To == 0 || d.To > 3 || len(d.Body) > maxDatagramBytes {
 				t.Errorf("%d bytes to router %d", len(d.Body), d.To)
 			}
--- a/internal/fleet/notes/manager.go
+++ b/internal/fleet/notes/manager.go
@@ -25,16 +25,18 @@
 
 // Errors of operators' commands.
 var (
-	ErrNone = errors.New("no lease is known for this slot cache or release")
-	ErrFull = fmt.Errorf("%d leases are known already, which is the maximum", MostNotes)
+	ErrNotFound = errors.New("no lease is known for this slot cache or release")
+	ErrFull     = fmt.Errorf("%d leases are known already, which is the maximum", MaxLeases)
 )
 
-// ErrTaken reports that a lease for the same slot cache or release exists or is requested already. Router is the router that
+// AlreadyManagedError reports that a lease for the same slot cache or release exists or is requested already. Router is the router that
 // manages it.
-type ErrTaken struct{ Router int }
+type AlreadyManagedError struct{ Router int }
 
 // Error implements error.
-func (e *ErrTaken) Error() string { return fmt.Sprintf("router %d keeps this already", e.Router) }
+func (e *AlreadyManagedError) Error() string {
+	return fmt.Sprintf("router %d keeps this already", e.Router)
+}
 
 // managedLease is a lease that this router owns, or whose permit it requests.
 type managedLease struct {
@@ -43,24 +45,24 @@
 	endsAt  time.Duration // when the drain or release ends by itself
 }
 
-// Keeper manages the leases of one router: it acquires and renews their permits, and announces them. It is not safe for use by
+// Manager manages the leases of one router: it acquires and renews their permits, and announces them. It is not safe for use by
 // several goroutines at once.
-type Keeper struct {
+type Manager struct {
 	Store
 	agent           *permit.Agent
 	managed         map[Key]*managedLease
 	lastRenewalPull time.Duration // when an owner was last asked for overdue renewals
 }
 
-// NewKeeper returns the manager of a router whose process starts now.
-func NewKeeper(now time.Duration, agent *permit.Agent) *Keeper {
-	k := &Keeper{Store: *NewStore(now, agent.Self, agent.Of, agent.Chance), agent: agent, managed: map[Key]*managedLease{}}
+// NewManager returns the manager of a router whose process starts now.
+func NewManager(now time.Duration, agent *permit.Agent) *Manager {
+	k := &Manager{Store: *NewStore(now, agent.Self, agent.RouterCount, agent.Random), agent: agent, managed: map[Key]*managedLease{}}
 	agent.VisitTakenSlots = k.visitSlots
 	return k
 }
 
 // visitSlots calls visit for each slot of the leases that this router knows.
-func (k *Keeper) visitSlots(visit func(s permit.Slot, holder uint64)) {
+func (k *Manager) visitSlots(visit func(s permit.Slot, holder uint64)) {
 	for _, stored := range k.leases {
 		for _, s := range stored.Slots {
 			visit(s, stored.Permit)
@@ -68,15 +70,15 @@
 	}
 }
 
-// Ask requests a permit with a slot in each of the groups. Once it is granted this router announces a lease with the body.
+// Acquire requests a permit with a slot in each of the groups. Once it is granted this router announces a lease with the body.
 // The lease ends by itself after the duration. The error is an *ErrTaken or ErrFull.
-func (k *Keeper) Ask(now time.Duration, key Key, groups []uint16, body string, duration time.Duration) error {
+func (k *Manager) Acquire(now time.Duration, key Key, groups []uint16, body string, duration time.Duration) error {
 	current, _, known := k.Get(now, key)
 	switch {
 	case k.managed[key] != nil:
-		return &ErrTaken{k.self}
-	case known && !current.Off:
-		return &ErrTaken{int(current.Owner)}
+		return &AlreadyManagedError{k.self}
+	case known && !current.Ended:
+		return &AlreadyManagedError{int(current.Owner)}
 	case k.Full(now):
 		return ErrFull
 	}
@@ -89,30 +91,30 @@
 // nextEpoch returns the epoch of the next begin or end of a drain or release.
 func nextEpoch(epoch uint32) uint32 { return epoch&^(epochStep-1) + epochStep }
 
-// Undo ends a lease, whichever router owns it, or stops requesting its permit. It returns ErrNone if there is neither.
-func (k *Keeper) Undo(now time.Duration, key Key) error {
+// End ends a lease, whichever router owns it, or stops requesting its permit. It returns ErrNone if there is neither.
+func (k *Manager) End(now time.Duration, key Key) error {
 	current, _, active := k.Get(now, key)
-	active = active && !current.Off
+	active = active && !current.Ended
 	own := k.managed[key]
 	if !active && own == nil {
-		return ErrNone
+		return ErrNotFound
 	}
 	if own != nil {
 		k.agent.Abandon(own.lease.Permit)
 		delete(k.managed, key)
 	}
 	if active { // announce the end for as long as other routers may believe older copies
-		current.Epoch, current.Owner, current.Seq, current.Off, current.Ends = nextEpoch(current.Epoch), uint16(k.self), 0, true, 0
-		k.Announce(now, current, 2*permit.MostLease)
+		current.Epoch, current.Owner, current.Seq, current.Ended, current.EndsIn = nextEpoch(current.Epoch), uint16(k.self), 0, true, 0
+		k.Announce(now, current, 2*permit.MaxLease)
 	}
 	return nil
 }
 
-// Change replaces the body of a lease that this router manages. It returns ErrNone if this router doesn't manage it.
-func (k *Keeper) Change(now time.Duration, key Key, body string) error {
+// SetBody replaces the body of a lease that this router manages. It returns ErrNone if this router doesn't manage it.
+func (k *Manager) SetBody(now time.Duration, key Key, body string) error {
 	own := k.managed[key]
 	if own == nil {
-		return ErrNone
+		return ErrNotFound
 	}
 	if own.lease.Body != body {
 		own.lease.Body = body
@@ -124,15 +126,15 @@
 }
 
 // announceOwn announces a lease that this router manages.
-func (k *Keeper) announceOwn(now time.Duration, own *managedLease) {
+func (k *Manager) announceOwn(now time.Duration, own *managedLease) {
 	own.lease.Seq++
-	own.lease.Ends = own.endsAt - now
+	own.lease.EndsIn = own.endsAt - now
 	k.Announce(now, own.lease, own.expires-now)
 }
 
-// Stand returns the phase of the permit of a lease that this router manages, and the reason of the latest refusal while the
+// Status returns the phase of the permit of a lease that this router manages, and the reason of the latest refusal while the
 // permit is requested.
-func (k *Keeper) Stand(now time.Duration, key Key) (phase permit.Phase, reason string) {
+func (k *Manager) Status(now time.Duration, key Key) (phase permit.Phase, reason string) {
 	own := k.managed[key]
 	if own == nil {
 		return permit.Idle, ""
@@ -141,8 +143,8 @@
 	return phase, reason
 }
 
-// Wanted returns the body of a lease that this router manages.
-func (k *Keeper) Wanted(key Key) (body string, ok bool) {
+// Body returns the body of a lease that this router manages.
+func (k *Manager) Body(key Key) (body string, ok bool) {
 	own := k.managed[key]
 	if own == nil {
 		return "", false
@@ -150,8 +152,8 @@
 	return own.lease.Body, true
 }
 
-// Ends returns the time until a lease that this router manages ends by itself; 0 if this router doesn't manage it.
-func (k *Keeper) Ends(now time.Duration, key Key) time.Duration {
+// EndsIn returns the time until a lease that this router manages ends by itself; 0 if this router doesn't manage it.
+func (k *Manager) EndsIn(now time.Duration, key Key) time.Duration {
 	own := k.managed[key]
 	if own == nil {
 		return 0
@@ -159,8 +161,8 @@
 	return own.endsAt - now
 }
 
-// Kept returns the keys of the leases that this router manages, including those whose permits are still requested.
-func (k *Keeper) Kept() (keys []Key) {
+// ManagedKeys returns the keys of the leases that this router manages, including those whose permits are still requested.
+func (k *Manager) ManagedKeys() (keys []Key) {
 	for key := range k.managed {
 		keys = append(keys, key)
 	}
@@ -168,7 +170,7 @@
 }
 
 // Tick renews, ends and takes over leases, and queues the messages that are due. It must be called after the agent's Tick.
-func (k *Keeper) Tick(now time.Duration) {
+func (k *Manager) Tick(now time.Duration) {
 	k.Store.Tick(now)
 	for key, own := range k.managed {
 		k.maintain(now, key, own)
@@ -179,13 +181,13 @@
 
 // pullOverdue pulls from the owner of leases whose renewals should have arrived. While many leases are renewed, each answer
 // holds only some of them, and a renewal that has not arrived here doesn't mean that the owner is gone.
-func (k *Keeper) pullOverdue(now time.Duration) {
+func (k *Manager) pullOverdue(now time.Duration) {
 	if now-k.lastRenewalPull < renewalPullInterval {
 		return
 	}
 	var owners []uint16
 	for key, stored := range k.leases {
-		if k.managed[key] == nil && !stored.Off && int(stored.Owner) != k.self && now < stored.expires &&
+		if k.managed[key] == nil && !stored.Ended && int(stored.Owner) != k.self && now < stored.expires &&
 			stored.expires-now <= overdueBelow {
 			owners = append(owners, stored.Owner)
 		}
@@ -201,7 +203,7 @@
 
 // maintain announces a lease of this router's after each renewal of its permit. It ends the lease when its time is over, and
 // stops managing it if it is lost or another router has taken it over or ended it.
-func (k *Keeper) maintain(now time.Duration, key Key, own *managedLease) {
+func (k *Manager) maintain(now time.Duration, key Key, own *managedLease) {
 	current, _, known := k.Get(now, key)
 	if known && current.NewerThan(&own.lease) && (current.Owner != own.lease.Owner || current.Epoch != own.lease.Epoch) {
 		k.agent.Abandon(own.lease.Permit) // another router manages the lease, or it has ended
@@ -209,13 +211,13 @@
 		return
 	}
 	if now >= own.endsAt {
-		k.Undo(now, key)
+		k.End(now, key)
 		return
 	}
 	phase, remaining, slots, _ := k.agent.TransferableStatus(now, own.lease.Permit)
 	adopted := own.lease.Epoch%epochStep > 0
 	switch {
-	case phase == permit.Ended, phase == permit.Asking && adopted && !known: // no router believes the lease any more
+	case phase == permit.Ended, phase == permit.Requesting && adopted && !known: // no router believes the lease any more
 		k.agent.Abandon(own.lease.Permit)
 		delete(k.managed, key)
 	case phase == permit.Holding && now+remaining > own.expires:
@@ -225,10 +227,10 @@
 }
 
 // takeOverDue takes over the leases that their owners have not announced for a while and that it is this router's turn to take.
-func (k *Keeper) takeOverDue(now time.Duration) {
+func (k *Manager) takeOverDue(now time.Duration) {
 	var due []Key
 	for key, stored := range k.leases {
-		if k.managed[key] == nil && !stored.Off && now < stored.expires && k.mayTakeOver(now, stored) {
+		if k.managed[key] == nil && !stored.Ended && now < stored.expires && k.mayTakeOver(now, stored) {
 			due = append(due, key)
 		}
 	}
@@ -240,7 +242,7 @@
 }
 
 // mayTakeOver reports whether it is this router's turn to take over a lease.
-func (k *Keeper) mayTakeOver(now time.Duration, stored *storedLease) bool {
+func (k *Manager) mayTakeOver(now time.Duration, stored *storedLease) bool {
 	if stored.Epoch%epochStep == epochStep-1 { // one more would change the epoch to that of the next begin or end
 		return false
 	}
@@ -249,26 +251,26 @@
 }
 
 // adopt makes this router the owner of a lease and goes on with its permit.
-func (k *Keeper) adopt(now time.Duration, lease Lease) {
-	endsAt := now + lease.Ends
+func (k *Manager) adopt(now time.Duration, lease Lease) {
+	endsAt := now + lease.EndsIn
 	lease.Epoch++
 	lease.Owner, lease.Seq = uint16(k.self), 0
 	k.managed[lease.Key] = &managedLease{lease: lease, endsAt: endsAt}
 	k.agent.Adopt(now, lease.Permit, lease.Slots, lease.Epoch%epochStep*epochStep)
 }
 
-// Renew lets a lease last for a duration from now and replaces its body. If another router owns the lease, this router takes
+// Extend lets a lease last for a duration from now and replaces its body. If another router owns the lease, this router takes
 // it over. It returns ErrNone if there is no such lease.
-func (k *Keeper) Renew(now time.Duration, key Key, body string, duration time.Duration) error {
+func (k *Manager) Extend(now time.Duration, key Key, body string, duration time.Duration) error {
 	own := k.managed[key]
 	if own == nil {
 		lease, _, known := k.Get(now, key)
-		if !known || lease.Off {
-			return ErrNone
+		if !known || lease.Ended {
+			return ErrNotFound
 		}
 		k.adopt(now, lease)
 		own = k.managed[key]
 	}
 	own.endsAt = now + duration
-	return k.Change(now, key, body)
+	return k.SetBody(now, key, body)
 }
--- a/internal/fleet/notes/many_leases_test.go
+++ b/internal/fleet/notes/many_leases_test.go
@@ -59,10 +59,10 @@
 	f := newFleet(2, 1, permit.Bound{Number: 1}, 1)
 	s := &f.routers[0].manager.Store
 	now := f.clock(f.routers[0])
-	for i := range uint32(MostNotes + 10) {
-		s.Announce(now, Lease{Key: Key{Cache, i}, Epoch: 1}, time.Second)
+	for i := range uint32(MaxLeases + 10) {
+		s.Announce(now, Lease{Key: Key{KindCache, i}, Epoch: 1}, time.Second)
 	}
-	if n := len(s.All(now)); n != MostNotes {
+	if n := len(s.All(now)); n != MaxLeases {
 		t.Errorf("the store holds %d leases", n)
 	}
 	if err := f.drain(0, 1<<20, time.Hour); !errors.Is(err, ErrFull) {
--- a/internal/fleet/notes/store.go
+++ b/internal/fleet/notes/store.go
@@ -26,9 +26,9 @@
 
 // The kinds.
 const (
-	Cache   Kind = iota + 1 // a slot cache is out of service
-	Release                 // a release runs
-	kindEnd                 // above all kinds
+	KindCache   Kind = iota + 1 // a slot cache is out of service
+	KindRelease                 // a release runs
+	kindEnd                     // above all kinds
 )
 
 // Key identifies a lease.
@@ -52,8 +52,8 @@
 	Seq    uint32 // counts the owner's announcements of the lease
 	Permit uint64
 	Slots  []permit.Slot
-	Off    bool          // the drain or release has ended; older copies of the lease are invalid
-	Ends   time.Duration // time from now after which the drain or release ends by itself
+	Ended  bool          // the drain or release has ended; older copies of the lease are invalid
+	EndsIn time.Duration // time from now after which the drain or release ends by itself
 	Body   string        // at most MaxBody bytes
 }
 
@@ -61,9 +61,9 @@
 const (
 	MaxBody = 120 // bytes, so that the longest lease fits a datagram
 
-	// MostNotes is enough for 1,024 slot caches that are out of service and as many that were so until a moment ago. It limits the
+	// MaxLeases is enough for 1,024 slot caches that are out of service and as many that were so until a moment ago. It limits the
 	// memory that other routers' datagrams can use up at this router. Memory is used only for leases that exist.
-	MostNotes = 2048
+	MaxLeases = 2048
 
 	maxSlots = 3 // of one lease; a slot cache has two groups that limit it
 )
@@ -134,8 +134,8 @@
 		openPulls: map[uint32]time.Duration{}}
 }
 
-// Bad returns the number of datagrams that were rejected.
-func (s *Store) Bad() uint64 { return s.rejected }
+// RejectedDatagrams returns the number of datagrams that were rejected.
+func (s *Store) RejectedDatagrams() uint64 { return s.rejected }
 
 // Get returns a lease that is valid now, and for how long it is. A lease that says that its drain or release has ended counts
 // too.
@@ -145,14 +145,14 @@
 		return Lease{}, 0, false
 	}
 	lease = stored.Lease
-	lease.Ends = stored.endsAt - now
+	lease.EndsIn = stored.endsAt - now
 	return lease, stored.expires - now, true
 }
 
 // All returns the leases that are valid now, in the order of their keys, without those whose drain or release has ended.
 func (s *Store) All(now time.Duration) (list []Lease) {
 	for key := range s.leases {
-		if lease, _, ok := s.Get(now, key); ok && !lease.Off {
+		if lease, _, ok := s.Get(now, key); ok && !lease.Ended {
 			list = append(list, lease)
 		}
 	}
@@ -163,7 +163,7 @@
 // Full reports whether the store has no room for a lease with another key.
 func (s *Store) Full(now time.Duration) bool {
 	s.dropExpired(now)
-	return len(s.leases) >= MostNotes
+	return len(s.leases) >= MaxLeases
 }
 
 // Announce stores a lease and announces it to the fleet. It is valid for the remaining time from now.
@@ -200,7 +200,7 @@
 	if len(s.leases) == 0 || expires < s.nextExpiry {
 		s.nextExpiry = expires
 	}
-	stored := &storedLease{Lease: lease, expires: expires, endsAt: now + lease.Ends, hash: hashLease(&lease), received: now}
+	stored := &storedLease{Lease: lease, expires: expires, endsAt: now + lease.EndsIn, hash: hashLease(&lease), received: now}
 	s.leases[lease.Key] = stored
 	s.checksum ^= stored.hash
 }
@@ -280,8 +280,8 @@
 	s.outgoing = append(s.outgoing, Datagram{router, appendPull(uint16(s.self), uint16(router), number, s.checksum)})
 }
 
-// Out returns the datagrams that were queued since the last call.
-func (s *Store) Out() []Datagram {
+// Outgoing returns the datagrams that were queued since the last call.
+func (s *Store) Outgoing() []Datagram {
 	queued := s.outgoing
 	s.outgoing = nil
 	return queued
--- a/internal/fleet/notes/wire.go
+++ b/internal/fleet/notes/wire.go
@@ -82,13 +82,13 @@
 	b = binary.BigEndian.AppendUint32(b, lease.Seq)
 	b = binary.BigEndian.AppendUint64(b, lease.Permit)
 	flags := byte(0)
-	if lease.Off {
+	if lease.Ended {
 		flags = flagOff
 	}
 	b = append(b, flags)
 	// Rounded down, so that no router believes the lease for too long.
 	b = binary.BigEndian.AppendUint16(b, uint16(max(0, min(remaining.Milliseconds(), 1<<16-1))))
-	b = binary.BigEndian.AppendUint32(b, uint32(max(0, min(lease.Ends/time.Second, 1<<32-1))))
+	b = binary.BigEndian.AppendUint32(b, uint32(max(0, min(lease.EndsIn/time.Second, 1<<32-1))))
 	b = append(b, byte(len(lease.Slots)))
 	for _, s := range lease.Slots {
 		b = permit.AppendSlot(b, s)
@@ -136,9 +136,9 @@
 	lease.Key = Key{Kind(b[0]), binary.BigEndian.Uint32(b[1:])}
 	lease.Epoch, lease.Owner = binary.BigEndian.Uint32(b[5:]), binary.BigEndian.Uint16(b[9:])
 	lease.Seq, lease.Permit = binary.BigEndian.Uint32(b[11:]), binary.BigEndian.Uint64(b[15:])
-	lease.Off = b[23] == flagOff
+	lease.Ended = b[23] == flagOff
 	lease.remaining = time.Duration(binary.BigEndian.Uint16(b[24:])) * time.Millisecond
-	lease.Ends = time.Duration(binary.BigEndian.Uint32(b[26:])) * time.Second
+	lease.EndsIn = time.Duration(binary.BigEndian.Uint32(b[26:])) * time.Second
 	at := minLeaseBytes - 1
 	for range b[30] {
 		if len(b) < at+permit.SlotBytes+1 { // the last byte is the length of the body
--- a/internal/fleet/peers/drains.go
+++ b/internal/fleet/peers/drains.go
@@ -28,8 +28,8 @@
 // encodeDrain returns the body of a drain's lease: the time in ms over which the weight falls, and whether the drain is
 // complete.
 func encodeDrain(d drains.Drain) string {
-	b := binary.BigEndian.AppendUint32(nil, uint32(d.Over.Milliseconds()))
-	if d.Whole {
+	b := binary.BigEndian.AppendUint32(nil, uint32(d.Duration.Milliseconds()))
+	if d.Complete {
 		return string(append(b, 1))
 	}
 	return string(append(b, 0))
@@ -40,7 +40,7 @@
 	if len(body) != 5 {
 		return drains.Drain{} // a format of another version: drain at once
 	}
-	return drains.Drain{Over: time.Duration(binary.BigEndian.Uint32([]byte(body))) * time.Millisecond, Whole: body[4] == 1}
+	return drains.Drain{Duration: time.Duration(binary.BigEndian.Uint32([]byte(body))) * time.Millisecond, Complete: body[4] == 1}
 }
 
 // loggedDrain is what was logged about the drain of a slot cache.
@@ -59,12 +59,12 @@
 	now := p.now()
 	current := map[uint32]drains.Drain{}
 	for _, lease := range p.leases.All(now) {
-		if lease.Kind == notes.Release && int(lease.Owner) != p.releaseOwner {
+		if lease.Kind == notes.KindRelease && int(lease.Owner) != p.releaseOwner {
 			// The release has a new owner, which has not heard from the driver yet. Because the driver may still be running,
 			// its DriverTimeout starts anew.
 			p.releaseOwner, p.driverHeardAt = int(lease.Owner), now
 		}
-		if lease.Kind != notes.Cache {
+		if lease.Kind != notes.KindCache {
 			continue
 		}
 		d := decodeDrain(lease.Body)
@@ -73,13 +73,13 @@
 		if logged == nil {
 			logged = &loggedDrain{cacheName: p.cacheName(lease.ID)}
 			p.loggedDrains[lease.ID] = logged
-			slog.Info("slot cache "+logged.cacheName+" drained", "router", lease.Owner, "over", d.Over)
+			slog.Info("slot cache "+logged.cacheName+" drained", "router", lease.Owner, "over", d.Duration)
 		}
-		if complete := p.settings.Aside.Whole(lease.ID); complete && !logged.complete {
+		if complete := p.settings.Aside.IsDrained(lease.ID); complete && !logged.complete {
 			logged.complete = true
 			slog.Info("slot cache " + logged.cacheName + " gets nothing new")
-			d.Whole = true                                  // routers that learn of the drain from now on drain the slot cache at once
-			p.leases.Change(now, lease.Key, encodeDrain(d)) // fails if another router owns the lease; that one changes it itself
+			d.Complete = true                                // routers that learn of the drain from now on drain the slot cache at once
+			p.leases.SetBody(now, lease.Key, encodeDrain(d)) // fails if another router owns the lease; that one changes it itself
 		}
 	}
 	for id, logged := range p.loggedDrains {
@@ -105,25 +105,25 @@
 // falls to zero over rampTime. The drain ends by itself after maxDuration. The error is ErrNoCache or one of package
 // notes.
 func (p *Peers) DrainCache(name string, maxDuration, rampTime time.Duration) error {
-	server, ok := p.settings.Aside.Find(name)
+	server, ok := p.settings.Aside.FindByName(name)
 	if !ok {
 		return ErrNoCache
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.flush()
-	key := notes.Key{Kind: notes.Cache, ID: server.ID}
-	return p.leases.Ask(p.now(), key, p.settings.Agent.CacheGroups(server.Zone),
-		encodeDrain(drains.Drain{Over: rampTime}), maxDuration)
+	key := notes.Key{Kind: notes.KindCache, ID: server.ID}
+	return p.leases.Acquire(p.now(), key, p.settings.Agent.CacheGroups(server.Zone),
+		encodeDrain(drains.Drain{Duration: rampTime}), maxDuration)
 }
 
 // ActivateCache ends the drain of a slot cache, whichever router was asked to drain it.
 func (p *Peers) ActivateCache(name string) error {
-	server, listed := p.settings.Aside.Find(name)
+	server, listed := p.settings.Aside.FindByName(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.flush()
-	key := notes.Key{Kind: notes.Cache, ID: server.ID}
+	key := notes.Key{Kind: notes.KindCache, ID: server.ID}
 	if !listed { // the slot cache may still be drained
 		key.ID = 0
 		for id, logged := range p.loggedDrains {
@@ -135,7 +135,7 @@
 			return ErrNoCache
 		}
 	}
-	return p.leases.Undo(p.now(), key)
+	return p.leases.End(p.now(), key)
 }
 
 // reportDrains returns the drained slot caches for a Report. The caller holds p.mu.
@@ -143,23 +143,23 @@
 	now := p.now()
 	granted := map[notes.Key]bool{}
 	for _, lease := range p.leases.All(now) {
-		if lease.Kind == notes.Cache {
+		if lease.Kind == notes.KindCache {
 			granted[lease.Key] = true
-			list = append(list, Drained{Cache: p.cacheName(lease.ID), State: "out", Router: int(lease.Owner), Ends: lease.Ends.Seconds()})
+			list = append(list, Drained{Cache: p.cacheName(lease.ID), State: "out", Router: int(lease.Owner), Ends: lease.EndsIn.Seconds()})
 		}
 	}
-	for _, key := range p.leases.Kept() {
-		if key.Kind == notes.Cache && !granted[key] {
-			_, reason := p.leases.Stand(now, key)
+	for _, key := range p.leases.ManagedKeys() {
+		if key.Kind == notes.KindCache && !granted[key] {
+			_, reason := p.leases.Status(now, key)
 			list = append(list, Drained{Cache: p.cacheName(key.ID), State: "asking", Why: reason, Router: p.settings.Self,
-				Ends: p.leases.Ends(now, key).Seconds()})
+				Ends: p.leases.EndsIn(now, key).Seconds()})
 		}
 	}
 	return list
 }
 
 // releaseKey is the key of the fleet's release. There is one release at a time.
-var releaseKey = notes.Key{Kind: notes.Release, ID: 1}
+var releaseKey = notes.Key{Kind: notes.KindRelease, ID: 1}
 
 const (
 	// DriverTimeout is the time after which the driver of a release counts as gone if the router that owns the release has
@@ -230,17 +230,17 @@
 	current, known := p.runningRelease()
 	switch {
 	case !known && onlyExisting:
-		if lease, _, ok := p.leases.Get(now, releaseKey); ok && lease.Off {
+		if lease, _, ok := p.leases.Get(now, releaseKey); ok && lease.Ended {
 			return Running{}, ErrEnded
 		}
-		return Running{}, notes.ErrNone
+		return Running{}, notes.ErrNotFound
 	case !known:
-		if err := p.leases.Ask(now, releaseKey, []uint16{permit.Releases}, body, releaseDuration); err != nil {
+		if err := p.leases.Acquire(now, releaseKey, []uint16{permit.GroupReleases}, body, releaseDuration); err != nil {
 			return Running{}, err
 		}
 	case current.ID == id && current.By == driver ||
 		current.ID == id && current.Router == p.settings.Self && now-p.driverHeardAt > DriverTimeout:
-		if err := p.leases.Renew(now, releaseKey, body, releaseDuration); err != nil {
+		if err := p.leases.Extend(now, releaseKey, body, releaseDuration); err != nil {
 			return Running{}, err
 		}
 	default:
@@ -258,9 +258,9 @@
 	defer p.mu.Unlock()
 	defer p.flush()
 	if running, known := p.runningRelease(); !known || running.ID != id {
-		return notes.ErrNone
+		return notes.ErrNotFound
 	}
-	return p.leases.Undo(p.now(), releaseKey)
+	return p.leases.End(p.now(), releaseKey)
 }
 
 // runningRelease returns the release that this router knows or has requested. The caller holds p.mu.
@@ -268,13 +268,13 @@
 	now := p.now()
 	lease, _, granted := p.leases.Get(now, releaseKey)
 	body, owner, state := lease.Body, int(lease.Owner), "held"
-	if !granted || lease.Off {
-		requestedBody, requested := p.leases.Wanted(releaseKey)
+	if !granted || lease.Ended {
+		requestedBody, requested := p.leases.Body(releaseKey)
 		if !requested {
 			return Running{}, false
 		}
 		body, owner, state = requestedBody, p.settings.Self, "asking"
-		_, running.Why = p.leases.Stand(now, releaseKey)
+		_, running.Why = p.leases.Status(now, releaseKey)
 	}
 	parts := append(strings.SplitN(body, "\n", 3), "", "", "")
 	running.ID, running.By, running.Stage, running.Router, running.State = parts[0], parts[1], parts[2], owner, state
--- a/internal/fleet/peers/drains_test.go
+++ b/internal/fleet/peers/drains_test.go
@@ -26,14 +26,14 @@
 	random := uint64(0)
 	p, err := New(Settings{Listen: "127.0.0.1:1", Addrs: []string{"127.0.0.1:1", "127.0.0.1:2"},
 		Phase: func() view.Phase { return view.Serving }, Tell: func() view.Details { return view.Details{} },
-		Agent: &permit.Agent{Of: 2, Fleet: permit.Bound{Number: 1}, Caches: permit.Bound{Number: 1},
-			Chance: func() uint64 { random++; return random }},
+		Agent: &permit.Agent{RouterCount: 2, MaxRouters: permit.Bound{Number: 1}, MaxCaches: permit.Bound{Number: 1},
+			Random: func() uint64 { random++; return random }},
 		Out: func(bool) {}, Caches: func() []hoptiller.CacheState { return nil }, Aside: caches})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.startTime = time.Now().Add(-time.Hour)
-	p.settings.Agent.See = func() permit.Sight { return permit.Sight{Alive: 2, Caches: map[uint32]int{0x10: 0}} }
+	p.settings.Agent.ObserveFleet = func() permit.FleetState { return permit.FleetState{AliveCount: 2, CacheZones: map[uint32]int{0x10: 0}} }
 	return p
 }
 
@@ -44,7 +44,7 @@
 	currentDrains := p.currentDrains()
 	p.flush()
 	p.mu.Unlock()
-	p.settings.Aside.Set(p.now(), currentDrains)
+	p.settings.Aside.SetDrains(p.now(), currentDrains)
 }
 
 // A release has one driver. Another driver gets an error that names the first one, and can take over once the first one
@@ -55,7 +55,7 @@
 	if _, err := p.GoOnRelease("x", "", "", false); err == nil {
 		t.Error("a driver without a name was accepted")
 	}
-	if _, err := p.GoOnRelease("x", "a", "begins", true); !errors.Is(err, notes.ErrNone) {
+	if _, err := p.GoOnRelease("x", "a", "begins", true); !errors.Is(err, notes.ErrNotFound) {
 		t.Errorf("continued a release that nobody has started: %v", err)
 	}
 	if r, err := p.GoOnRelease("x", "a", "begins", false); err != nil || r.State != "asking" {
@@ -82,7 +82,7 @@
 	if r, err := p.GoOnRelease("x", "b", "forth 1/2", false); err != nil || r.By != "b" {
 		t.Errorf("the next driver: %+v, %v", r, err)
 	}
-	if err := p.EndRelease("y"); !errors.Is(err, notes.ErrNone) {
+	if err := p.EndRelease("y"); !errors.Is(err, notes.ErrNotFound) {
 		t.Errorf("ended another release: %v", err)
 	}
 	if err := p.EndRelease("x"); err != nil {
@@ -99,7 +99,7 @@
 	if err := p.DrainCache("s-1", time.Hour, 0); !errors.Is(err, ErrNoCache) {
 		t.Errorf("drained a slot cache that is not listed: %v", err)
 	}
-	if err := p.ActivateCache("s-00000010"); !errors.Is(err, notes.ErrNone) {
+	if err := p.ActivateCache("s-00000010"); !errors.Is(err, notes.ErrNotFound) {
 		t.Errorf("activated a slot cache that is not drained: %v", err)
 	}
 	if err := p.DrainCache("s-00000010", time.Hour, 0); err != nil {
@@ -110,10 +110,10 @@
 	}
 	p.tickOnce()
 	p.tickOnce()
-	if d := p.Report().Drains; len(d) != 1 || d[0].State != "out" || d[0].Cache != "s-00000010" || !p.settings.Aside.Whole(0x10) {
+	if d := p.Report().Drains; len(d) != 1 || d[0].State != "out" || d[0].Cache != "s-00000010" || !p.settings.Aside.IsDrained(0x10) {
 		t.Errorf("%+v", d)
 	}
-	var taken *notes.ErrTaken
+	var taken *notes.AlreadyManagedError
 	if err := p.DrainCache("s-00000010", time.Hour, 0); !errors.As(err, &taken) {
 		t.Errorf("drained twice: %v", err)
 	}
@@ -121,7 +121,7 @@
 	if err := p.ActivateCache("s-00000010"); err != nil {
 		t.Error(err)
 	}
-	if p.tickOnce(); len(p.Report().Drains) > 0 || p.settings.Aside.Whole(0x10) {
+	if p.tickOnce(); len(p.Report().Drains) > 0 || p.settings.Aside.IsDrained(0x10) {
 		t.Errorf("still drained: %+v", p.Report().Drains)
 	}
 }
--- a/internal/fleet/peers/many_test.go
+++ b/internal/fleet/peers/many_test.go
@@ -139,7 +139,7 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	t.Cleanup(func() { slog.SetDefault(logger) })
 	p := newOnlyVoter(t)
-	p.settings.Agent.Caches = permit.Bound{Number: caches}
+	p.settings.Agent.MaxCaches = permit.Bound{Number: caches}
 	var list []relay.Server
 	for i := range uint32(caches) {
 		list = append(list, relay.Server{Server: hoptiller.Server{ID: i + 1, Phase: hoptiller.Ready}, Name: fmt.Sprintf("s-%08x", i+1)})
@@ -158,7 +158,7 @@
 			drained++
 		}
 	}
-	if drained != caches || !p.settings.Aside.Whole(1) || !p.settings.Aside.Whole(caches) {
+	if drained != caches || !p.settings.Aside.IsDrained(1) || !p.settings.Aside.IsDrained(caches) {
 		t.Errorf("%d slot caches are drained, want %d", drained, caches)
 	}
 	for i := range list {
@@ -166,7 +166,7 @@
 			t.Fatal(err)
 		}
 	}
-	if p.tickOnce(); len(p.Report().Drains) > 0 || p.settings.Aside.Whole(1) {
+	if p.tickOnce(); len(p.Report().Drains) > 0 || p.settings.Aside.IsDrained(1) {
 		t.Errorf("%d slot caches are still drained", len(p.Report().Drains))
 	}
 }
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -35,7 +35,7 @@
 	Out   func(out bool) // called with true to send clients away and with false to accept them again; required with Agent
 
 	Caches func() []hoptiller.CacheState // returns the state of the slot caches as this router knows it; required with Agent
-	Aside  *drains.Caches                // drains slot caches; required with Agent
+	Aside  *drains.Filter                // drains slot caches; required with Agent
 
 	// Sighted, if set, is called with what any router, this one included, observed of slot caches: with a new observation when the
 	// datagram arrives that contains it, and with all observations that are kept at each tick.
@@ -69,13 +69,13 @@
 	serviceMu    sync.Mutex // held while this router goes out of service or returns; locked before mu
 	outOfService bool       // this router is out of service by its permit
 
-	leases        *notes.Keeper           // nil without Agent
+	leases        *notes.Manager          // nil without Agent
 	loggedDrains  map[uint32]*loggedDrain // by slot cache
 	driverHeardAt time.Duration           // when the driver of the release last called this router
 	releaseOwner  int                     // the router that this one knows as the owner of the release's lease; -1 if none
 
-	cachedState   *permit.Sight // last result of computeFleetState; nil if there is none since the last tick
-	cachedStateAt time.Duration // when it was computed
+	cachedState   *permit.FleetState // last result of computeFleetState; nil if there is none since the last tick
+	cachedStateAt time.Duration      // when it was computed
 
 	pendingMu           sync.Mutex
 	pendingObservations map[uint32]view.ObservedState // latest one of each slot cache since the last tick; nil if none
@@ -113,9 +113,9 @@
 		p.routerByAddr[addr] = i
 	}
 	if settings.Agent != nil {
-		settings.Agent.See = p.fleetState
+		settings.Agent.ObserveFleet = p.fleetState
 		settings.Agent.Start(0)
-		p.leases = notes.NewKeeper(0, settings.Agent)
+		p.leases = notes.NewManager(0, settings.Agent)
 	}
 	p.view = view.New(view.Config{Self: settings.Self, Of: len(settings.Addrs), Start: p.startTime, Seed: settings.Seed, Now: 0})
 	return p, nil
@@ -254,7 +254,7 @@
 		p.mu.Unlock()
 		p.apply(change)
 		if p.settings.Aside != nil {
-			p.settings.Aside.Set(p.now(), currentDrains)
+			p.settings.Aside.SetDrains(p.now(), currentDrains)
 		}
 		p.serviceMu.Unlock()
 		p.passOn(observations)
@@ -288,7 +288,7 @@
 	if p.settings.Agent == nil {
 		return
 	}
-	for datagrams := p.settings.Agent.Out(); len(datagrams) > 0; datagrams = p.settings.Agent.Out() {
+	for datagrams := p.settings.Agent.Outgoing(); len(datagrams) > 0; datagrams = p.settings.Agent.Outgoing() {
 		for _, d := range datagrams {
 			if d.To == p.settings.Self {
 				p.settings.Agent.Receive(p.now(), d.To, d.Body)
@@ -297,7 +297,7 @@
 			}
 		}
 	}
-	for _, d := range p.leases.Out() {
+	for _, d := range p.leases.Outgoing() {
 		if p.conn != nil {
 			p.conn.WriteToUDPAddrPort(d.Body, p.addrs[d.To])
 		}
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -87,9 +87,9 @@
 
 // The description of a holder names the group of its slot.
 func TestDescribeHolder(t *testing.T) {
-	for group, name := range map[uint16]string{permit.WholeFleet: "the fleet", permit.FirstZone + 2: "zone 2",
-		permit.AllCaches:          "slot caches",
-		permit.FirstCacheZone + 1: "slot caches of zone 1", permit.Releases: "releases"} {
+	for group, name := range map[uint16]string{permit.GroupAllRouters: "the fleet", permit.GroupFirstRouterZone + 2: "zone 2",
+		permit.GroupAllCaches:          "slot caches",
+		permit.GroupFirstCacheZone + 1: "slot caches of zone 1", permit.GroupReleases: "releases"} {
 		if got := describeHolder(permit.Holder{Router: 3, Slot: permit.Slot{Group: group, Number: 1}}); got !=
 			"router 3 has place 1 of "+name {
 			t.Errorf("got %q, want the group %q", got, name)
--- a/internal/fleet/peers/permits.go
+++ b/internal/fleet/peers/permits.go
@@ -17,7 +17,7 @@
 const fleetStateTTL = 50 * time.Millisecond
 
 // fleetState returns the state of the fleet by which this router decides on permit requests. The caller holds p.mu.
-func (p *Peers) fleetState() permit.Sight {
+func (p *Peers) fleetState() permit.FleetState {
 	if now := p.now(); p.cachedState == nil || now-p.cachedStateAt >= fleetStateTTL {
 		state := p.computeFleetState(now)
 		p.cachedState, p.cachedStateAt = &state, now
@@ -25,28 +25,28 @@
 	return *p.cachedState
 }
 
-func (p *Peers) computeFleetState(now time.Duration) permit.Sight {
-	state := permit.Sight{Down: map[int]bool{}, Young: map[int]bool{},
-		Zone: func(i int) int { return int(p.view.Members()[i].Details.Zone) - 1 }}
+func (p *Peers) computeFleetState(now time.Duration) permit.FleetState {
+	state := permit.FleetState{DownRouters: map[int]bool{}, RecentlyStarted: map[int]bool{},
+		RouterZone: func(i int) int { return int(p.view.Members()[i].Details.Zone) - 1 }}
 	for i := range p.view.Members() {
 		m := &p.view.Members()[i]
 		if m.Here() {
-			state.Alive++
+			state.AliveCount++
 		}
 		if m.Known() && (m.State != view.Alive || m.Phase != view.Serving) {
-			state.Down[i] = true
+			state.DownRouters[i] = true
 		}
-		if m.Known() && now-m.Since < permit.MostLease {
-			state.Young[i] = true
+		if m.Known() && now-m.Since < permit.MaxLease {
+			state.RecentlyStarted[i] = true
 		}
 	}
 	if p.settings.Caches == nil {
 		return state
 	}
-	state.Caches, state.CachesDown = map[uint32]int{}, map[uint32]bool{}
+	state.CacheZones, state.DownCaches = map[uint32]int{}, map[uint32]bool{}
 	for _, cache := range p.settings.Caches() {
-		if state.Caches[cache.ID] = cache.Zone; cache.Avoided {
-			state.CachesDown[cache.ID] = true
+		if state.CacheZones[cache.ID] = cache.Zone; cache.Avoided {
+			state.DownCaches[cache.ID] = true
 		}
 	}
 	return state
@@ -76,7 +76,7 @@
 	case held && !p.outOfService:
 		p.outOfService = true
 		return goOutOfService
-	case p.outOfService && (!held || agent.Left(now) < returnMargin):
+	case p.outOfService && (!held || agent.Remaining(now) < returnMargin):
 		p.outOfService = false
 		return returnToService
 	}
@@ -99,7 +99,7 @@
 func (p *Peers) returnPermit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settings.Agent.Return(p.now())
+	p.settings.Agent.Release(p.now())
 	p.flush()
 }
 
@@ -107,7 +107,7 @@
 // granted, this router is drained.
 func (p *Peers) GoOut() Out {
 	p.mu.Lock()
-	p.settings.Agent.Want(p.now())
+	p.settings.Agent.Acquire(p.now())
 	p.flush()
 	p.mu.Unlock()
 	return p.Out()
@@ -138,7 +138,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	agent := p.settings.Agent
-	agent.Fleet, agent.PerZone, agent.Caches, agent.OfZone = b.Fleet, b.Zone, b.Caches, b.CacheZone
+	agent.MaxRouters, agent.MaxRoutersPerZone, agent.MaxCaches, agent.MaxCachesPerZone = b.Fleet, b.Zone, b.Caches, b.CacheZone
 }
 
 // Out is the status of this router's permit, with the other permits that it knows as a voter.
@@ -156,14 +156,14 @@
 func describeHolder(h permit.Holder) string {
 	text := fmt.Sprintf("router %d has place %d of ", h.Router, h.Slot.Number)
 	switch group := h.Slot.Group; {
-	case group == permit.WholeFleet:
+	case group == permit.GroupAllRouters:
 		return text + "the fleet"
-	case group < permit.AllCaches:
-		return text + fmt.Sprintf("zone %d", group-permit.FirstZone)
-	case group == permit.AllCaches:
+	case group < permit.GroupAllCaches:
+		return text + fmt.Sprintf("zone %d", group-permit.GroupFirstRouterZone)
+	case group == permit.GroupAllCaches:
 		return text + "slot caches"
-	case group < permit.Releases:
-		return text + fmt.Sprintf("slot caches of zone %d", group-permit.FirstCacheZone)
+	case group < permit.GroupReleases:
+		return text + fmt.Sprintf("slot caches of zone %d", group-permit.GroupFirstCacheZone)
 	}
 	return text + "releases"
 }
@@ -175,10 +175,10 @@
 	status := p.settings.Agent.Status(p.now())
 	out := Out{
 		State: [...]string{
-			permit.Idle: "none", permit.Asking: "asking", permit.Holding: "out", permit.Ended: "ended",
+			permit.Idle: "none", permit.Requesting: "asking", permit.Holding: "out", permit.Ended: "ended",
 		}[status.Phase],
-		RemainingSeconds: status.Left.Seconds(), Why: status.Why, Most: p.settings.Agent.Fleet.Of(p.settings.Agent.Of),
-		Voter: status.Elector, Silent: status.Silent}
+		RemainingSeconds: status.Remaining.Seconds(), Why: status.Reason, Most: p.settings.Agent.MaxRouters.Limit(p.settings.Agent.RouterCount),
+		Voter: status.IsVoter, Silent: status.Silent}
 	for _, h := range status.Holders {
 		out.Holders = append(out.Holders, describeHolder(h))
 	}
--- a/internal/fleet/peers/report.go
+++ b/internal/fleet/peers/report.go
@@ -89,7 +89,7 @@
 		SendFailures: p.sendFailures, ProbesFailed: counts.ProbesFailed, Refutations: counts.Refutations, Stalls: counts.Stalls,
 		DuplicateCount: p.view.DuplicateCount()}
 	if p.leases != nil {
-		s.Undecodable += p.leases.Bad()
+		s.Undecodable += p.leases.RejectedDatagrams()
 	}
 	for i := range p.view.Members() {
 		m := &p.view.Members()[i]
--- a/internal/fleet/permit/acquirer.go
+++ b/internal/fleet/permit/acquirer.go
@@ -24,23 +24,23 @@
 
 // The phases.
 const (
-	Idle    Phase = iota
-	Asking        // it requests a permit and has none
-	Holding       // it holds the permit
-	Ended         // it has given the permit back, or lost it
+	Idle       Phase = iota
+	Requesting       // it requests a permit and has none
+	Holding          // it holds the permit
+	Ended            // it has given the permit back, or lost it
 )
 
-// Seeker acquires, renews and releases one permit. It serves for one time that something goes out of service; the next time
+// Acquirer acquires, renews and releases one permit. It serves for one time that something goes out of service; the next time
 // needs a new one.
-type Seeker struct {
+type Acquirer struct {
 	Permit uint64
 	Lease  time.Duration
 	// Choose returns the slots to request next: one in each group, none of which is known to be held. It returns none if a group
 	// has no such slot.
 	Choose func(held map[Slot]uint64) []Slot
-	// Chance returns a random number, at least 0 and less than 1, from which the delay before the next round is computed.
-	Chance func() float64
-	Drift  float64 // MaxClockDrift, or another fraction for a search
+	// Random returns a random number, at least 0 and less than 1, from which the delay before the next round is computed.
+	Random     func() float64
+	ClockDrift float64 // MaxClockDrift, or another fraction for a search
 	// NeverReleases is set if no slot is given back, not even those that a minority of the voters granted, because other routers
 	// rely on the permit.
 	NeverReleases bool
@@ -63,13 +63,13 @@
 
 // OutgoingRequest is a request and the voter that it is for.
 type OutgoingRequest struct {
-	To  int // index of the voter in the list of voters
-	Ask Ask
+	VoterIndex int // index of the voter in the list of voters
+	Request    Request
 }
 
-// NewSeeker returns an acquirer in the phase Idle.
-func NewSeeker(permit uint64, voterCount int, lease time.Duration) *Seeker {
-	return &Seeker{Permit: permit, Lease: lease, Drift: MaxClockDrift, voterCount: voterCount, held: map[Slot]uint64{}}
+// NewAcquirer returns an acquirer in the phase Idle.
+func NewAcquirer(permit uint64, voterCount int, lease time.Duration) *Acquirer {
+	return &Acquirer{Permit: permit, Lease: lease, ClockDrift: MaxClockDrift, voterCount: voterCount, held: map[Slot]uint64{}}
 }
 
 // Majority returns how many of the voters must grant a permit.
@@ -77,7 +77,7 @@
 
 // Phase returns the acquirer's phase now. Code that acts on a permit must call it each time: a process that was paused past the
 // end of its lease holds nothing.
-func (a *Seeker) Phase(now time.Duration) Phase {
+func (a *Acquirer) Phase(now time.Duration) Phase {
 	if a.phase == Holding && now >= a.heldUntil {
 		a.phase = Ended
 	}
@@ -85,32 +85,32 @@
 }
 
 // HeldUntil returns when a permit that is held expires unless it is renewed.
-func (a *Seeker) HeldUntil() time.Duration { return a.heldUntil }
+func (a *Acquirer) HeldUntil() time.Duration { return a.heldUntil }
 
 // Reason returns the reason of the latest refusal by a voter.
-func (a *Seeker) Reason() Reason { return a.reason }
+func (a *Acquirer) Reason() Reason { return a.reason }
 
 // Slots returns the slots that are held or requested.
-func (a *Seeker) Slots() []Slot { return a.slots }
+func (a *Acquirer) Slots() []Slot { return a.slots }
 
-// Out returns the requests that were queued since the last call.
-func (a *Seeker) Out() []OutgoingRequest {
+// Outgoing returns the requests that were queued since the last call.
+func (a *Acquirer) Outgoing() []OutgoingRequest {
 	queued := a.outgoing
 	a.outgoing = nil
 	return queued
 }
 
-// Want starts to request the permit.
-func (a *Seeker) Want(now time.Duration) {
+// Acquire starts to request the permit.
+func (a *Acquirer) Acquire(now time.Duration) {
 	if a.phase == Idle {
-		a.phase = Asking
+		a.phase = Requesting
 		a.startRound(now)
 	}
 }
 
-// Return gives the permit back, or stops requesting it. What is out of service under the permit must be back in service before
+// Release gives the permit back, or stops requesting it. What is out of service under the permit must be back in service before
 // the call.
-func (a *Seeker) Return(now time.Duration) {
+func (a *Acquirer) Release(now time.Duration) {
 	if a.phase == Idle || a.phase == Ended {
 		a.phase = Ended
 		return
@@ -122,19 +122,19 @@
 }
 
 // sendReleases queues a release of all slots that were requested before, for all voters.
-func (a *Seeker) sendReleases() {
+func (a *Acquirer) sendReleases() {
 	if a.NeverReleases {
 		return
 	}
 	for i := range a.voterCount {
-		a.outgoing = append(a.outgoing, OutgoingRequest{i, Ask{Permit: a.Permit, Seq: a.seq, Release: true}})
+		a.outgoing = append(a.outgoing, OutgoingRequest{i, Request{Permit: a.Permit, Seq: a.seq, Release: true}})
 	}
 }
 
 // startRound begins a round of requests. While the permit is not held it requests newly chosen slots, else it renews the same
 // slots.
-func (a *Seeker) startRound(now time.Duration) {
-	if a.phase == Asking {
+func (a *Acquirer) startRound(now time.Duration) {
+	if a.phase == Requesting {
 		if a.slots = a.Choose(a.held); len(a.slots) == 0 {
 			a.reason, a.nextSend = Held, now+a.retryDelay()
 			a.answered = nil
@@ -149,24 +149,24 @@
 }
 
 // retryDelay returns a random delay before the next round.
-func (a *Seeker) retryDelay() time.Duration {
-	return minRetryDelay + time.Duration(a.Chance()*float64(maxRetryDelay-minRetryDelay))
+func (a *Acquirer) retryDelay() time.Duration {
+	return minRetryDelay + time.Duration(a.Random()*float64(maxRetryDelay-minRetryDelay))
 }
 
 // sendRequests queues the round's request for all voters that have not replied.
-func (a *Seeker) sendRequests() {
+func (a *Acquirer) sendRequests() {
 	for i, done := range a.answered {
 		if !done {
 			a.outgoing = append(a.outgoing, OutgoingRequest{i,
-				Ask{Permit: a.Permit, Seq: a.seq, Slots: slices.Clone(a.slots), Duration: a.Lease}})
+				Request{Permit: a.Permit, Seq: a.seq, Slots: slices.Clone(a.slots), Duration: a.Lease}})
 		}
 	}
 }
 
 // Tick starts rounds and sends requests and releases that are due.
-func (a *Seeker) Tick(now time.Duration) {
+func (a *Acquirer) Tick(now time.Duration) {
 	switch a.Phase(now) {
-	case Asking:
+	case Requesting:
 		switch {
 		case a.answered == nil && now >= a.nextSend: // the delay after a failed round is over
 			a.startRound(now)
@@ -196,16 +196,16 @@
 	}
 }
 
-// Take handles a voter's reply. It ignores replies to other permits or earlier rounds.
-func (a *Seeker) Take(now time.Duration, from int, reply *Reply) {
+// Handle handles a voter's reply. It ignores replies to other permits or earlier rounds.
+func (a *Acquirer) Handle(now time.Duration, from int, reply *Reply) {
 	phase := a.Phase(now)
-	if reply.Permit != a.Permit || reply.Seq != a.seq || phase != Asking && phase != Holding ||
+	if reply.Permit != a.Permit || reply.Seq != a.seq || phase != Requesting && phase != Holding ||
 		from < 0 || from >= len(a.answered) || a.answered[from] {
 		return
 	}
 	a.answered[from] = true
-	if reply.Why != Granted {
-		if a.reason = reply.Why; reply.Why == Held {
+	if reply.Reason != Granted {
+		if a.reason = reply.Reason; reply.Reason == Held {
 			a.held[reply.Slot] = reply.Holder
 		}
 		a.refusals++
@@ -216,7 +216,7 @@
 	}
 	// The voters' leases began after the request was sent. By this clock the permit therefore lasts from the sending, less the
 	// time by which the clocks may differ.
-	if heldUntil := a.sent + time.Duration(float64(a.Lease)*(1-a.Drift)); heldUntil > now {
+	if heldUntil := a.sent + time.Duration(float64(a.Lease)*(1-a.ClockDrift)); heldUntil > now {
 		a.phase, a.heldUntil = Holding, max(a.heldUntil, heldUntil)
 	}
 }
--- a/internal/fleet/permit/agent.go
+++ b/internal/fleet/permit/agent.go
@@ -25,11 +25,11 @@
 
 // Numbers of the groups.
 const (
-	WholeFleet     uint16 = 0      // all routers
-	FirstZone      uint16 = 1      // routers of the first zone; the groups of further zones follow
-	AllCaches      uint16 = 0x4000 // all slot caches
-	FirstCacheZone uint16 = 0x4001 // slot caches of the first zone; the groups of further zones follow
-	Releases       uint16 = 0x8000 // releases; it has one slot, so that one release runs at a time
+	GroupAllRouters      uint16 = 0      // all routers
+	GroupFirstRouterZone uint16 = 1      // routers of the first zone; the groups of further zones follow
+	GroupAllCaches       uint16 = 0x4000 // all slot caches
+	GroupFirstCacheZone  uint16 = 0x4001 // slot caches of the first zone; the groups of further zones follow
+	GroupReleases        uint16 = 0x8000 // releases; it has one slot, so that one release runs at a time
 )
 
 // zoneGroup returns the group of a zone, where first is the group of the first zone. A negative zone is unknown and has no
@@ -46,52 +46,52 @@
 
 // isRouterGroup reports whether a group's permits are those of routers. Each router requests its own permit and no other
 // router's.
-func isRouterGroup(group uint16) bool { return group < AllCaches }
+func isRouterGroup(group uint16) bool { return group < GroupAllCaches }
 
 // Bound is the limit on how many members of a group may be out of service: a number, or a fraction of the group.
 type Bound struct {
-	Number int
-	Part   float64 // a fraction of the group, up to 1; if it is 0, Number applies
+	Number   int
+	Fraction float64 // a fraction of the group, up to 1; if it is 0, Number applies
 }
 
-// Of returns the limit for a group of n members. A fraction is rounded down, but to no less than one member.
-func (b Bound) Of(n int) int {
-	if b.Part <= 0 {
-		return min(b.Number, MostPlaces)
+// Limit returns the limit for a group of n members. A fraction is rounded down, but to no less than one member.
+func (b Bound) Limit(n int) int {
+	if b.Fraction <= 0 {
+		return min(b.Number, MaxSlots)
 	}
-	return min(max(1, int(b.Part*float64(n))), n, MostPlaces)
+	return min(max(1, int(b.Fraction*float64(n))), n, MaxSlots)
 }
 
-// Sight is the state of the fleet as a voter sees it at one moment.
-type Sight struct {
-	Alive int           // number of routers that are believed to be alive
-	Down  map[int]bool  // routers that don't serve, for whatever reason, by number
-	Young map[int]bool  // routers whose current incarnation has been known for less than the longest lease, by number
-	Zone  func(int) int // returns a router's zone; negative if it is unknown
+// FleetState is the state of the fleet as a voter sees it at one moment.
+type FleetState struct {
+	AliveCount      int           // number of routers that are believed to be alive
+	DownRouters     map[int]bool  // routers that don't serve, for whatever reason, by number
+	RecentlyStarted map[int]bool  // routers whose current incarnation has been known for less than the longest lease, by number
+	RouterZone      func(int) int // returns a router's zone; negative if it is unknown
 
-	Caches     map[uint32]int  // zones of the slot caches that discovery lists, by ID
-	CachesDown map[uint32]bool // listed slot caches that don't serve, by ID
+	CacheZones map[uint32]int  // zones of the slot caches that discovery lists, by ID
+	DownCaches map[uint32]bool // listed slot caches that don't serve, by ID
 }
 
 // Agent is one router's side of the permits: a voter, if the router is one, and the acquirers of the permits that it requests.
 type Agent struct {
-	Self, Of int           // this router's number, and how many routers there are
-	Zone     int           // this router's zone
-	Fleet    Bound         // how many routers may be out of service
-	PerZone  Bound         // how many routers of a zone; a fraction is one of the routers seen in it; the zero value sets no limit
-	Caches   Bound         // how many slot caches may be out of service
-	OfZone   Bound         // how many slot caches of a zone; the zero value sets no limit
-	See      func() Sight  // called by the voter
-	Chance   func() uint64 // returns random bits
+	Self, RouterCount int               // this router's number, and how many routers there are
+	Zone              int               // this router's zone
+	MaxRouters        Bound             // how many routers may be out of service
+	MaxRoutersPerZone Bound             // how many routers of a zone; a fraction is one of the routers seen in it; the zero value sets no limit
+	MaxCaches         Bound             // how many slot caches may be out of service
+	MaxCachesPerZone  Bound             // how many slot caches of a zone; the zero value sets no limit
+	ObserveFleet      func() FleetState // called by the voter
+	Random            func() uint64     // returns random bits
 
 	// VisitTakenSlots, if set, calls visit for each slot that another permit is known to hold, however this router has learned it.
 	VisitTakenSlots func(visit func(s Slot, permit uint64))
 
 	voters       []int
-	voter        *Elector           // nil if this router is no voter
-	ownAcquirer  *Seeker            // of this router's own permit; nil if none was ever requested
-	transferable map[uint64]*Seeker // acquirers of transferable permits, by permit
-	taken        map[Slot]uint64    // slots that are known to be taken since the last tick; nil until they are needed
+	voter        *Voter               // nil if this router is no voter
+	ownAcquirer  *Acquirer            // of this router's own permit; nil if none was ever requested
+	transferable map[uint64]*Acquirer // acquirers of transferable permits, by permit
+	taken        map[Slot]uint64      // slots that are known to be taken since the last tick; nil until they are needed
 	outgoing     []Datagram
 	rejected     uint64 // number of datagrams that were rejected
 }
@@ -104,7 +104,7 @@
 
 // Start prepares the agent, whose process starts at now by its own clock.
 func (a *Agent) Start(now time.Duration) {
-	a.voters = Voters(a.Of)
+	a.voters = Voters(a.RouterCount)
 	for _, i := range a.voters {
 		if i == a.Self {
 			a.voter = NewVoter(now)
@@ -121,11 +121,11 @@
 // permits, and those that are down without a permit, count against the limit, so that a fleet with many failures grants no
 // more. A voter that sees no more than half of the fleet alive grants nothing.
 func (a *Agent) mayGrant(permit uint64, s Slot) bool {
-	fleet := a.See()
+	fleet := a.ObserveFleet()
 	switch {
-	case fleet.Alive*2 <= a.Of:
+	case fleet.AliveCount*2 <= a.RouterCount:
 		return false
-	case s.Group == Releases:
+	case s.Group == GroupReleases:
 		return s.Number == 0
 	case !isRouterGroup(s.Group):
 		return a.mayGrantCache(&fleet, permit, s)
@@ -136,8 +136,8 @@
 			unavailable[routerOf(l.permit)] = true
 		}
 	}
-	for i := range fleet.Down {
-		if s.Group == WholeFleet || fleet.Zone != nil && isZoneGroup(s.Group, FirstZone, fleet.Zone(i)) {
+	for i := range fleet.DownRouters {
+		if s.Group == GroupAllRouters || fleet.RouterZone != nil && isZoneGroup(s.Group, GroupFirstRouterZone, fleet.RouterZone(i)) {
 			unavailable[i] = true
 		}
 	}
@@ -152,13 +152,13 @@
 // service, and afterwards while it grants nothing because it has just started. Without a majority no permit could be renewed in
 // that time, and all that depends on a permit would be lost. With fewer than three voters no majority could be kept, and the
 // result is true.
-func (a *Agent) keepsVoterMajority(fleet *Sight, unavailable map[int]bool, requester int) bool {
+func (a *Agent) keepsVoterMajority(fleet *FleetState, unavailable map[int]bool, requester int) bool {
 	if len(a.voters) < 3 || !slices.Contains(a.voters, requester) {
 		return true
 	}
 	silent := 1 // the requesting router
 	for _, i := range a.voters {
-		if i != requester && (unavailable[i] || fleet.Down[i] || fleet.Young[i]) {
+		if i != requester && (unavailable[i] || fleet.DownRouters[i] || fleet.RecentlyStarted[i]) {
 			silent++
 		}
 	}
@@ -168,49 +168,49 @@
 // groupLimit returns how many members of a group may be out of service.
 func (a *Agent) groupLimit(group uint16) int {
 	if !isRouterGroup(group) {
-		fleet := a.See()
+		fleet := a.ObserveFleet()
 		return a.cacheGroupLimit(&fleet, group)
 	}
-	if group == WholeFleet {
-		return a.Fleet.Of(a.Of)
+	if group == GroupAllRouters {
+		return a.MaxRouters.Limit(a.RouterCount)
 	}
-	if a.PerZone == (Bound{}) {
-		return MostPlaces
+	if a.MaxRoutersPerZone == (Bound{}) {
+		return MaxSlots
 	}
-	if a.PerZone.Part <= 0 {
-		return a.PerZone.Of(a.Of)
+	if a.MaxRoutersPerZone.Fraction <= 0 {
+		return a.MaxRoutersPerZone.Limit(a.RouterCount)
 	}
-	fleet, n := a.See(), 0
-	for i := range a.Of {
-		if fleet.Zone != nil && isZoneGroup(group, FirstZone, fleet.Zone(i)) {
+	fleet, n := a.ObserveFleet(), 0
+	for i := range a.RouterCount {
+		if fleet.RouterZone != nil && isZoneGroup(group, GroupFirstRouterZone, fleet.RouterZone(i)) {
 			n++
 		}
 	}
-	return a.PerZone.Of(max(1, n)) // a zone in which no router has been seen yet counts as one router
+	return a.MaxRoutersPerZone.Limit(max(1, n)) // a zone in which no router has been seen yet counts as one router
 }
 
 // groups returns the groups that limit this router.
 func (a *Agent) groups() []uint16 {
-	groups := []uint16{WholeFleet}
-	if zone, ok := zoneGroup(FirstZone, a.Zone); ok && a.PerZone != (Bound{}) {
+	groups := []uint16{GroupAllRouters}
+	if zone, ok := zoneGroup(GroupFirstRouterZone, a.Zone); ok && a.MaxRoutersPerZone != (Bound{}) {
 		groups = append(groups, zone)
 	}
 	return groups
 }
 
-// Want starts to acquire a permit for this router and reports whether it did so. It does nothing while a permit is requested or
+// Acquire starts to acquire a permit for this router and reports whether it did so. It does nothing while a permit is requested or
 // held already.
-func (a *Agent) Want(now time.Duration) bool {
+func (a *Agent) Acquire(now time.Duration) bool {
 	if a.Active(now) {
 		return false
 	}
-	permit := a.Chance()<<16 | uint64(a.Self)
-	a.ownAcquirer = NewSeeker(permit, len(a.voters), MostLease)
+	permit := a.Random()<<16 | uint64(a.Self)
+	a.ownAcquirer = NewAcquirer(permit, len(a.voters), MaxLease)
 	groups := a.groups()
 	a.ownAcquirer.Choose = func(held map[Slot]uint64) []Slot { return a.chooseSlots(permit, groups, held, nil) }
-	r := rand.New(rand.NewPCG(a.Chance(), permit))
-	a.ownAcquirer.Chance = r.Float64
-	a.ownAcquirer.Want(now)
+	r := rand.New(rand.NewPCG(a.Random(), permit))
+	a.ownAcquirer.Random = r.Float64
+	a.ownAcquirer.Acquire(now)
 	a.flush()
 	return true
 }
@@ -218,7 +218,7 @@
 // Active reports whether this router's own permit is requested or held.
 func (a *Agent) Active(now time.Duration) bool {
 	phase := a.Phase(now)
-	return phase == Asking || phase == Holding
+	return phase == Requesting || phase == Holding
 }
 
 // Phase returns the phase of this router's own permit.
@@ -229,19 +229,19 @@
 	return a.ownAcquirer.Phase(now)
 }
 
-// Left returns how long this router's own permit lasts if it isn't renewed; 0 if it is not held.
-func (a *Agent) Left(now time.Duration) time.Duration {
+// Remaining returns how long this router's own permit lasts if it isn't renewed; 0 if it is not held.
+func (a *Agent) Remaining(now time.Duration) time.Duration {
 	if a.Phase(now) != Holding {
 		return 0
 	}
 	return a.ownAcquirer.HeldUntil() - now
 }
 
-// Return gives this router's own permit back, or stops requesting it. A router that was out of service must serve again before
+// Release gives this router's own permit back, or stops requesting it. A router that was out of service must serve again before
 // the call.
-func (a *Agent) Return(now time.Duration) {
+func (a *Agent) Release(now time.Duration) {
 	if a.ownAcquirer != nil {
-		a.ownAcquirer.Return(now)
+		a.ownAcquirer.Release(now)
 		a.flush()
 	}
 }
@@ -270,16 +270,16 @@
 }
 
 // send queues an acquirer's requests as datagrams.
-func (a *Agent) send(acquirer *Seeker) {
-	for _, request := range acquirer.Out() {
-		to := a.voters[request.To]
-		a.outgoing = append(a.outgoing, Datagram{to, AppendRequest(uint16(a.Self), uint16(to), &request.Ask)})
+func (a *Agent) send(acquirer *Acquirer) {
+	for _, request := range acquirer.Outgoing() {
+		to := a.voters[request.VoterIndex]
+		a.outgoing = append(a.outgoing, Datagram{to, AppendRequest(uint16(a.Self), uint16(to), &request.Request)})
 	}
 }
 
-// Out returns the datagrams that were queued since the last call. The caller passes those that are for this router itself to
+// Outgoing returns the datagrams that were queued since the last call. The caller passes those that are for this router itself to
 // Receive.
-func (a *Agent) Out() []Datagram {
+func (a *Agent) Outgoing() []Datagram {
 	queued := a.outgoing
 	a.outgoing = nil
 	return queued
@@ -297,7 +297,7 @@
 		func(s Slot) bool { return isRouterGroup(s.Group) })):
 		a.rejected++ // a router's own permit may be requested and given back by that router alone
 	case m.Request != nil && a.voter != nil:
-		reply := a.voter.Take(now, m.Request)
+		reply := a.voter.Handle(now, m.Request)
 		a.outgoing = append(a.outgoing, Datagram{from, AppendReply(uint16(a.Self), m.From, &reply)})
 	case m.Reply != nil:
 		acquirer := a.ownAcquirer
@@ -305,7 +305,7 @@
 			acquirer = other
 		}
 		if i := slices.Index(a.voters, from); i >= 0 && acquirer != nil {
-			acquirer.Take(now, i, m.Reply)
+			acquirer.Handle(now, i, m.Reply)
 			a.flush()
 		}
 	}
@@ -320,18 +320,18 @@
 // Status is the state of the permits at this router, for operators.
 type Status struct {
 	Phase             Phase         // of this router's own permit
-	Left              time.Duration // until this router's own permit expires if it isn't renewed; 0 if it is not held
-	Why               string        // reason of the latest refusal, while the permit is requested
-	Elector           bool          // this router is a voter
+	Remaining         time.Duration // until this router's own permit expires if it isn't renewed; 0 if it is not held
+	Reason            string        // reason of the latest refusal, while the permit is requested
+	IsVoter           bool          // this router is a voter
 	Silent            bool          // this router is a voter that has just started and grants nothing yet
 	Holders           []Holder      // known to this voter
 	RejectedDatagrams uint64
 }
 
 // refusalReason describes why an acquirer that requests a permit has not got it yet.
-func refusalReason(acquirer *Seeker) string {
+func refusalReason(acquirer *Acquirer) string {
 	for slot, permit := range acquirer.held { // any one of them
-		if !isRouterGroup(slot.Group) && slot.Group != Releases {
+		if !isRouterGroup(slot.Group) && slot.Group != GroupReleases {
 			return fmt.Sprintf("%s: slot cache s-%08x has place %d", Held, CacheID(permit), slot.Number)
 		}
 		return fmt.Sprintf("%s: router %d has place %d", Held, routerOf(permit), slot.Number)
@@ -344,9 +344,9 @@
 
 // Status returns the state of the permits at this router.
 func (a *Agent) Status(now time.Duration) (s Status) {
-	s = Status{Phase: a.Phase(now), Left: a.Left(now), Elector: a.voter != nil, RejectedDatagrams: a.rejected}
-	if a.ownAcquirer != nil && s.Phase == Asking {
-		s.Why = refusalReason(a.ownAcquirer)
+	s = Status{Phase: a.Phase(now), Remaining: a.Remaining(now), IsVoter: a.voter != nil, RejectedDatagrams: a.rejected}
+	if a.ownAcquirer != nil && s.Phase == Requesting {
+		s.Reason = refusalReason(a.ownAcquirer)
 	}
 	if a.voter != nil {
 		s.Silent = now < a.voter.silentUntil
--- a/internal/fleet/permit/agent_test.go
+++ b/internal/fleet/permit/agent_test.go
@@ -27,13 +27,15 @@
 	f := &testFleet{alive: n, down: map[int]bool{}, isolated: map[int]bool{}}
 	seed := uint64(0)
 	for i := range n {
-		a := &Agent{Self: i, Of: n, Zone: i % 2, Fleet: fleet, PerZone: zone,
-			See:    func() Sight { return Sight{Alive: f.alive, Down: f.down, Zone: func(i int) int { return i % 2 }} },
-			Chance: func() uint64 { seed += 0x9e3779b97f4a7c15; return seed }}
+		a := &Agent{Self: i, RouterCount: n, Zone: i % 2, MaxRouters: fleet, MaxRoutersPerZone: zone,
+			ObserveFleet: func() FleetState {
+				return FleetState{AliveCount: f.alive, DownRouters: f.down, RouterZone: func(i int) int { return i % 2 }}
+			},
+			Random: func() uint64 { seed += 0x9e3779b97f4a7c15; return seed }}
 		a.Start(0)
 		f.agents = append(f.agents, a)
 	}
-	f.run(MostLease) // voters grant nothing until then
+	f.run(MaxLease) // voters grant nothing until then
 	return f
 }
 
@@ -48,7 +50,7 @@
 		holders := 0
 		for i, a := range f.agents {
 			a.Tick(f.now)
-			for _, d := range a.Out() {
+			for _, d := range a.Outgoing() {
 				if !f.isolated[i] && !f.isolated[d.To] || i == d.To {
 					f.inFlight = append(f.inFlight, sentDatagram{f.now + 20*time.Millisecond, i, d.To, d.Body})
 				}
@@ -80,20 +82,20 @@
 		fleet, zone Bound
 		maxHolders  int
 	}{"one": {5, Bound{Number: 1}, Bound{}, 1}, "two": {7, Bound{Number: 2}, Bound{}, 2},
-		"a third":                        {9, Bound{Part: 0.34}, Bound{}, 3},
+		"a third":                        {9, Bound{Fraction: 0.34}, Bound{}, 3},
 		"one per zone":                   {6, Bound{Number: 3}, Bound{Number: 1}, 2},
-		"half of a zone, and two voters": {8, Bound{Number: 8}, Bound{Part: 0.5}, 3},
+		"half of a zone, and two voters": {8, Bound{Number: 8}, Bound{Fraction: 0.5}, 3},
 		"a fleet of two":                 {2, Bound{Number: 1}, Bound{}, 1}} {
 		f := newTestFleet(c.n, c.fleet, c.zone)
 		for _, a := range f.agents {
-			a.Want(f.now)
+			a.Acquire(f.now)
 		}
 		served, maxHolders := map[int]bool{}, 0
 		for range 10 * c.n {
 			maxHolders = max(maxHolders, f.run(4*time.Second))
 			for _, i := range f.holders() {
 				served[i] = true
-				f.agents[i].Return(f.now)
+				f.agents[i].Release(f.now)
 			}
 		}
 		if maxHolders != c.maxHolders || len(served) != c.n {
@@ -106,20 +108,20 @@
 // before another router gets one.
 func TestIsolatedHolderLosesPermit(t *testing.T) {
 	f := newTestFleet(5, Bound{Number: 1}, Bound{})
-	f.agents[3].Want(f.now)
+	f.agents[3].Acquire(f.now)
 	f.run(time.Minute)
 	if h := f.holders(); !reflect.DeepEqual(h, []int{3}) {
 		t.Fatalf("holders after a minute: %v", h)
 	}
 	f.isolated[3] = true
-	f.agents[4].Want(f.now)
-	if maxHolders := f.run(2 * MostLease); maxHolders > 1 {
+	f.agents[4].Acquire(f.now)
+	if maxHolders := f.run(2 * MaxLease); maxHolders > 1 {
 		t.Errorf("%d routers held a permit at once", maxHolders)
 	}
 	if h := f.holders(); !reflect.DeepEqual(h, []int{4}) {
 		t.Errorf("holders at the end: %v", h)
 	}
-	if remaining := f.agents[4].Left(f.now); remaining <= 0 || remaining > MostLease {
+	if remaining := f.agents[4].Remaining(f.now); remaining <= 0 || remaining > MaxLease {
 		t.Errorf("the permit lasts for another %v", remaining)
 	}
 }
@@ -134,17 +136,17 @@
 	} {
 		f := newTestFleet(5, Bound{Number: 1}, Bound{})
 		fail(f)
-		f.agents[4].Want(f.now)
+		f.agents[4].Acquire(f.now)
 		if f.run(10*time.Second) > 0 {
 			t.Errorf("%s: the router got a permit", name)
 		}
-		if s := f.agents[4].Status(f.now); s.Phase != Asking || s.Why == "" {
+		if s := f.agents[4].Status(f.now); s.Phase != Requesting || s.Reason == "" {
 			t.Errorf("%s: %+v", name, s)
 		}
 	}
 	f := newTestFleet(5, Bound{Number: 1}, Bound{})
 	f.down[4] = true // the requesting router is draining already
-	if f.agents[4].Want(f.now); f.run(5*time.Second) != 1 {
+	if f.agents[4].Acquire(f.now); f.run(5*time.Second) != 1 {
 		t.Error("a router that is down itself got no permit")
 	}
 }
@@ -172,16 +174,16 @@
 			f.down[i] = true
 		}
 		for _, a := range f.agents {
-			a.See = func() Sight { return Sight{Alive: f.alive, Down: f.down, Young: young} }
+			a.ObserveFleet = func() FleetState { return FleetState{AliveCount: f.alive, DownRouters: f.down, RecentlyStarted: young} }
 		}
-		f.agents[c.requester].Want(f.now)
+		f.agents[c.requester].Acquire(f.now)
 		if granted := f.run(5*time.Second) == 1; granted != c.granted {
 			t.Errorf("%s: granted %v", name, granted)
 		}
 	}
 	f := newTestFleet(7, Bound{Number: 7}, Bound{})
 	for _, a := range f.agents {
-		a.Want(f.now)
+		a.Acquire(f.now)
 	}
 	if maxHolders := f.run(20 * time.Second); maxHolders != 4 { // two that are no voters, and two of five voters
 		t.Errorf("%d routers held a permit at once, want 4", maxHolders)
@@ -191,9 +193,9 @@
 // A datagram decodes to the message that was encoded, and a corrupt one is rejected. Whatever arrives, an agent answers the
 // sender alone, with short datagrams.
 func FuzzParse(f *testing.F) {
-	request := &Ask{Permit: 7<<16 | 3, Seq: 9, Slots: []Slot{{0, 1}, {2, 0}}, Duration: MostLease}
-	reply := &Reply{Permit: 7, Seq: 1, Why: Held, Slot: Slot{1, 2}, Holder: 5}
-	for _, b := range [][]byte{AppendRequest(1, 2, request), AppendRequest(1, 2, &Ask{Permit: 1, Seq: 2, Release: true}),
+	request := &Request{Permit: 7<<16 | 3, Seq: 9, Slots: []Slot{{0, 1}, {2, 0}}, Duration: MaxLease}
+	reply := &Reply{Permit: 7, Seq: 1, Reason: Held, Slot: Slot{1, 2}, Holder: 5}
+	for _, b := range [][]byte{AppendRequest(1, 2, request), AppendRequest(1, 2, &Request{Permit: 1, Seq: 2, Release: true}),
 		AppendReply(3, 4, reply)} {
 		m, err := Parse(b)
 		if err != nil || m.Request == nil == (m.Reply == nil) {
@@ -214,9 +216,9 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		agent := newTestFleet(2, Bound{Number: 1}, Bound{}).agents[0]
-		agent.Receive(MostLease, 1, b)
-		agent.Receive(MostLease, 1, appendChecksum(b))
-		for _, d := range agent.Out() {
+		agent.Receive(MaxLease, 1, b)
+		agent.Receive(MaxLease, 1, appendChecksum(b))
+		for _, d := range agent.Outgoing() {
 			if d.To != 1 || len(d.Body) > 256 {
 				t.Errorf("%d bytes to router %d", len(d.Body), d.To)
 			}
--- a/internal/fleet/permit/clone.go
+++ b/internal/fleet/permit/clone.go
@@ -8,14 +8,14 @@
 )
 
 // Clone returns a copy of the voter, for model checking.
-func (v *Elector) Clone() *Elector {
+func (v *Voter) Clone() *Voter {
 	c := *v
 	c.leases, c.lastSeqs = maps.Clone(v.leases), maps.Clone(v.lastSeqs)
 	return &c
 }
 
 // Clone returns a copy of the acquirer, for model checking.
-func (a *Seeker) Clone() *Seeker {
+func (a *Acquirer) Clone() *Acquirer {
 	c := *a
 	c.slots, c.answered, c.held, c.outgoing = slices.Clone(a.slots), slices.Clone(a.answered), maps.Clone(a.held),
 		slices.Clone(a.outgoing)
@@ -23,7 +23,7 @@
 }
 
 // AppendState appends an encoding of all state on which the voter's replies depend. Times are encoded relative to now.
-func (v *Elector) AppendState(b []byte, now time.Duration) []byte {
+func (v *Voter) AppendState(b []byte, now time.Duration) []byte {
 	b = binary.AppendVarint(b, int64(max(0, v.silentUntil-now)))
 	var lines []string
 	for s, l := range v.leases {
@@ -46,7 +46,7 @@
 }
 
 // AppendState appends an encoding of all state on which the acquirer's actions depend. Times are encoded relative to now.
-func (a *Seeker) AppendState(b []byte, now time.Duration) []byte {
+func (a *Acquirer) AppendState(b []byte, now time.Duration) []byte {
 	for _, x := range []int64{int64(a.Phase(now)), int64(a.seq), int64(now - a.sent), int64(now - a.nextSend),
 		int64(max(0, a.heldUntil-now)), int64(a.grants), int64(a.refusals), int64(a.remainingReleases)} {
 		b = binary.AppendVarint(b, x)
--- a/internal/fleet/permit/slots.go
+++ b/internal/fleet/permit/slots.go
@@ -36,7 +36,7 @@
 	limit := a.groupLimit(group)
 	first := 0
 	if len(held) > maxOrderedTries && limit > 0 {
-		first = int(a.Chance() % uint64(limit))
+		first = int(a.Random() % uint64(limit))
 	}
 	for i := range limit {
 		next := Slot{group, uint16((first + i) % limit)}
@@ -66,7 +66,7 @@
 		a.VisitTakenSlots(func(s Slot, permit uint64) { taken[s] = permit })
 	}
 	for permit, acquirer := range a.transferable {
-		if acquirer.phase == Holding || acquirer.phase == Asking && acquirer.answered != nil {
+		if acquirer.phase == Holding || acquirer.phase == Requesting && acquirer.answered != nil {
 			for _, s := range acquirer.slots {
 				taken[s] = permit
 			}
--- a/internal/fleet/permit/slots_test.go
+++ b/internal/fleet/permit/slots_test.go
@@ -9,10 +9,10 @@
 // Each slot of each group decodes to what was encoded. Slots with numbers up to 255 are encoded as in earlier versions, which
 // knew no larger numbers.
 func TestSlotEncoding(t *testing.T) {
-	groups := []uint16{WholeFleet, FirstZone, FirstZone + MaxZones - 1, AllCaches, FirstCacheZone,
-		FirstCacheZone + MaxZones - 1, Releases}
+	groups := []uint16{GroupAllRouters, GroupFirstRouterZone, GroupFirstRouterZone + MaxZones - 1, GroupAllCaches, GroupFirstCacheZone,
+		GroupFirstCacheZone + MaxZones - 1, GroupReleases}
 	for _, group := range groups {
-		for number := range uint16(MostPlaces) {
+		for number := range uint16(MaxSlots) {
 			s := Slot{Group: group, Number: number}
 			b := AppendSlot(nil, s)
 			if got := ReadSlot(b); got != s || len(b) != SlotBytes {
@@ -28,7 +28,7 @@
 // Each zone has a group of its own, up to the last one, which the further zones share. No group number has bits that an
 // encoded slot uses for its number.
 func TestZoneGroups(t *testing.T) {
-	for _, first := range []uint16{FirstZone, FirstCacheZone} {
+	for _, first := range []uint16{GroupFirstRouterZone, GroupFirstCacheZone} {
 		for zone, want := range map[int]uint16{0: first, 5: first + 5, MaxZones - 1: first + MaxZones - 1,
 			MaxZones: first + MaxZones - 1, 1 << 20: first + MaxZones - 1} {
 			if got, ok := zoneGroup(first, zone); got != want || !ok || !isZoneGroup(want, first, zone) || got&numberMask != 0 {
@@ -47,9 +47,9 @@
 		bound Bound
 		n     int
 		want  int
-	}{{Bound{Number: 1024}, 2000, 1024}, {Bound{Number: MostPlaces + 1}, 60000, MostPlaces}, {Bound{Part: 0.5}, 2048, 1024},
-		{Bound{Part: 1}, 60000, MostPlaces}, {Bound{Part: 0.001}, 10, 1}, {Bound{Part: 1}, 3, 3}} {
-		if got := c.bound.Of(c.n); got != c.want {
+	}{{Bound{Number: 1024}, 2000, 1024}, {Bound{Number: MaxSlots + 1}, 60000, MaxSlots}, {Bound{Fraction: 0.5}, 2048, 1024},
+		{Bound{Fraction: 1}, 60000, MaxSlots}, {Bound{Fraction: 0.001}, 10, 1}, {Bound{Fraction: 1}, 3, 3}} {
+		if got := c.bound.Limit(c.n); got != c.want {
 			t.Errorf("limit of %+v for %d members is %d, want %d", c.bound, c.n, got, c.want)
 		}
 	}
@@ -61,13 +61,13 @@
 	const bound, requested = 1024, 1100
 	f := newTestFleet(5, Bound{Number: 1}, Bound{})
 	for _, a := range f.agents {
-		a.Caches = Bound{Number: bound}
+		a.MaxCaches = Bound{Number: bound}
 	}
 	a := f.agents[1]
 	var permits []uint64
 	for i := range uint32(requested) {
 		permits = append(permits, a.NewPermit(i))
-		a.AcquireTransferable(f.now, permits[i], []uint16{AllCaches})
+		a.AcquireTransferable(f.now, permits[i], []uint16{GroupAllCaches})
 	}
 	f.run(5 * time.Second)
 	holders := map[Slot]uint64{}
@@ -89,7 +89,7 @@
 	const routers, bound, minHolders = 120, 100, 90
 	f := newTestFleet(routers, Bound{Number: bound}, Bound{})
 	for _, a := range f.agents {
-		a.Want(f.now)
+		a.Acquire(f.now)
 	}
 	maxHolders := f.run(time.Minute)
 	if holding := len(f.holders()); holding < minHolders || maxHolders > bound {
--- a/internal/fleet/permit/transferable.go
+++ b/internal/fleet/permit/transferable.go
@@ -12,7 +12,7 @@
 
 // NewPermit returns a new permit number for a slot cache or a release.
 func (a *Agent) NewPermit(id uint32) uint64 {
-	return a.Chance()<<48 | uint64(id)<<16 | uint64(a.Self)
+	return a.Random()<<48 | uint64(id)<<16 | uint64(a.Self)
 }
 
 // CacheID returns the ID of the slot cache that a permit of the slot caches' groups is for.
@@ -20,8 +20,8 @@
 
 // CacheGroups returns the groups that limit a slot cache of a zone; a negative zone is unknown.
 func (a *Agent) CacheGroups(zone int) []uint16 {
-	groups := []uint16{AllCaches}
-	if group, ok := zoneGroup(FirstCacheZone, zone); ok && a.OfZone != (Bound{}) {
+	groups := []uint16{GroupAllCaches}
+	if group, ok := zoneGroup(GroupFirstCacheZone, zone); ok && a.MaxCachesPerZone != (Bound{}) {
 		groups = append(groups, group)
 	}
 	return groups
@@ -42,14 +42,14 @@
 // startTransferable creates the acquirer of a transferable permit and sends its first requests.
 func (a *Agent) startTransferable(now time.Duration, permit uint64, seq uint32, neverReleases bool,
 	choose func(map[Slot]uint64) []Slot) {
-	acquirer := NewSeeker(permit, len(a.voters), MostLease)
+	acquirer := NewAcquirer(permit, len(a.voters), MaxLease)
 	acquirer.seq, acquirer.Choose, acquirer.NeverReleases = seq, choose, neverReleases
-	acquirer.Chance = rand.New(rand.NewPCG(a.Chance(), permit)).Float64
+	acquirer.Random = rand.New(rand.NewPCG(a.Random(), permit)).Float64
 	if a.transferable == nil {
-		a.transferable = map[uint64]*Seeker{}
+		a.transferable = map[uint64]*Acquirer{}
 	}
 	a.transferable[permit] = acquirer
-	acquirer.Want(now)
+	acquirer.Acquire(now)
 	a.flush()
 }
 
@@ -67,7 +67,7 @@
 	switch phase = acquirer.Phase(now); phase {
 	case Holding:
 		remaining = acquirer.HeldUntil() - now
-	case Asking:
+	case Requesting:
 		reason = refusalReason(acquirer)
 	}
 	return phase, remaining, acquirer.Slots(), reason
@@ -75,15 +75,15 @@
 
 // mayGrantCache reports whether a new permit of a slot cache is within the limit of the slot's group. Slot caches that are down
 // count against the limit, whatever the reason.
-func (a *Agent) mayGrantCache(fleet *Sight, permit uint64, s Slot) bool {
+func (a *Agent) mayGrantCache(fleet *FleetState, permit uint64, s Slot) bool {
 	unavailable := map[uint32]bool{}
 	for held, l := range a.voter.leases {
 		if held.Group == s.Group {
 			unavailable[CacheID(l.permit)] = true
 		}
 	}
-	for id := range fleet.CachesDown {
-		if s.Group == AllCaches || isZoneGroup(s.Group, FirstCacheZone, fleet.Caches[id]) {
+	for id := range fleet.DownCaches {
+		if s.Group == GroupAllCaches || isZoneGroup(s.Group, GroupFirstCacheZone, fleet.CacheZones[id]) {
 			unavailable[id] = true
 		}
 	}
@@ -93,20 +93,20 @@
 }
 
 // cacheGroupLimit returns how many members of a group of slot caches may be out of service, or 1 for the group of releases.
-func (a *Agent) cacheGroupLimit(fleet *Sight, group uint16) int {
+func (a *Agent) cacheGroupLimit(fleet *FleetState, group uint16) int {
 	switch {
-	case group == Releases:
+	case group == GroupReleases:
 		return 1
-	case group == AllCaches:
-		return a.Caches.Of(len(fleet.Caches))
-	case a.OfZone == (Bound{}):
-		return MostPlaces
+	case group == GroupAllCaches:
+		return a.MaxCaches.Limit(len(fleet.CacheZones))
+	case a.MaxCachesPerZone == (Bound{}):
+		return MaxSlots
 	}
 	n := 0
-	for _, zone := range fleet.Caches {
-		if isZoneGroup(group, FirstCacheZone, zone) {
+	for _, zone := range fleet.CacheZones {
+		if isZoneGroup(group, GroupFirstCacheZone, zone) {
 			n++
 		}
 	}
-	return a.OfZone.Of(n)
+	return a.MaxCachesPerZone.Limit(n)
 }
--- a/internal/fleet/permit/voter.go
+++ b/internal/fleet/permit/voter.go
@@ -12,8 +12,8 @@
 
 import "time"
 
-// MostLease is the longest time that a permit lasts without renewal.
-const MostLease = 10 * time.Second
+// MaxLease is the longest time that a permit lasts without renewal.
+const MaxLease = 10 * time.Second
 
 // Slot identifies one slot of a group.
 type Slot struct {
@@ -21,8 +21,8 @@
 	Number uint16 // from 0 to K-1 in a group of K slots; less than MostPlaces
 }
 
-// Ask asks a voter to grant, renew or release a permit. An acquirer sends it to each voter.
-type Ask struct {
+// Request asks a voter to grant, renew or release a permit. An acquirer sends it to each voter.
+type Request struct {
 	Permit   uint64 // a random ID, new for each time that something goes out of service
 	Seq      uint32 // rises with each request for this permit
 	Slots    []Slot
@@ -54,13 +54,13 @@
 type Reply struct {
 	Permit uint64
 	Seq    uint32
-	Why    Reason
+	Reason Reason
 	Slot   Slot   // the slot to which the reason Held or LimitReached applies
 	Holder uint64 // the permit that holds Slot
 }
 
-// Elector is one of the voters whose majority grants permits. The zero value is not usable.
-type Elector struct {
+// Voter is one of the voters whose majority grants permits. The zero value is not usable.
+type Voter struct {
 	silentUntil time.Duration // the voter refuses all requests before this time
 	leases      map[Slot]lease
 	lastSeqs    map[uint64]seqRecord // by permit
@@ -85,19 +85,19 @@
 }
 
 // NewVoter returns a voter whose process starts at now, by the voter's own clock.
-func NewVoter(now time.Duration) *Elector { return NewElectorOf(now, MostLease, MostLease) }
+func NewVoter(now time.Duration) *Voter { return NewVoterWithDurations(now, MaxLease, MaxLease) }
 
-// NewElectorOf returns a voter with another longest lease and another time for which it grants nothing after the start.
+// NewVoterWithDurations returns a voter with another longest lease and another time for which it grants nothing after the start.
 // Searches for protocol faults use it: they must find a fault where that time is too short.
-func NewElectorOf(now, maxLease, silence time.Duration) *Elector {
-	return &Elector{silentUntil: now + silence, maxLease: maxLease, leases: map[Slot]lease{}, lastSeqs: map[uint64]seqRecord{}}
+func NewVoterWithDurations(now, maxLease, silence time.Duration) *Voter {
+	return &Voter{silentUntil: now + silence, maxLease: maxLease, leases: map[Slot]lease{}, lastSeqs: map[uint64]seqRecord{}}
 }
 
-// Take handles a request and returns the reply.
-func (v *Elector) Take(now time.Duration, request *Ask) Reply {
+// Handle handles a request and returns the reply.
+func (v *Voter) Handle(now time.Duration, request *Request) Reply {
 	reply := Reply{Permit: request.Permit, Seq: request.Seq}
 	if now < v.silentUntil {
-		reply.Why = VoterStarting
+		reply.Reason = VoterStarting
 		return reply
 	}
 	v.dropExpired(now)
@@ -105,16 +105,16 @@
 	// A delayed message must not undo a newer one: a delayed request would take a slot that its acquirer has given back since,
 	// and a delayed release would free a slot that its acquirer has taken again.
 	if last, known := v.lastSeqs[request.Permit]; known && last.seq > request.Seq {
-		reply.Why = Superseded
+		reply.Reason = Superseded
 		return reply
 	}
 	if request.Release {
 		v.release(request.Permit)
 		v.lastSeqs[request.Permit] = seqRecord{request.Seq, now + v.maxLease}
-		reply.Why = Released
+		reply.Reason = Released
 		return reply
 	}
-	if reply.Why = v.decide(now, request, &reply); reply.Why != Granted {
+	if reply.Reason = v.decide(now, request, &reply); reply.Reason != Granted {
 		return reply
 	}
 	granted := map[Slot]lease{}
@@ -130,7 +130,7 @@
 }
 
 // decide returns Granted or the reason why the request is refused. It sets the reply's Slot and Holder for a refused slot.
-func (v *Elector) decide(now time.Duration, request *Ask, reply *Reply) Reason {
+func (v *Voter) decide(now time.Duration, request *Request, reply *Reply) Reason {
 	if len(request.Slots) == 0 || request.Duration <= 0 || request.Duration > v.maxLease {
 		return Invalid
 	}
@@ -148,7 +148,7 @@
 }
 
 // release frees the slots of a permit.
-func (v *Elector) release(permit uint64) {
+func (v *Voter) release(permit uint64) {
 	for s, l := range v.leases {
 		if l.permit == permit {
 			delete(v.leases, s)
@@ -157,7 +157,7 @@
 }
 
 // dropExpired removes leases and sequence records that have expired.
-func (v *Elector) dropExpired(now time.Duration) {
+func (v *Voter) dropExpired(now time.Duration) {
 	if now < v.nextExpiry {
 		return
 	}
@@ -179,7 +179,7 @@
 }
 
 // Holders returns the permits that this voter has granted and that have not expired, by slot.
-func (v *Elector) Holders(now time.Duration) map[Slot]uint64 {
+func (v *Voter) Holders(now time.Duration) map[Slot]uint64 {
 	v.dropExpired(now)
 	all := make(map[Slot]uint64, len(v.leases))
 	for s, l := range v.leases {
--- a/internal/fleet/permit/wire.go
+++ b/internal/fleet/permit/wire.go
@@ -29,7 +29,7 @@
 // Message is a decoded datagram. Either Request or Reply is set.
 type Message struct {
 	From, To uint16
-	Request  *Ask
+	Request  *Request
 	Reply    *Reply
 }
 
@@ -43,9 +43,9 @@
 	numberMask  = 0x3c00 // bits of an encoded group that hold the high bits of the slot's number
 )
 
-// MostPlaces is the largest number of slots that a group can have: as many as a datagram can tell apart. It is more than a
+// MaxSlots is the largest number of slots that a group can have: as many as a datagram can tell apart. It is more than a
 // fleet of 1,024 routers or servers needs if all of them may be out of service at once.
-const MostPlaces = (numberMask>>numberShift + 1) << 8
+const MaxSlots = (numberMask>>numberShift + 1) << 8
 
 // MaxZones is the number of zones that have groups of their own, which the encoding limits too. Members of any further zone
 // count in the group of the last.
@@ -79,7 +79,7 @@
 }
 
 // AppendRequest returns the datagram of a request of at most 16 slots, or of a release.
-func AppendRequest(from, to uint16, request *Ask) []byte {
+func AppendRequest(from, to uint16, request *Request) []byte {
 	if request.Release {
 		return appendChecksum(newDatagram(kindRelease, from, to, request.Permit, request.Seq))
 	}
@@ -94,7 +94,7 @@
 
 // AppendReply returns the datagram of a reply.
 func AppendReply(from, to uint16, reply *Reply) []byte {
-	b := append(newDatagram(kindReply, from, to, reply.Permit, reply.Seq), byte(reply.Why))
+	b := append(newDatagram(kindReply, from, to, reply.Permit, reply.Seq), byte(reply.Reason))
 	return appendChecksum(binary.BigEndian.AppendUint64(AppendSlot(b, reply.Slot), reply.Holder))
 }
 
@@ -113,14 +113,14 @@
 	body = body[headerBytes:]
 	switch {
 	case kind == kindRelease && len(body) == 0:
-		m.Request = &Ask{Permit: permit, Seq: seq, Release: true}
+		m.Request = &Request{Permit: permit, Seq: seq, Release: true}
 	case kind == kindRequest && len(body) >= 5 && body[4] > 0 && body[4] <= maxRequestSlots && len(body) == 5+int(body[4])*SlotBytes:
-		m.Request = &Ask{Permit: permit, Seq: seq, Duration: time.Duration(binary.BigEndian.Uint32(body)) * time.Millisecond}
+		m.Request = &Request{Permit: permit, Seq: seq, Duration: time.Duration(binary.BigEndian.Uint32(body)) * time.Millisecond}
 		for body = body[5:]; len(body) > 0; body = body[SlotBytes:] {
 			m.Request.Slots = append(m.Request.Slots, ReadSlot(body))
 		}
 	case kind == kindReply && len(body) == 1+SlotBytes+8 && Reason(body[0]) <= Invalid:
-		m.Reply = &Reply{Permit: permit, Seq: seq, Why: Reason(body[0]), Slot: ReadSlot(body[1:]),
+		m.Reply = &Reply{Permit: permit, Seq: seq, Reason: Reason(body[0]), Slot: ReadSlot(body[1:]),
 			Holder: binary.BigEndian.Uint64(body[4:])}
 	default:
 		return m, errMalformed
--- a/internal/fleet/rollout/driver_test.go
+++ b/internal/fleet/rollout/driver_test.go
@@ -213,7 +213,7 @@
 // caches as a fleet can have.
 func TestHoldLease(t *testing.T) {
 	fleetLeases := peers.Charges{Release: &peers.Running{ID: "x", State: "held"}}
-	for range notes.MostNotes {
+	for range notes.MaxLeases {
 		fleetLeases.Drains = append(fleetLeases.Drains, peers.Drained{Cache: "s-98cf084c", State: "asking",
 			Why: "held by another: slot cache s-b0caaea8 has place 0"})
 	}
--- a/internal/lab/drill/check.go
+++ b/internal/lab/drill/check.go
@@ -162,7 +162,7 @@
 		case e.From == "drill" && (e.Text == "kill: true" || e.Text == "term: true"):
 			endAll(e.Router, e.At-e.Uncertainty)
 		case e.From == "drill" && e.Text == "paused: true":
-			leaseExpiry[e.Router] = e.At + permit.MostLease.Seconds()
+			leaseExpiry[e.Router] = e.At + permit.MaxLease.Seconds()
 		}
 	}
 	for k := range begun {
--- a/internal/lab/leasesearch/search.go
+++ b/internal/lab/leasesearch/search.go
@@ -112,7 +112,7 @@
 func (s *Search) root() *state {
 	n := &state{ahead: make([]time.Duration, s.Voters), behind: make([]time.Duration, s.Acquirers)}
 	for range s.Voters {
-		n.voters = append(n.voters, permit.NewElectorOf(0, Lease, 0))
+		n.voters = append(n.voters, permit.NewVoterWithDurations(0, Lease, 0))
 	}
 	for i := range s.Acquirers {
 		n.acquirers = append(n.acquirers, s.newAcquirer(uint64(i+1)))
@@ -122,10 +122,10 @@
 }
 
 // newAcquirer returns an acquirer that requests the first free slot. Its random source always returns 0.
-func (s *Search) newAcquirer(id uint64) *permit.Seeker {
-	acquirer := permit.NewSeeker(id, s.Voters, Lease)
-	acquirer.Drift = float64(s.DriftMargin) / float64(Lease)
-	acquirer.Chance = func() float64 { return 0 }
+func (s *Search) newAcquirer(id uint64) *permit.Acquirer {
+	acquirer := permit.NewAcquirer(id, s.Voters, Lease)
+	acquirer.ClockDrift = float64(s.DriftMargin) / float64(Lease)
+	acquirer.Random = func() float64 { return 0 }
 	acquirer.Choose = func(held map[permit.Slot]uint64) []permit.Slot {
 		for number := range s.Slots {
 			if slot := (permit.Slot{Number: uint16(number)}); held[slot] == 0 {
@@ -134,6 +134,6 @@
 		}
 		return nil
 	}
-	acquirer.Want(0)
+	acquirer.Acquire(0)
 	return acquirer
 }
--- a/internal/lab/leasesearch/state.go
+++ b/internal/lab/leasesearch/state.go
@@ -13,10 +13,10 @@
 // state is one state of the voters, acquirers and messages in a search.
 type state struct {
 	now        time.Duration
-	voters     []*permit.Elector // shared with other states; voter returns one that may be changed
-	acquirers  []*permit.Seeker  // shared with other states; acquirer returns one that may be changed
-	ahead      []time.Duration   // lead of each voter's clock: 0 or maxVoterDrift
-	behind     []time.Duration   // lag of each acquirer's clock: 0 or maxAcquirerDrift
+	voters     []*permit.Voter    // shared with other states; voter returns one that may be changed
+	acquirers  []*permit.Acquirer // shared with other states; acquirer returns one that may be changed
+	ahead      []time.Duration    // lead of each voter's clock: 0 or maxVoterDrift
+	behind     []time.Duration    // lag of each acquirer's clock: 0 or maxAcquirerDrift
 	inFlight   []message
 	restarts   int
 	duplicates int
@@ -34,13 +34,13 @@
 }
 
 // voter replaces a voter by a copy that no other state shares, and returns the copy for changes.
-func (n *state) voter(i int) *permit.Elector {
+func (n *state) voter(i int) *permit.Voter {
 	n.voters[i] = n.voters[i].Clone()
 	return n.voters[i]
 }
 
 // acquirer replaces an acquirer by a copy that no other state shares, and returns the copy for changes.
-func (n *state) acquirer(i int) *permit.Seeker {
+func (n *state) acquirer(i int) *permit.Acquirer {
 	n.acquirers[i] = n.acquirers[i].Clone()
 	return n.acquirers[i]
 }
--- a/internal/lab/leasesearch/steps.go
+++ b/internal/lab/leasesearch/steps.go
@@ -68,7 +68,7 @@
 	if n.holds(i) {
 		all = append(all, func() *state {
 			returned := n.clone("acquirer %d releases its permit", i)
-			returned.acquirer(i).Return(returned.acquirerNow(i))
+			returned.acquirer(i).Release(returned.acquirerNow(i))
 			s.collect(returned, i)
 			return returned
 		})
@@ -96,7 +96,7 @@
 		all = append(all, func() *state {
 			restarted := n.clone("voter %d restarts", i)
 			restarted.restarts++
-			restarted.voters[i] = permit.NewElectorOf(restarted.voterNow(i), Lease, s.StartDelay)
+			restarted.voters[i] = permit.NewVoterWithDurations(restarted.voterNow(i), Lease, s.StartDelay)
 			return restarted
 		})
 	}
@@ -106,19 +106,19 @@
 // deliver passes a message to its receiver and adds the messages that the receiver sends to those in flight.
 func (s *Search) deliver(n *state, m message) {
 	if m.request == nil {
-		n.acquirer(m.acquirer).Take(n.acquirerNow(m.acquirer), m.voter, m.reply)
+		n.acquirer(m.acquirer).Handle(n.acquirerNow(m.acquirer), m.voter, m.reply)
 		s.collect(n, m.acquirer)
 		return
 	}
-	reply := n.voter(m.voter).Take(n.voterNow(m.voter), m.request)
+	reply := n.voter(m.voter).Handle(n.voterNow(m.voter), m.request)
 	n.inFlight = append(n.inFlight, message{voter: m.voter, acquirer: m.acquirer, reply: &reply})
 	s.dropExcess(n)
 }
 
 // collect adds the messages that an acquirer has queued to those in flight.
 func (s *Search) collect(n *state, i int) {
-	for _, out := range n.acquirers[i].Out() {
-		n.inFlight = append(n.inFlight, message{voter: out.To, acquirer: i, request: &out.Ask})
+	for _, out := range n.acquirers[i].Outgoing() {
+		n.inFlight = append(n.inFlight, message{voter: out.VoterIndex, acquirer: i, request: &out.Request})
 	}
 	s.dropExcess(n)
 }
@@ -133,14 +133,14 @@
 // message is one message in flight: a request to the voter, or a reply to the acquirer.
 type message struct {
 	voter, acquirer int
-	request         *permit.Ask
+	request         *permit.Request
 	reply           *permit.Reply
 }
 
 // String returns the text for the message in a path.
 func (m message) String() string {
 	if m.reply != nil {
-		return fmt.Sprintf("voter %d to acquirer %d: %v", m.voter, m.acquirer, m.reply.Why)
+		return fmt.Sprintf("voter %d to acquirer %d: %v", m.voter, m.acquirer, m.reply.Reason)
 	}
 	return fmt.Sprintf("acquirer %d to voter %d", m.acquirer, m.voter)
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -67,7 +67,7 @@
 	inc := &incarnation{}
 	module := relay.New(c.Settings, c.Seed, noopCaller{}, noopCaller{})
 	listed := drains.New(module)
-	agent := &permit.Agent{Self: h.number, Of: len(c.Peers), Zone: c.Settings.Zone, Chance: rand.Uint64}
+	agent := &permit.Agent{Self: h.number, RouterCount: len(c.Peers), Zone: c.Settings.Zone, Random: rand.Uint64}
 	var err error
 	inc.peers, err = peers.New(peers.Settings{Self: h.number, Listen: c.PeerListen, Addrs: c.Peers, Seed: rand.Uint64(),
 		Phase: inc.phase, Tell: func() view.Details { return details(c) }, Agent: agent, Out: inc.draining.Store,
--- a/internal/lab/sim/homes.go
+++ b/internal/lab/sim/homes.go
@@ -20,7 +20,7 @@
 // to each server, homes don't depend on the zone, and the function for zone 0 is the only one.
 func ZoneHomes(day *model.Day, policy Policy, list []model.Member) (all []func(key uint64) uint32) {
 	for self := range min(day.Routers, day.Zones) {
-		if self == 0 || connlimit.Kept(day.Routers, 0) == 0 {
+		if self == 0 || connlimit.MaxIdle(day.Routers, 0) == 0 {
 			all = append(all, homesOf(day, policy, list, self))
 		}
 	}
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -144,7 +144,7 @@
 	}
 	c := cn.calls[0] // answers come in order
 	cn.calls = cn.calls[1:]
-	r.callStats.Ended(r.tier.World.Now() - c.sentAt)
+	r.callStats.Add(r.tier.World.Now() - c.sentAt)
 	if len(cn.calls) == 0 {
 		cn.scheduleIdleClose()
 	}
@@ -162,11 +162,11 @@
 	now := world.Now()
 	cn.idleSince = now
 	day := p.router.tier.day
-	maxIdle := connlimit.Kept(day.Routers, 0)
+	maxIdle := connlimit.MaxIdle(day.Routers, 0)
 	if !day.Fleet.Reap || p.server == 0 || len(p.conns) <= maxIdle {
 		return
 	}
-	world.After(max(p.router.callStats.Idle(0), day.Fleet.ConnectFor.D()), func() {
+	world.After(max(p.router.callStats.IdleTimeout(0), day.Fleet.ConnectFor.D()), func() {
 		if !p.router.killed && !cn.closed && len(cn.calls) == 0 && cn.idleSince == now && len(p.conns) > maxIdle {
 			p.router.closeConn(cn, hoptiller.Cancelled)
 		}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -26,7 +26,7 @@
 	byTry       map[*model.Try]*invocation
 	servers     map[uint32]model.Member // as last listed, by ID
 	pools       map[int]*pool           // by server index
-	callStats   connlimit.Calls
+	callStats   connlimit.MeanCallDuration
 }
 
 // invocation is one request that has no final answer, or that has calls in flight.
--- a/internal/plan/check.go
+++ b/internal/plan/check.go
@@ -452,7 +452,7 @@
 		b.Part = c.singleQuantity(s, unit.Fraction, 0.001, 1)
 		return b
 	}
-	b.Number = c.parseCount(s, 1, permit.MostPlaces)
+	b.Number = c.parseCount(s, 1, permit.MaxSlots)
 	return b
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -46,10 +46,10 @@
 
 	mu            sync.Mutex
 	servers       map[uint32]*server
-	connCount     int             // connections that are open or being opened
-	lastLongValue time.Time       // when a long value began to arrive last
-	callTimes     connlimit.Calls // mean duration of calls to all servers
-	reapScheduled bool            // a check for connections that have been idle too long is scheduled
+	connCount     int                        // connections that are open or being opened
+	lastLongValue time.Time                  // when a long value began to arrive last
+	callTimes     connlimit.MeanCallDuration // mean duration of calls to all servers
+	reapScheduled bool                       // a check for connections that have been idle too long is scheduled
 }
 
 // server is a listed server with the connections to it.
--- a/internal/upstream/reap.go
+++ b/internal/upstream/reap.go
@@ -10,7 +10,7 @@
 // surplusIdleTime returns how long surplus connections may stay idle. It is never shorter than ConnectTimeout, since
 // reopening a connection may take that long.
 func (p *Pool) surplusIdleTime() time.Duration {
-	return max(p.callTimes.Idle(p.settings.Places), p.settings.ConnectTimeout)
+	return max(p.callTimes.IdleTimeout(p.settings.Places), p.settings.ConnectTimeout)
 }
 
 // scheduleReap schedules a check of the idle connections if the server has surplus connections and no check is
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -100,7 +100,7 @@
 		}
 		took := time.Since(call.sentAt)
 		c.server.typicalLatency += (took - c.server.typicalLatency) / 16
-		p.callTimes.Ended(took)
+		p.callTimes.Add(took)
 		if reply.ValueDecoder != nil {
 			p.lastLongValue = time.Now()
 			c.stream = &streamBody{conn: c, call: call, decoder: reply.ValueDecoder, length: reply.ValueLen,
--- a/router.go
+++ b/router.go
@@ -982,7 +982,7 @@
 // every router, a key has one home in each zone for the routers of that zone. Servers of other zones come
 // next if that home is unhealthy, cold or removed.
 func (r *Router) zoneWeight(zone int) float64 {
-	if zone != r.settings.Zone && connlimit.Kept(r.settings.RouterCount, r.settings.ConnsPerCore) == 0 {
+	if zone != r.settings.Zone && connlimit.MaxIdle(r.settings.RouterCount, r.settings.ConnsPerCore) == 0 {
 		return otherZoneWeight
 	}
 	return 1
