--- a/cmd/hoptiller/calls.go
+++ b/cmd/hoptiller/calls.go
@@ -58,15 +58,15 @@
 			body, err := json.Marshal(fleet.Report())
 			return err == nil, append(body, '\n')
 		}}
-		serviceCall := func(do func() peers.Out) func() (bool, []byte) {
+		serviceCall := func(do func() peers.PermitStatus) func() (bool, []byte) {
 			return func() (bool, []byte) {
 				body, err := json.Marshal(do())
 				return err == nil, append(body, '\n')
 			}
 		}
 		addParameterCalls(all, fleet)
-		all["/v1/fleet/drain"] = admin.Call{Method: "POST", Do: serviceCall(fleet.GoOut)}
-		all["/v1/fleet/activate"] = admin.Call{Method: "POST", Do: serviceCall(fleet.ComeBack)}
+		all["/v1/fleet/drain"] = admin.Call{Method: "POST", Do: serviceCall(fleet.GoOutOfService)}
+		all["/v1/fleet/activate"] = admin.Call{Method: "POST", Do: serviceCall(fleet.ReturnToService)}
 	}
 	return all
 }
@@ -78,7 +78,7 @@
 			if err := do(q); err != nil {
 				return errorStatus(err), []byte(err.Error())
 			}
-			body, err := json.Marshal(fleet.Report().Charges)
+			body, err := json.Marshal(fleet.Report().FleetLeases)
 			if err != nil {
 				return http.StatusInternalServerError, []byte(err.Error())
 			}
@@ -86,7 +86,7 @@
 		}}
 	}
 	addCall("/v1/fleet/caches/drain", func(q url.Values) error {
-		drainTime, err := durationParam(q, "for", time.Hour, peers.MostDrain)
+		drainTime, err := durationParam(q, "for", time.Hour, peers.MaxDrainDuration)
 		if err != nil {
 			return err
 		}
@@ -98,7 +98,7 @@
 	})
 	addCall("/v1/fleet/caches/activate", func(q url.Values) error { return fleet.ActivateCache(q.Get("cache")) })
 	addCall("/v1/fleet/release", func(q url.Values) error {
-		_, err := fleet.GoOnRelease(q.Get("id"), q.Get("by"), q.Get("stage"), q.Get("only") != "")
+		_, err := fleet.DriveRelease(q.Get("id"), q.Get("by"), q.Get("stage"), q.Get("only") != "")
 		return err
 	})
 	addCall("/v1/fleet/release/end", func(q url.Values) error { return fleet.EndRelease(q.Get("id")) })
@@ -107,11 +107,11 @@
 // errorStatus returns the HTTP status for an error.
 func errorStatus(err error) int {
 	var takenErr *notes.AlreadyManagedError
-	var runsErr *peers.ErrRuns
+	var runsErr *peers.ReleaseRunningError
 	switch {
-	case errors.Is(err, peers.ErrNoCache), errors.Is(err, notes.ErrNotFound):
+	case errors.Is(err, peers.ErrUnknownCache), errors.Is(err, notes.ErrNotFound):
 		return http.StatusNotFound
-	case errors.Is(err, peers.ErrEnded):
+	case errors.Is(err, peers.ErrReleaseEnded):
 		return http.StatusGone
 	case errors.As(err, &takenErr), errors.As(err, &runsErr), errors.Is(err, notes.ErrFull):
 		return http.StatusConflict
--- a/cmd/hoptiller/fleet.go
+++ b/cmd/hoptiller/fleet.go
@@ -59,11 +59,11 @@
 // queryOnce queries all routers and writes the first view and the differences of the others to w. The error is
 // command.ErrFinding if views differ.
 func (c *fleetCmd) queryOnce(ctx context.Context, w io.Writer) error {
-	answers := make([]peers.Asked, len(c.Addrs))
+	answers := make([]peers.FetchResult, len(c.Addrs))
 	var g errgroup.Group
 	for i, addr := range c.Addrs {
 		g.Go(func() error {
-			answers[i] = peers.Ask(ctx, addr)
+			answers[i] = peers.FetchReport(ctx, addr)
 			return nil
 		})
 	}
@@ -83,7 +83,7 @@
 		fmt.Fprintf(w, "%s\n", text)
 	} else {
 		for _, a := range answers {
-			if a.View != nil {
+			if a.Report != nil {
 				writeView(w, &a)
 				break // the other views are equal, or listed among the differences
 			}
@@ -105,10 +105,10 @@
 }
 
 // writeView writes the view of one router.
-func writeView(w io.Writer, a *peers.Asked) {
-	v := a.View
+func writeView(w io.Writer, a *peers.FetchResult) {
+	v := a.Report
 	fmt.Fprintf(w, "as router %d at %s sees it (sum %s): %d alive, %d suspect, %d dead, %d left, %d never heard of; own health %d\n",
-		v.Self, a.Addr, v.Sum, v.Alive, v.Suspect, v.Dead, v.Left, v.Unknown, v.Health)
+		v.Self, a.Addr, v.Checksum, v.Alive, v.Suspect, v.Dead, v.Left, v.Unknown, v.HealthScore)
 	columns := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(columns, "router\tstate\tfor\tphase\tstart\tprogram\tsettings\trequests/s\t")
 	for i := range v.Members {
@@ -118,16 +118,16 @@
 			continue
 		}
 		remark := ""
-		if m.Twice {
+		if m.DuplicateNumber {
 			remark = "another router has this number"
 		}
-		fmt.Fprintf(columns, "%d\t%s\t%v\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Number, m.State, time.Duration(m.Since*1e9).Round(time.Second),
-			m.Phase, m.Start, m.Version, m.Settings, m.Rate, remark)
+		fmt.Fprintf(columns, "%d\t%s\t%v\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Number, m.State, time.Duration(m.SinceSeconds*1e9).Round(time.Second),
+			m.Phase, m.Start, m.VersionHash, m.SettingsHash, m.RequestRate, remark)
 	}
 	columns.Flush()
-	if o := v.Out; o != nil {
+	if o := v.Permit; o != nil {
 		if o.State != "none" {
-			fmt.Fprintf(w, "router %d's permit: %s\n", v.Self, strings.TrimSpace(o.State+" "+o.Why))
+			fmt.Fprintf(w, "router %d's permit: %s\n", v.Self, strings.TrimSpace(o.State+" "+o.Reason))
 		}
 		for _, h := range o.Holders {
 			fmt.Fprintln(w, "out by permit:", h)
@@ -135,12 +135,12 @@
 	}
 	for _, d := range v.Drains {
 		fmt.Fprintf(w, "slot cache %s: %s, kept by router %d, ends in %v %s\n",
-			d.Cache, d.State, d.Router, time.Duration(d.Ends*1e9).Round(time.Second), d.Why)
+			d.Cache, d.State, d.Router, time.Duration(d.EndsInSeconds*1e9).Round(time.Second), d.Reason)
 	}
 	if r := v.Release; r != nil {
-		fmt.Fprintf(w, "release %s: %s, run by %s (%s), kept by router %d %s\n", r.ID, r.State, r.By, r.Stage, r.Router, r.Why)
+		fmt.Fprintf(w, "release %s: %s, run by %s (%s), kept by router %d %s\n", r.ID, r.State, r.Driver, r.Stage, r.Router, r.Reason)
 	}
-	for _, c := range v.Caches {
-		fmt.Fprintf(w, "slot cache %s was seen %s %.0f s ago\n", c.ID, c.State, c.Age)
+	for _, c := range v.Observations {
+		fmt.Fprintf(w, "slot cache %s was seen %s %.0f s ago\n", c.ID, c.State, c.AgeSeconds)
 	}
 }
--- a/cmd/hoptiller/fleet_member.go
+++ b/cmd/hoptiller/fleet_member.go
@@ -57,18 +57,18 @@
 	}
 	if reason == "" {
 		p, err := peers.New(peers.Settings{Self: c.Settings.RouterIndex, Listen: c.PeerListen, Addrs: c.Peers, Seed: c.Seed,
-			Phase: func() view.Phase { return f.phase() }, Tell: f.details,
-			Agent: &permit.Agent{Self: c.Settings.RouterIndex, RouterCount: len(c.Peers), Zone: min(c.Settings.Zone, view.MostZone), Random: rand.Uint64},
-			Out: func(out bool) {
+			Phase: func() view.Phase { return f.phase() }, Details: f.details,
+			Agent: &permit.Agent{Self: c.Settings.RouterIndex, RouterCount: len(c.Peers), Zone: min(c.Settings.Zone, view.MaxZone), Random: rand.Uint64},
+			SetOutOfService: func(out bool) {
 				if out {
 					phases.Tell(lifecycle.Drain)
 				} else {
 					phases.Tell(lifecycle.Activate)
 				}
 			},
-			Caches: r.Caches, Aside: caches,
-			Sighted: func(s view.Sight) {
-				r.Sighted(hoptiller.Observation{Server: s.Cache, Up: s.State == view.SeenBack, Age: s.Age})
+			Caches: r.Caches, Drains: caches,
+			OnObservation: func(s view.Observation) {
+				r.Sighted(hoptiller.Observation{Server: s.CacheID, Up: s.State == view.ObservedUp, Age: s.Age})
 			}})
 		if err == nil {
 			f.peers = p
@@ -84,7 +84,7 @@
 // setBounds applies the bounds of an operator's file. By default one router and one slot cache may be out of service.
 func (f *fleetMember) setBounds(operatorFleet plan.Fleet) {
 	if f.peers != nil {
-		f.peers.Bound(peers.Bounds{Fleet: boundOrDefault(operatorFleet.Out, 1), Zone: boundOrDefault(operatorFleet.OutZone, 0),
+		f.peers.SetBounds(peers.Bounds{Fleet: boundOrDefault(operatorFleet.Out, 1), Zone: boundOrDefault(operatorFleet.OutZone, 0),
 			Caches: boundOrDefault(operatorFleet.Caches, 1), CacheZone: boundOrDefault(operatorFleet.CachesZone, 0)})
 	}
 }
@@ -104,9 +104,9 @@
 		f.requestRate = float64(n-f.countedRequests) / now.Sub(f.countedAt).Seconds()
 		f.countedAt, f.countedRequests = now, n
 	}
-	return view.Details{Version: programID(), Settings: f.config.Digest,
-		Rate: uint16(min(math.Round(f.requestRate), math.MaxUint16)),
-		Zone: uint8(min(max(-1, f.config.Settings.Zone), view.MostZone) + 1)}
+	return view.Details{VersionHash: programID(), SettingsHash: f.config.Digest,
+		RequestRate: uint16(min(math.Round(f.requestRate), math.MaxUint16)),
+		Zone:        uint8(min(max(-1, f.config.Settings.Zone), view.MaxZone) + 1)}
 }
 
 // observeCache passes on this router's own observation that a slot cache is up or down.
@@ -116,9 +116,9 @@
 	}
 	f.relay.Sighted(hoptiller.Observation{Server: cache, Up: up})
 	if up {
-		f.peers.Saw(cache, view.SeenBack)
+		f.peers.Observe(cache, view.ObservedUp)
 	} else {
-		f.peers.Saw(cache, view.SeenDown)
+		f.peers.Observe(cache, view.ObservedDown)
 	}
 }
 
--- a/cmd/hoptiller/fleet_member_test.go
+++ b/cmd/hoptiller/fleet_member_test.go
@@ -83,7 +83,7 @@
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://")
 	}
-	members := []peers.Member{{State: "alive", Phase: "serving", Life: "1.0"}, {Number: 1, State: "unknown"}}
+	members := []peers.Member{{State: "alive", Phase: "serving", Incarnation: "1.0"}, {Number: 1, State: "unknown"}}
 	a, b := serve(&peers.Report{Members: members}), serve(&peers.Report{Members: members[:1]})
 	var out bytes.Buffer
 	ask := func(c *fleetCmd) (string, error) {
--- a/cmd/hoptiller/large_fleet_test.go
+++ b/cmd/hoptiller/large_fleet_test.go
@@ -168,7 +168,7 @@
 // runView runs the fleet view of another router until the benchmark ends.
 func runView(b *testing.B, self int, addrs []string) {
 	p, err := peers.New(peers.Settings{Self: self, Listen: addrs[self], Addrs: addrs, Seed: uint64(self),
-		Phase: func() view.Phase { return view.Serving }, Tell: func() view.Details { return view.Details{Version: 1} }})
+		Phase: func() view.Phase { return view.Serving }, Details: func() view.Details { return view.Details{VersionHash: 1} }})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/fleet/peers/compare.go
+++ b/internal/fleet/peers/compare.go
@@ -7,33 +7,33 @@
 	"strings"
 )
 
-// Asked is the result of requesting one router's view of the fleet.
-type Asked struct {
-	Addr string  `json:"asked"`           // address of the router's operators' interface
-	Err  string  `json:"error,omitempty"` // why there is no view
-	View *Report `json:"view,omitempty"`
+// FetchResult is the result of requesting one router's view of the fleet.
+type FetchResult struct {
+	Addr   string  `json:"asked"`           // address of the router's operators' interface
+	Err    string  `json:"error,omitempty"` // why there is no view
+	Report *Report `json:"view,omitempty"`
 }
 
 // Differences compares the views of several routers. It returns a line for each router about which the views differ, and a
 // line for each program version or hash of settings that differs from that of the most routers.
-func Differences(all []Asked) (lines []string) {
+func Differences(all []FetchResult) (lines []string) {
 	routers := 0
 	for _, a := range all {
-		if a.View != nil {
-			routers = max(routers, len(a.View.Members))
+		if a.Report != nil {
+			routers = max(routers, len(a.Report.Members))
 		}
 	}
 	for i := range routers {
 		addrsByState := map[string][]string{}
 		for _, a := range all {
-			if a.View == nil || a.View.Self == i { // a router knows its own changes before all others
+			if a.Report == nil || a.Report.Self == i { // a router knows its own changes before all others
 				continue
 			}
 			state := "not in the list"
-			if i < len(a.View.Members) {
-				m := &a.View.Members[i]
+			if i < len(a.Report.Members) {
+				m := &a.Report.Members[i]
 				if state = m.State; m.State != "unknown" {
-					state += " " + m.Phase + " life " + m.Life
+					state += " " + m.Phase + " life " + m.Incarnation
 				}
 			}
 			addrsByState[state] = append(addrsByState[state], a.Addr)
@@ -48,20 +48,20 @@
 		slices.Sort(parts)
 		lines = append(lines, fmt.Sprintf("router %d: %s", i, strings.Join(parts, "; ")))
 	}
-	lines = append(lines, minorities(all, "program", func(m *Member) string { return m.Version })...)
-	return append(lines, minorities(all, "settings", func(m *Member) string { return m.Settings })...)
+	lines = append(lines, minorities(all, "program", func(m *Member) string { return m.VersionHash })...)
+	return append(lines, minorities(all, "settings", func(m *Member) string { return m.SettingsHash })...)
 }
 
 // minorities returns a line for each value of a property that differs from the most frequent value, with the routers that
 // have it. It uses the first view that could be fetched.
-func minorities(all []Asked, name string, property func(m *Member) string) (lines []string) {
-	first := slices.IndexFunc(all, func(a Asked) bool { return a.View != nil })
+func minorities(all []FetchResult, name string, property func(m *Member) string) (lines []string) {
+	first := slices.IndexFunc(all, func(a FetchResult) bool { return a.Report != nil })
 	if first < 0 {
 		return nil
 	}
 	routersByValue := map[string][]int{}
-	for i := range all[first].View.Members {
-		m := &all[first].View.Members[i]
+	for i := range all[first].Report.Members {
+		m := &all[first].Report.Members[i]
 		if value := property(m); value != "" && (m.State == "alive" || m.State == "suspect") {
 			routersByValue[value] = append(routersByValue[value], m.Number)
 		}
--- a/internal/fleet/peers/drains.go
+++ b/internal/fleet/peers/drains.go
@@ -13,17 +13,17 @@
 	"hoptiller/internal/fleet/permit"
 )
 
-// Drained is a slot cache that operators have drained, or for which this router has requested the permit to drain it.
-type Drained struct {
-	Cache  string  `json:"cache"`
-	State  string  `json:"state"`         // "asking" while the permit is requested, "out" while the slot cache is drained
-	Why    string  `json:"why,omitempty"` // why the permit was last refused
-	Router int     `json:"router"`        // number of the router that holds or requests the permit
-	Ends   float64 `json:"ends_s"`        // seconds until the drain ends by itself
+// CacheDrain is a slot cache that operators have drained, or for which this router has requested the permit to drain it.
+type CacheDrain struct {
+	Cache         string  `json:"cache"`
+	State         string  `json:"state"`         // "asking" while the permit is requested, "out" while the slot cache is drained
+	Reason        string  `json:"why,omitempty"` // why the permit was last refused
+	Router        int     `json:"router"`        // number of the router that holds or requests the permit
+	EndsInSeconds float64 `json:"ends_s"`        // seconds until the drain ends by itself
 }
 
-// MostDrain is the longest time for which a slot cache may be drained.
-const MostDrain = 7 * 24 * time.Hour
+// MaxDrainDuration is the longest time for which a slot cache may be drained.
+const MaxDrainDuration = 7 * 24 * time.Hour
 
 // encodeDrain returns the body of a drain's lease: the time in ms over which the weight falls, and whether the drain is
 // complete.
@@ -53,7 +53,7 @@
 // The messages contain the name of the slot cache, because the log limits the number of lines with the same message. So
 // the drain of each slot cache is logged, regardless of their number.
 func (p *Peers) currentDrains() map[uint32]drains.Drain {
-	if p.leases == nil || p.settings.Aside == nil {
+	if p.leases == nil || p.settings.Drains == nil {
 		return nil
 	}
 	now := p.now()
@@ -75,7 +75,7 @@
 			p.loggedDrains[lease.ID] = logged
 			slog.Info("slot cache "+logged.cacheName+" drained", "router", lease.Owner, "over", d.Duration)
 		}
-		if complete := p.settings.Aside.IsDrained(lease.ID); complete && !logged.complete {
+		if complete := p.settings.Drains.IsDrained(lease.ID); complete && !logged.complete {
 			logged.complete = true
 			slog.Info("slot cache " + logged.cacheName + " gets nothing new")
 			d.Complete = true                                // routers that learn of the drain from now on drain the slot cache at once
@@ -92,22 +92,22 @@
 }
 
 func (p *Peers) cacheName(id uint32) string {
-	if name := p.settings.Aside.Name(id); name != "" {
+	if name := p.settings.Drains.Name(id); name != "" {
 		return name
 	}
 	return fmt.Sprintf("s-%08x", id)
 }
 
-// ErrNoCache is the error for the name of a slot cache that is not in the list of cache servers.
-var ErrNoCache = errors.New("no slot cache of this name is listed")
+// ErrUnknownCache is the error for the name of a slot cache that is not in the list of cache servers.
+var ErrUnknownCache = errors.New("no slot cache of this name is listed")
 
 // DrainCache requests a permit for draining a slot cache. Once it is granted, all routers drain the slot cache: its weight
 // falls to zero over rampTime. The drain ends by itself after maxDuration. The error is ErrNoCache or one of package
 // notes.
 func (p *Peers) DrainCache(name string, maxDuration, rampTime time.Duration) error {
-	server, ok := p.settings.Aside.FindByName(name)
+	server, ok := p.settings.Drains.FindByName(name)
 	if !ok {
-		return ErrNoCache
+		return ErrUnknownCache
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +119,7 @@
 
 // ActivateCache ends the drain of a slot cache, whichever router was asked to drain it.
 func (p *Peers) ActivateCache(name string) error {
-	server, listed := p.settings.Aside.FindByName(name)
+	server, listed := p.settings.Drains.FindByName(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.flush()
@@ -132,27 +132,27 @@
 			}
 		}
 		if key.ID == 0 {
-			return ErrNoCache
+			return ErrUnknownCache
 		}
 	}
 	return p.leases.End(p.now(), key)
 }
 
 // reportDrains returns the drained slot caches for a Report. The caller holds p.mu.
-func (p *Peers) reportDrains() (list []Drained) {
+func (p *Peers) reportDrains() (list []CacheDrain) {
 	now := p.now()
 	granted := map[notes.Key]bool{}
 	for _, lease := range p.leases.All(now) {
 		if lease.Kind == notes.KindCache {
 			granted[lease.Key] = true
-			list = append(list, Drained{Cache: p.cacheName(lease.ID), State: "out", Router: int(lease.Owner), Ends: lease.EndsIn.Seconds()})
+			list = append(list, CacheDrain{Cache: p.cacheName(lease.ID), State: "out", Router: int(lease.Owner), EndsInSeconds: lease.EndsIn.Seconds()})
 		}
 	}
 	for _, key := range p.leases.ManagedKeys() {
 		if key.Kind == notes.KindCache && !granted[key] {
 			_, reason := p.leases.Status(now, key)
-			list = append(list, Drained{Cache: p.cacheName(key.ID), State: "asking", Why: reason, Router: p.settings.Self,
-				Ends: p.leases.EndsIn(now, key).Seconds()})
+			list = append(list, CacheDrain{Cache: p.cacheName(key.ID), State: "asking", Reason: reason, Router: p.settings.Self,
+				EndsInSeconds: p.leases.EndsIn(now, key).Seconds()})
 		}
 	}
 	return list
@@ -175,33 +175,33 @@
 	MaxStage       = 64
 )
 
-// Running is a release that the fleet runs or that this router has requested.
-type Running struct {
+// RunningRelease is a release that the fleet runs or that this router has requested.
+type RunningRelease struct {
 	ID     string `json:"id"`
-	By     string `json:"by"`            // name of the driver
+	Driver string `json:"by"`            // name of the driver
 	Stage  string `json:"stage"`         // the stage that the driver stated last
 	Router int    `json:"router"`        // number of the router that owns or requests the release
 	State  string `json:"state"`         // "asking" while the permit is requested, "held" afterwards
-	Why    string `json:"why,omitempty"` // why the permit was last refused
+	Reason string `json:"why,omitempty"` // why the permit was last refused
 }
 
-// ErrRuns is the error of a driver's call while another driver runs the release, or while the fleet runs another release.
-type ErrRuns struct {
-	Running
+// ReleaseRunningError is the error of a driver's call while another driver runs the release, or while the fleet runs another release.
+type ReleaseRunningError struct {
+	RunningRelease
 	DriverGone bool // this router owns the release and has not heard from its driver for DriverTimeout
 }
 
 // Error implements error.
-func (e *ErrRuns) Error() string {
-	text := fmt.Sprintf("release %s is run by %s (%s), kept by router %d", e.ID, e.By, e.Stage, e.Router)
+func (e *ReleaseRunningError) Error() string {
+	text := fmt.Sprintf("release %s is run by %s (%s), kept by router %d", e.ID, e.Driver, e.Stage, e.Router)
 	if e.DriverGone {
 		text += "; its driver is gone: continue the release or end it first"
 	}
 	return text
 }
 
-// ErrEnded is the error of a driver's call after operators have ended its release.
-var ErrEnded = errors.New("the release was ended")
+// ErrReleaseEnded is the error of a driver's call after operators have ended its release.
+var ErrReleaseEnded = errors.New("the release was ended")
 
 // encodeRelease returns the body of a release's lease.
 func encodeRelease(id, driver, stage string) string {
@@ -211,17 +211,17 @@
 	return id + "\n" + driver + "\n" + stage
 }
 
-// GoOnRelease states that a driver runs a release and in which stage the release is. If the fleet runs no release, it
+// DriveRelease states that a driver runs a release and in which stage the release is. If the fleet runs no release, it
 // requests the fleet's only permit for releases, unless onlyExisting is set: the driver of a release that operators have
 // ended must not start that release again. The driver has to call it more often than every DriverTimeout. After that time
 // without a call, another driver of the same release can take over, at the router that owns the release.
-func (p *Peers) GoOnRelease(id, driver, stage string, onlyExisting bool) (Running, error) {
+func (p *Peers) DriveRelease(id, driver, stage string, onlyExisting bool) (RunningRelease, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.flush()
 	if id == "" || driver == "" || len(id) > MaxReleaseName || len(driver) > MaxDriverName ||
 		strings.Contains(id+driver+stage, "\n") {
-		return Running{}, fmt.Errorf(
+		return RunningRelease{}, fmt.Errorf(
 			"the name of a release must have 1 to %d bytes and that of its driver 1 to %d, without line breaks",
 			MaxReleaseName, MaxDriverName)
 	}
@@ -231,21 +231,21 @@
 	switch {
 	case !known && onlyExisting:
 		if lease, _, ok := p.leases.Get(now, releaseKey); ok && lease.Ended {
-			return Running{}, ErrEnded
+			return RunningRelease{}, ErrReleaseEnded
 		}
-		return Running{}, notes.ErrNotFound
+		return RunningRelease{}, notes.ErrNotFound
 	case !known:
 		if err := p.leases.Acquire(now, releaseKey, []uint16{permit.GroupReleases}, body, releaseDuration); err != nil {
-			return Running{}, err
+			return RunningRelease{}, err
 		}
-	case current.ID == id && current.By == driver ||
+	case current.ID == id && current.Driver == driver ||
 		current.ID == id && current.Router == p.settings.Self && now-p.driverHeardAt > DriverTimeout:
 		if err := p.leases.Extend(now, releaseKey, body, releaseDuration); err != nil {
-			return Running{}, err
+			return RunningRelease{}, err
 		}
 	default:
 		isOwner := current.Router == p.settings.Self
-		return Running{}, &ErrRuns{Running: current, DriverGone: isOwner && now-p.driverHeardAt > DriverTimeout}
+		return RunningRelease{}, &ReleaseRunningError{RunningRelease: current, DriverGone: isOwner && now-p.driverHeardAt > DriverTimeout}
 	}
 	p.driverHeardAt = now
 	running, _ := p.runningRelease()
@@ -264,19 +264,19 @@
 }
 
 // runningRelease returns the release that this router knows or has requested. The caller holds p.mu.
-func (p *Peers) runningRelease() (running Running, known bool) {
+func (p *Peers) runningRelease() (running RunningRelease, known bool) {
 	now := p.now()
 	lease, _, granted := p.leases.Get(now, releaseKey)
 	body, owner, state := lease.Body, int(lease.Owner), "held"
 	if !granted || lease.Ended {
 		requestedBody, requested := p.leases.Body(releaseKey)
 		if !requested {
-			return Running{}, false
+			return RunningRelease{}, false
 		}
 		body, owner, state = requestedBody, p.settings.Self, "asking"
-		_, running.Why = p.leases.Status(now, releaseKey)
+		_, running.Reason = p.leases.Status(now, releaseKey)
 	}
 	parts := append(strings.SplitN(body, "\n", 3), "", "", "")
-	running.ID, running.By, running.Stage, running.Router, running.State = parts[0], parts[1], parts[2], owner, state
+	running.ID, running.Driver, running.Stage, running.Router, running.State = parts[0], parts[1], parts[2], owner, state
 	return running, true
 }
--- a/internal/fleet/peers/drains_test.go
+++ b/internal/fleet/peers/drains_test.go
@@ -25,10 +25,10 @@
 	caches.Told(hoptiller.ListFull, []relay.Server{{Server: hoptiller.Server{ID: 0x10, Phase: hoptiller.Ready}, Name: "s-00000010"}})
 	random := uint64(0)
 	p, err := New(Settings{Listen: "127.0.0.1:1", Addrs: []string{"127.0.0.1:1", "127.0.0.1:2"},
-		Phase: func() view.Phase { return view.Serving }, Tell: func() view.Details { return view.Details{} },
+		Phase: func() view.Phase { return view.Serving }, Details: func() view.Details { return view.Details{} },
 		Agent: &permit.Agent{RouterCount: 2, MaxRouters: permit.Bound{Number: 1}, MaxCaches: permit.Bound{Number: 1},
 			Random: func() uint64 { random++; return random }},
-		Out: func(bool) {}, Caches: func() []hoptiller.CacheState { return nil }, Aside: caches})
+		SetOutOfService: func(bool) {}, Caches: func() []hoptiller.CacheState { return nil }, Drains: caches})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	currentDrains := p.currentDrains()
 	p.flush()
 	p.mu.Unlock()
-	p.settings.Aside.SetDrains(p.now(), currentDrains)
+	p.settings.Drains.SetDrains(p.now(), currentDrains)
 }
 
 // A release has one driver. Another driver gets an error that names the first one, and can take over once the first one
@@ -52,34 +52,34 @@
 // release doesn't regard its driver as gone. A release that operators have ended can't be continued.
 func TestReleaseDrivers(t *testing.T) {
 	p := newOnlyVoter(t)
-	if _, err := p.GoOnRelease("x", "", "", false); err == nil {
+	if _, err := p.DriveRelease("x", "", "", false); err == nil {
 		t.Error("a driver without a name was accepted")
 	}
-	if _, err := p.GoOnRelease("x", "a", "begins", true); !errors.Is(err, notes.ErrNotFound) {
+	if _, err := p.DriveRelease("x", "a", "begins", true); !errors.Is(err, notes.ErrNotFound) {
 		t.Errorf("continued a release that nobody has started: %v", err)
 	}
-	if r, err := p.GoOnRelease("x", "a", "begins", false); err != nil || r.State != "asking" {
+	if r, err := p.DriveRelease("x", "a", "begins", false); err != nil || r.State != "asking" {
 		t.Fatal(r, err)
 	}
 	p.tickOnce()
-	if r, err := p.GoOnRelease("x", "a", "forth 1/2", true); err != nil || r.State != "held" || r.Stage != "forth 1/2" {
+	if r, err := p.DriveRelease("x", "a", "forth 1/2", true); err != nil || r.State != "held" || r.Stage != "forth 1/2" {
 		t.Errorf("%+v, %v", r, err)
 	}
-	var running *ErrRuns
-	if _, err := p.GoOnRelease("x", "b", "", false); !errors.As(err, &running) || running.DriverGone ||
-		running.By != "a" || running.Stage != "forth 1/2" {
+	var running *ReleaseRunningError
+	if _, err := p.DriveRelease("x", "b", "", false); !errors.As(err, &running) || running.DriverGone ||
+		running.Driver != "a" || running.Stage != "forth 1/2" {
 		t.Errorf("a second driver: %v", err)
 	}
 	p.driverHeardAt, p.releaseOwner = 0, 1 // router 1 owned the release until now
 	p.tickOnce()
-	if _, err := p.GoOnRelease("x", "b", "", false); !errors.As(err, &running) || running.DriverGone {
+	if _, err := p.DriveRelease("x", "b", "", false); !errors.As(err, &running) || running.DriverGone {
 		t.Errorf("a second driver, at a new owner: %v", err)
 	}
 	p.driverHeardAt -= DriverTimeout + time.Second
-	if _, err := p.GoOnRelease("y", "b", "", false); !errors.As(err, &running) || !running.DriverGone {
+	if _, err := p.DriveRelease("y", "b", "", false); !errors.As(err, &running) || !running.DriverGone {
 		t.Errorf("another release, after the driver has gone: %v", err)
 	}
-	if r, err := p.GoOnRelease("x", "b", "forth 1/2", false); err != nil || r.By != "b" {
+	if r, err := p.DriveRelease("x", "b", "forth 1/2", false); err != nil || r.Driver != "b" {
 		t.Errorf("the next driver: %+v, %v", r, err)
 	}
 	if err := p.EndRelease("y"); !errors.Is(err, notes.ErrNotFound) {
@@ -88,7 +88,7 @@
 	if err := p.EndRelease("x"); err != nil {
 		t.Error(err)
 	}
-	if _, err := p.GoOnRelease("x", "b", "", true); !errors.Is(err, ErrEnded) {
+	if _, err := p.DriveRelease("x", "b", "", true); !errors.Is(err, ErrReleaseEnded) {
 		t.Errorf("continued a release that was ended: %v", err)
 	}
 }
@@ -96,7 +96,7 @@
 // Operators can drain a listed slot cache once, and activate it again even after it has left the list.
 func TestDrainAndActivate(t *testing.T) {
 	p := newOnlyVoter(t)
-	if err := p.DrainCache("s-1", time.Hour, 0); !errors.Is(err, ErrNoCache) {
+	if err := p.DrainCache("s-1", time.Hour, 0); !errors.Is(err, ErrUnknownCache) {
 		t.Errorf("drained a slot cache that is not listed: %v", err)
 	}
 	if err := p.ActivateCache("s-00000010"); !errors.Is(err, notes.ErrNotFound) {
@@ -105,23 +105,23 @@
 	if err := p.DrainCache("s-00000010", time.Hour, 0); err != nil {
 		t.Fatal(err)
 	}
-	if d := p.Report().Drains; len(d) != 1 || d[0].State != "asking" || d[0].Ends < 3590 {
+	if d := p.Report().Drains; len(d) != 1 || d[0].State != "asking" || d[0].EndsInSeconds < 3590 {
 		t.Errorf("%+v", d)
 	}
 	p.tickOnce()
 	p.tickOnce()
-	if d := p.Report().Drains; len(d) != 1 || d[0].State != "out" || d[0].Cache != "s-00000010" || !p.settings.Aside.IsDrained(0x10) {
+	if d := p.Report().Drains; len(d) != 1 || d[0].State != "out" || d[0].Cache != "s-00000010" || !p.settings.Drains.IsDrained(0x10) {
 		t.Errorf("%+v", d)
 	}
 	var taken *notes.AlreadyManagedError
 	if err := p.DrainCache("s-00000010", time.Hour, 0); !errors.As(err, &taken) {
 		t.Errorf("drained twice: %v", err)
 	}
-	p.settings.Aside.Told(hoptiller.ListFull, nil) // the slot cache has left the list, and can be activated all the same
+	p.settings.Drains.Told(hoptiller.ListFull, nil) // the slot cache has left the list, and can be activated all the same
 	if err := p.ActivateCache("s-00000010"); err != nil {
 		t.Error(err)
 	}
-	if p.tickOnce(); len(p.Report().Drains) > 0 || p.settings.Aside.IsDrained(0x10) {
+	if p.tickOnce(); len(p.Report().Drains) > 0 || p.settings.Drains.IsDrained(0x10) {
 		t.Errorf("still drained: %+v", p.Report().Drains)
 	}
 }
--- a/internal/fleet/peers/fetch.go
+++ b/internal/fleet/peers/fetch.go
@@ -14,16 +14,16 @@
 	maxReportBytes = 64 << 20 // enough for the report on 65,535 routers
 )
 
-// Ask requests one router's view of the fleet from its operators' interface at addr. The result holds the view or an error
+// FetchReport requests one router's view of the fleet from its operators' interface at addr. The result holds the view or an error
 // text.
-func Ask(ctx context.Context, addr string) (result Asked) {
+func FetchReport(ctx context.Context, addr string) (result FetchResult) {
 	result.Addr = addr
 	view, err := fetch(ctx, addr)
 	if err != nil {
 		result.Err = err.Error()
 		return result
 	}
-	result.View = view
+	result.Report = view
 	return result
 }
 
--- a/internal/fleet/peers/many_test.go
+++ b/internal/fleet/peers/many_test.go
@@ -112,7 +112,7 @@
 	if s.Undecodable+s.Misaddressed > 0 || s.Unknown > 0 || s.Alive+s.Suspect+s.Dead != routers {
 		t.Errorf("%+v", s)
 	}
-	if s.SentBytes > view.MostBytes*s.Sent {
+	if s.SentBytes > view.MaxDatagramBytes*s.Sent {
 		t.Errorf("%d datagrams have %d bytes in all", s.Sent, s.SentBytes)
 	}
 }
@@ -122,12 +122,12 @@
 	p := newOnlyVoter(t)
 	for range 3 {
 		for i := range uint32(view.MaxObservations + 10) {
-			p.Saw(i, view.SeenDown)
+			p.Observe(i, view.ObservedDown)
 		}
 	}
-	p.Saw(5, view.SeenBack)
+	p.Observe(5, view.ObservedUp)
 	if len(p.pendingObservations) != view.MaxObservations ||
-		p.pendingObservations[5] != view.SeenBack || p.pendingObservations[6] != view.SeenDown {
+		p.pendingObservations[5] != view.ObservedUp || p.pendingObservations[6] != view.ObservedDown {
 		t.Errorf("%d observations are pending, that of slot cache 5 is %v", len(p.pendingObservations), p.pendingObservations[5])
 	}
 }
@@ -144,7 +144,7 @@
 	for i := range uint32(caches) {
 		list = append(list, relay.Server{Server: hoptiller.Server{ID: i + 1, Phase: hoptiller.Ready}, Name: fmt.Sprintf("s-%08x", i+1)})
 	}
-	p.settings.Aside.Told(hoptiller.ListFull, list)
+	p.settings.Drains.Told(hoptiller.ListFull, list)
 	for i := range list {
 		if err := p.DrainCache(list[i].Name, time.Hour, 0); err != nil {
 			t.Fatal(err)
@@ -158,7 +158,7 @@
 			drained++
 		}
 	}
-	if drained != caches || !p.settings.Aside.IsDrained(1) || !p.settings.Aside.IsDrained(caches) {
+	if drained != caches || !p.settings.Drains.IsDrained(1) || !p.settings.Drains.IsDrained(caches) {
 		t.Errorf("%d slot caches are drained, want %d", drained, caches)
 	}
 	for i := range list {
@@ -166,7 +166,7 @@
 			t.Fatal(err)
 		}
 	}
-	if p.tickOnce(); len(p.Report().Drains) > 0 || p.settings.Aside.IsDrained(1) {
+	if p.tickOnce(); len(p.Report().Drains) > 0 || p.settings.Drains.IsDrained(1) {
 		t.Errorf("%d slot caches are still drained", len(p.Report().Drains))
 	}
 }
--- a/internal/fleet/peers/observations_test.go
+++ b/internal/fleet/peers/observations_test.go
@@ -18,12 +18,12 @@
 	defer running.Wait()
 	defer cancel()
 	var routers [2]*Peers
-	var observed [2]chan view.Sight
+	var observed [2]chan view.Observation
 	for i := range routers {
-		observed[i] = make(chan view.Sight, 1)
+		observed[i] = make(chan view.Observation, 1)
 		p, err := New(Settings{Self: i, Listen: addrs[i], Addrs: addrs, Seed: uint64(i),
-			Phase: func() view.Phase { return view.Serving }, Tell: func() view.Details { return view.Details{} },
-			Sighted: func(o view.Sight) {
+			Phase: func() view.Phase { return view.Serving }, Details: func() view.Details { return view.Details{} },
+			OnObservation: func(o view.Observation) {
 				select {
 				case observed[i] <- o:
 				default: // the callback is called repeatedly
@@ -35,9 +35,9 @@
 		routers[i] = p
 		running.Go(func() { p.Run(ctx) })
 	}
-	routers[0].Saw(7, view.SeenDown)
+	routers[0].Observe(7, view.ObservedDown)
 	for i := range observed {
-		if o := testprog.Await(t, observed[i], "an observation"); o.Cache != 7 || o.State != view.SeenDown {
+		if o := testprog.Await(t, observed[i], "an observation"); o.CacheID != 7 || o.State != view.ObservedDown {
 			t.Errorf("router %d: %+v", i, o)
 		}
 	}
@@ -46,19 +46,19 @@
 // A new observation is passed to the callback with the datagram that contains it, and not only with the next tick. Until a
 // router knows that a slot cache is back, it sends that slot cache its full share of requests.
 func TestObservationIsPassedOnAtOnce(t *testing.T) {
-	other := view.New(view.Config{Self: 1, Of: 2, Start: time.Now()})
-	other.Observe(view.Sight{Cache: 7, State: view.SeenBack})
+	other := view.New(view.Config{Self: 1, RouterCount: 2, Start: time.Now()})
+	other.Observe(view.Observation{CacheID: 7, State: view.ObservedUp})
 	other.Tick(0)
-	var passed []view.Sight
+	var passed []view.Observation
 	p, err := New(Settings{Self: 0, Listen: "127.0.0.1:0", Addrs: []string{"127.0.0.1:1", "127.0.0.1:2"},
-		Sighted: func(o view.Sight) { passed = append(passed, o) }})
+		OnObservation: func(o view.Observation) { passed = append(passed, o) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, datagram := range other.Out() {
+	for _, datagram := range other.Outgoing() {
 		p.handleDatagram(1, datagram.Body)
 	}
-	if len(passed) != 1 || passed[0].Cache != 7 || passed[0].State != view.SeenBack {
+	if len(passed) != 1 || passed[0].CacheID != 7 || passed[0].State != view.ObservedUp {
 		t.Errorf("got observations %+v", passed)
 	}
 }
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -24,24 +24,24 @@
 
 // Settings are the parameters of a Peers.
 type Settings struct {
-	Self   int      // number of this router
-	Listen string   // address on which datagrams are received
-	Addrs  []string // addresses of all routers by number, this one included, as this router reaches them
-	Seed   uint64
-	Phase  func() view.Phase   // returns this router's current phase; called with each tick
-	Tell   func() view.Details // returns the details to publish about this router; called with each tick
+	Self    int      // number of this router
+	Listen  string   // address on which datagrams are received
+	Addrs   []string // addresses of all routers by number, this one included, as this router reaches them
+	Seed    uint64
+	Phase   func() view.Phase   // returns this router's current phase; called with each tick
+	Details func() view.Details // returns the details to publish about this router; called with each tick
 
-	Agent *permit.Agent  // this router's part in granting and acquiring permits; nil if there are no permits
-	Out   func(out bool) // called with true to send clients away and with false to accept them again; required with Agent
+	Agent           *permit.Agent  // this router's part in granting and acquiring permits; nil if there are no permits
+	SetOutOfService func(out bool) // called with true to send clients away and with false to accept them again; required with Agent
 
 	Caches func() []hoptiller.CacheState // returns the state of the slot caches as this router knows it; required with Agent
-	Aside  *drains.Filter                // drains slot caches; required with Agent
+	Drains *drains.Filter                // drains slot caches; required with Agent
 
-	// Sighted, if set, is called with what any router, this one included, observed of slot caches: with a new observation when the
+	// OnObservation, if set, is called with what any router, this one included, observed of slot caches: with a new observation when the
 	// datagram arrives that contains it, and with all observations that are kept at each tick.
-	Sighted func(view.Sight)
+	OnObservation func(view.Observation)
 
-	Wrap func(*net.UDPConn) Conn // if set, wraps each socket
+	WrapConn func(*net.UDPConn) Conn // if set, wraps each socket
 }
 
 // Conn sends and receives datagrams. *net.UDPConn implements it.
@@ -81,16 +81,16 @@
 	pendingObservations map[uint32]view.ObservedState // latest one of each slot cache since the last tick; nil if none
 }
 
-// MostRouters is the greatest number of routers that datagrams can tell apart.
-const MostRouters = 65535
+// MaxRouters is the greatest number of routers that datagrams can tell apart.
+const MaxRouters = 65535
 
 // New returns a Peers that does not run yet. The error states in one line why there can be no view with these settings.
 func New(settings Settings) (*Peers, error) {
 	if len(settings.Addrs) < 2 {
 		return nil, errors.New("no other routers are configured")
 	}
-	if len(settings.Addrs) > MostRouters {
-		return nil, fmt.Errorf("%d routers are too many, the maximum is %d", len(settings.Addrs), MostRouters)
+	if len(settings.Addrs) > MaxRouters {
+		return nil, fmt.Errorf("%d routers are too many, the maximum is %d", len(settings.Addrs), MaxRouters)
 	}
 	if settings.Self < 0 || settings.Self >= len(settings.Addrs) {
 		return nil, fmt.Errorf("this is router %d, but the list has addresses of %d routers", settings.Self, len(settings.Addrs))
@@ -117,7 +117,7 @@
 		settings.Agent.Start(0)
 		p.leases = notes.NewManager(0, settings.Agent)
 	}
-	p.view = view.New(view.Config{Self: settings.Self, Of: len(settings.Addrs), Start: p.startTime, Seed: settings.Seed, Now: 0})
+	p.view = view.New(view.Config{Self: settings.Self, RouterCount: len(settings.Addrs), Start: p.startTime, Seed: settings.Seed, Now: 0})
 	return p, nil
 }
 
@@ -157,8 +157,8 @@
 		socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 		if err == nil {
 			var conn Conn = socket
-			if p.settings.Wrap != nil {
-				conn = p.settings.Wrap(socket)
+			if p.settings.WrapConn != nil {
+				conn = p.settings.WrapConn(socket)
 			}
 			p.mu.Lock()
 			p.conn = conn
@@ -185,7 +185,7 @@
 
 // receive handles the datagrams that arrive on conn until it is closed.
 func (p *Peers) receive(conn Conn) error {
-	b := make([]byte, 2*view.MostBytes) // longer than allowed, so that a datagram that is too long is detected and not cut off
+	b := make([]byte, 2*view.MaxDatagramBytes) // longer than allowed, so that a datagram that is too long is detected and not cut off
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
@@ -231,7 +231,7 @@
 			return
 		case <-timer.C:
 		}
-		phase, details := p.settings.Phase(), p.settings.Tell()
+		phase, details := p.settings.Phase(), p.settings.Details()
 		p.pendingMu.Lock()
 		pending := p.pendingObservations
 		p.pendingObservations = nil
@@ -242,19 +242,19 @@
 		p.view.SetDetails(details)
 		p.view.Tick(p.now())
 		for cache, state := range pending {
-			p.view.Observe(view.Sight{Cache: cache, State: state})
+			p.view.Observe(view.Observation{CacheID: cache, State: state})
 		}
 		p.view.NewObservations()
 		observations := p.view.Observations(p.now())
 		change := p.tickPermits()
 		currentDrains := p.currentDrains()
 		p.flush()
-		due, events := p.view.Next(), p.unloggedEvents
+		due, events := p.view.NextTick(), p.unloggedEvents
 		p.unloggedEvents = nil
 		p.mu.Unlock()
 		p.apply(change)
-		if p.settings.Aside != nil {
-			p.settings.Aside.SetDrains(p.now(), currentDrains)
+		if p.settings.Drains != nil {
+			p.settings.Drains.SetDrains(p.now(), currentDrains)
 		}
 		p.serviceMu.Unlock()
 		p.passOn(observations)
@@ -264,19 +264,19 @@
 }
 
 // passOn passes observations to the callback of the settings.
-func (p *Peers) passOn(observations []view.Sight) {
-	if p.settings.Sighted == nil {
+func (p *Peers) passOn(observations []view.Observation) {
+	if p.settings.OnObservation == nil {
 		return
 	}
 	for _, o := range observations {
-		p.settings.Sighted(o)
+		p.settings.OnObservation(o)
 	}
 }
 
 // flush sends the datagrams that the view, the permits and the leases have queued. The caller holds p.mu. It doesn't
 // retry: a datagram that can't be sent at once is lost.
 func (p *Peers) flush() {
-	for _, d := range p.view.Out() {
+	for _, d := range p.view.Outgoing() {
 		if p.conn == nil {
 			continue
 		}
@@ -316,8 +316,8 @@
 			continue
 		}
 		if counts[kind]++; counts[kind] <= maxLinesPerKind {
-			slog.Info(kind, "router", e.Who, "phase", e.After.Phase,
-				"start", time.UnixMilli(e.After.Inc.Start).UTC().Format(time.RFC3339Nano))
+			slog.Info(kind, "router", e.Router, "phase", e.After.Phase,
+				"start", time.UnixMilli(e.After.Incarnation.Start).UTC().Format(time.RFC3339Nano))
 			logged++
 		}
 	}
@@ -340,9 +340,9 @@
 		return ""
 	case !before.Known():
 		return "router joined"
-	case before.Inc.Start != after.Inc.Start:
+	case before.Incarnation.Start != after.Incarnation.Start:
 		return "router restarted"
-	case !before.Here():
+	case !before.AssumedAlive():
 		return "router back"
 	case before.Phase != after.Phase:
 		return "router changed phase"
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -31,8 +31,8 @@
 // run starts the view of a router. It runs until end is called or the test ends.
 func run(t testing.TB, self int, addrs []string) (p *Peers, end func()) {
 	p, err := New(Settings{Self: self, Listen: addrs[self], Addrs: addrs, Seed: uint64(self),
-		Phase: func() view.Phase { return view.Serving },
-		Tell:  func() view.Details { return view.Details{Version: 0xabc, Rate: uint16(self)} }})
+		Phase:   func() view.Phase { return view.Serving },
+		Details: func() view.Details { return view.Details{VersionHash: 0xabc, RequestRate: uint16(self)} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,11 +59,11 @@
 	agree := func(all ...*Peers) bool {
 		for _, p := range all {
 			r := p.Report()
-			if r.Sum != all[0].Report().Sum || r.Alive != 3 {
+			if r.Checksum != all[0].Report().Checksum || r.Alive != 3 {
 				return false
 			}
 			for i, m := range r.Members {
-				if m.Version != "00000abc" || m.Rate != i || m.Phase != "serving" || m.Start == "" {
+				if m.VersionHash != "00000abc" || m.RequestRate != i || m.Phase != "serving" || m.Start == "" {
 					return false
 				}
 			}
@@ -71,14 +71,14 @@
 		return true
 	}
 	testprog.Until(t, "three views agree", func() bool { return agree(a, b, c) })
-	if lines := Differences([]Asked{{Addr: "a", View: a.Report()}, {Addr: "b", View: b.Report()}}); len(lines) > 0 {
+	if lines := Differences([]FetchResult{{Addr: "a", Report: a.Report()}, {Addr: "b", Report: b.Report()}}); len(lines) > 0 {
 		t.Errorf("views that agree have differences: %v", lines)
 	}
 	next, _ := run(t, 2, addrs)
 	leave()
 	testprog.Until(t, "the next process is known", func() bool {
 		r := a.Report()
-		return r.Alive == 3 && r.Members[2].Life == next.Report().Members[2].Life
+		return r.Alive == 3 && r.Members[2].Incarnation == next.Report().Members[2].Incarnation
 	})
 	if s := a.Summary(); s.Sent == 0 || s.ReceivedBytes == 0 || s.Undecodable+s.Misaddressed > 0 {
 		t.Errorf("%+v", s)
@@ -118,12 +118,12 @@
 // most routers.
 func TestDifferences(t *testing.T) {
 	member := func(number int, state, version string) Member {
-		return Member{Number: number, State: state, Phase: "serving", Life: "1.0", Version: version}
+		return Member{Number: number, State: state, Phase: "serving", Incarnation: "1.0", VersionHash: version}
 	}
 	a := &Report{Self: 0, Members: []Member{member(0, "alive", "aa"), member(1, "alive", "aa"), member(2, "alive", "bb"),
 		member(3, "unknown", "")}}
 	b := &Report{Self: 1, Members: []Member{member(0, "alive", "aa"), member(1, "suspect", "aa"), member(2, "dead", "bb")}}
-	got := strings.Join(Differences([]Asked{{Addr: "a:1", View: a}, {Addr: "b:1", View: b}, {Addr: "c:1", Err: "away"}}), "\n")
+	got := strings.Join(Differences([]FetchResult{{Addr: "a:1", Report: a}, {Addr: "b:1", Report: b}, {Addr: "c:1", Err: "away"}}), "\n")
 	want := `router 2: alive serving life 1.0 at a:1; dead serving life 1.0 at b:1
 router 3: not in the list at b:1; unknown at a:1
 program aa at 2 routers, bb at 1: 2`
@@ -134,7 +134,7 @@
 
 // Each kind of change has its own log message; a suspicion has none.
 func TestEventMessage(t *testing.T) {
-	alive, restarted := view.Member{Inc: view.Incarnation{Start: 1}}, view.Member{Inc: view.Incarnation{Start: 2}}
+	alive, restarted := view.Member{Incarnation: view.Incarnation{Start: 1}}, view.Member{Incarnation: view.Incarnation{Start: 2}}
 	dead, left, draining, suspect := alive, alive, alive, alive
 	dead.State, left.State, draining.Phase, suspect.State = view.Dead, view.Left, view.Draining, view.Suspect
 	for want, e := range map[string]view.Event{
--- a/internal/fleet/peers/permits.go
+++ b/internal/fleet/peers/permits.go
@@ -30,7 +30,7 @@
 		RouterZone: func(i int) int { return int(p.view.Members()[i].Details.Zone) - 1 }}
 	for i := range p.view.Members() {
 		m := &p.view.Members()[i]
-		if m.Here() {
+		if m.AssumedAlive() {
 			state.AliveCount++
 		}
 		if m.Known() && (m.State != view.Alive || m.Phase != view.Serving) {
@@ -88,9 +88,9 @@
 	switch change {
 	case goOutOfService:
 		slog.Info("permit held", "router", p.settings.Self)
-		p.settings.Out(true)
+		p.settings.SetOutOfService(true)
 	case returnToService:
-		p.settings.Out(false)
+		p.settings.SetOutOfService(false)
 		slog.Warn("permit lost, serving again", "router", p.settings.Self)
 		p.returnPermit()
 	}
@@ -103,18 +103,18 @@
 	p.flush()
 }
 
-// GoOut requests a permit for this router to be out of service, and returns the status of the permit. Once the permit is
+// GoOutOfService requests a permit for this router to be out of service, and returns the status of the permit. Once the permit is
 // granted, this router is drained.
-func (p *Peers) GoOut() Out {
+func (p *Peers) GoOutOfService() PermitStatus {
 	p.mu.Lock()
 	p.settings.Agent.Acquire(p.now())
 	p.flush()
 	p.mu.Unlock()
-	return p.Out()
+	return p.PermitStatus()
 }
 
-// ComeBack returns this router to service, or cancels its request for a permit.
-func (p *Peers) ComeBack() Out {
+// ReturnToService returns this router to service, or cancels its request for a permit.
+func (p *Peers) ReturnToService() PermitStatus {
 	p.serviceMu.Lock()
 	defer p.serviceMu.Unlock()
 	p.mu.Lock()
@@ -122,31 +122,31 @@
 	p.outOfService = false
 	p.mu.Unlock()
 	if wasOut {
-		p.settings.Out(false)
+		p.settings.SetOutOfService(false)
 		slog.Info("permit given back", "router", p.settings.Self)
 	}
 	p.returnPermit()
-	return p.Out()
+	return p.PermitStatus()
 }
 
 // Bounds limit how many routers and slot caches may be out of service at once. The zero value of a limit per zone means no
 // limit.
 type Bounds struct{ Fleet, Zone, Caches, CacheZone permit.Bound }
 
-// Bound sets the bounds. A permit that was granted under other bounds stays valid until it ends.
-func (p *Peers) Bound(b Bounds) {
+// SetBounds sets the bounds. A permit that was granted under other bounds stays valid until it ends.
+func (p *Peers) SetBounds(b Bounds) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	agent := p.settings.Agent
 	agent.MaxRouters, agent.MaxRoutersPerZone, agent.MaxCaches, agent.MaxCachesPerZone = b.Fleet, b.Zone, b.Caches, b.CacheZone
 }
 
-// Out is the status of this router's permit, with the other permits that it knows as a voter.
-type Out struct {
+// PermitStatus is the status of this router's permit, with the other permits that it knows as a voter.
+type PermitStatus struct {
 	State            string   `json:"state"`            // none, asking, out or ended
 	RemainingSeconds float64  `json:"left_s,omitempty"` // seconds until the permit ends if it is not renewed
-	Why              string   `json:"why,omitempty"`    // why the permit was last refused
-	Most             int      `json:"most"`             // number of routers that may be out of service at once
+	Reason           string   `json:"why,omitempty"`    // why the permit was last refused
+	MaxOutOfService  int      `json:"most"`             // number of routers that may be out of service at once
 	Voter            bool     `json:"elector"`          // this router is a voter
 	Silent           bool     `json:"silent,omitempty"` // this router is a voter that started recently and grants nothing yet
 	Holders          []string `json:"holders,omitempty"`
@@ -168,16 +168,16 @@
 	return text + "releases"
 }
 
-// Out returns the status of this router's permit.
-func (p *Peers) Out() Out {
+// PermitStatus returns the status of this router's permit.
+func (p *Peers) PermitStatus() PermitStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	status := p.settings.Agent.Status(p.now())
-	out := Out{
+	out := PermitStatus{
 		State: [...]string{
 			permit.Idle: "none", permit.Requesting: "asking", permit.Holding: "out", permit.Ended: "ended",
 		}[status.Phase],
-		RemainingSeconds: status.Remaining.Seconds(), Why: status.Reason, Most: p.settings.Agent.MaxRouters.Limit(p.settings.Agent.RouterCount),
+		RemainingSeconds: status.Remaining.Seconds(), Reason: status.Reason, MaxOutOfService: p.settings.Agent.MaxRouters.Limit(p.settings.Agent.RouterCount),
 		Voter: status.IsVoter, Silent: status.Silent}
 	for _, h := range status.Holders {
 		out.Holders = append(out.Holders, describeHolder(h))
--- a/internal/fleet/peers/report.go
+++ b/internal/fleet/peers/report.go
@@ -9,40 +9,40 @@
 
 // Member is a router in a Report.
 type Member struct {
-	Number   int     `json:"number"`
-	State    string  `json:"state"` // alive, suspect, dead, left, or unknown if the router was never heard of
-	Phase    string  `json:"phase,omitempty"`
-	Start    string  `json:"start,omitempty"`    // start time of the router's process by its own clock
-	Life     string  `json:"life,omitempty"`     // incarnation: start in ms since 1970, a dot, count
-	Since    float64 `json:"since_s"`            // seconds since the state or the process changed last
-	Version  string  `json:"version,omitempty"`  // hash of the program's version in hexadecimal digits
-	Settings string  `json:"settings,omitempty"` // hash of the settings in hexadecimal digits
-	Rate     int     `json:"requests_per_s"`
-	Zone     *int    `json:"zone,omitempty"`               // number of the router's zone, if it is known
-	Twice    bool    `json:"number_taken_twice,omitempty"` // another router uses the same number
+	Number          int     `json:"number"`
+	State           string  `json:"state"` // alive, suspect, dead, left, or unknown if the router was never heard of
+	Phase           string  `json:"phase,omitempty"`
+	Start           string  `json:"start,omitempty"`    // start time of the router's process by its own clock
+	Incarnation     string  `json:"life,omitempty"`     // incarnation: start in ms since 1970, a dot, count
+	SinceSeconds    float64 `json:"since_s"`            // seconds since the state or the process changed last
+	VersionHash     string  `json:"version,omitempty"`  // hash of the program's version in hexadecimal digits
+	SettingsHash    string  `json:"settings,omitempty"` // hash of the settings in hexadecimal digits
+	RequestRate     int     `json:"requests_per_s"`
+	Zone            *int    `json:"zone,omitempty"`               // number of the router's zone, if it is known
+	DuplicateNumber bool    `json:"number_taken_twice,omitempty"` // another router uses the same number
 }
 
 // CacheObservation is what a router observed of a slot cache before the list of cache servers showed it.
 type CacheObservation struct {
-	ID    string  `json:"id"`
-	State string  `json:"state"` // down or back
-	Age   float64 `json:"age_s"`
+	ID         string  `json:"id"`
+	State      string  `json:"state"` // down or back
+	AgeSeconds float64 `json:"age_s"`
 }
 
-// Charges are the drains of slot caches and the release that operators have requested of the whole fleet.
-type Charges struct {
-	Drains  []Drained `json:"drains,omitempty"` // slot caches that are drained or are to be drained
-	Release *Running  `json:"release,omitempty"`
+// FleetLeases are the drains of slot caches and the release that operators have requested of the whole fleet.
+type FleetLeases struct {
+	Drains  []CacheDrain    `json:"drains,omitempty"` // slot caches that are drained or are to be drained
+	Release *RunningRelease `json:"release,omitempty"`
 }
 
 // Report is a router's view of the fleet, for operators.
 type Report struct {
-	Self    int                `json:"self"`
-	Sum     string             `json:"sum"` // checksum, equal in all views that agree
-	Members []Member           `json:"members"`
-	Caches  []CacheObservation `json:"caches,omitempty"` // observations of slot caches
-	Out     *Out               `json:"out,omitempty"`    // permits that this router knows
-	Charges
+	Self         int                `json:"self"`
+	Checksum     string             `json:"sum"` // checksum, equal in all views that agree
+	Members      []Member           `json:"members"`
+	Observations []CacheObservation `json:"caches,omitempty"` // observations of slot caches
+	Permit       *PermitStatus      `json:"out,omitempty"`    // permits that this router knows
+	FleetLeases
 	Summary
 }
 
@@ -53,7 +53,7 @@
 	Dead           int    `json:"dead"`
 	Left           int    `json:"left"`
 	Unknown        int    `json:"unknown"`
-	Health         int    `json:"health"` // score from 0, the best, to 4
+	HealthScore    int    `json:"health"` // score from 0, the best, to 4
 	Sent           uint64 `json:"datagrams_sent"`
 	SentBytes      uint64 `json:"bytes_sent"`
 	Received       uint64 `json:"datagrams_received"`
@@ -74,17 +74,17 @@
 	return p.summary()
 }
 
-// Sum returns a checksum of the view. It is equal for two views that agree on all routers, suspicions aside.
-func (p *Peers) Sum() uint32 {
+// Checksum returns a checksum of the view. It is equal for two views that agree on all routers, suspicions aside.
+func (p *Peers) Checksum() uint32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.Sum()
+	return p.view.Checksum()
 }
 
 // summary returns the current summary. The caller holds p.mu.
 func (p *Peers) summary() *Summary {
 	counts := p.view.Counts()
-	s := &Summary{Health: p.view.HealthScore(), Sent: counts.Sent, SentBytes: counts.SentBytes, Received: counts.Received,
+	s := &Summary{HealthScore: p.view.HealthScore(), Sent: counts.Sent, SentBytes: counts.SentBytes, Received: counts.Received,
 		ReceivedBytes: counts.ReceivedBytes, Undecodable: counts.Undecodable, Misaddressed: counts.Misaddressed,
 		SendFailures: p.sendFailures, ProbesFailed: counts.ProbesFailed, Refutations: counts.Refutations, Stalls: counts.Stalls,
 		DuplicateCount: p.view.DuplicateCount()}
@@ -105,17 +105,17 @@
 
 // Report returns the current report.
 func (p *Peers) Report() *Report {
-	var permitStatus *Out
+	var permitStatus *PermitStatus
 	if p.settings.Agent != nil {
-		status := p.Out()
+		status := p.PermitStatus()
 		permitStatus = &status
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	r := &Report{Self: p.settings.Self, Sum: fmt.Sprintf("%08x", p.view.Sum()), Summary: *p.summary(), Out: permitStatus}
+	r := &Report{Self: p.settings.Self, Checksum: fmt.Sprintf("%08x", p.view.Checksum()), Summary: *p.summary(), Permit: permitStatus}
 	if p.leases != nil {
-		if p.settings.Aside != nil {
+		if p.settings.Drains != nil {
 			r.Drains = p.reportDrains()
 		}
 		if running, known := p.runningRelease(); known {
@@ -128,28 +128,28 @@
 			r.Members = append(r.Members, Member{Number: i, State: "unknown"})
 			continue
 		}
-		member := Member{Number: i, State: m.State.String(), Phase: m.Phase.String(), Since: (now - m.Since).Seconds(),
-			Start: time.UnixMilli(m.Inc.Start).UTC().Format(time.RFC3339Nano), Life: fmt.Sprintf("%d.%d", m.Inc.Start, m.Inc.Count)}
+		member := Member{Number: i, State: m.State.String(), Phase: m.Phase.String(), SinceSeconds: (now - m.Since).Seconds(),
+			Start: time.UnixMilli(m.Incarnation.Start).UTC().Format(time.RFC3339Nano), Incarnation: fmt.Sprintf("%d.%d", m.Incarnation.Start, m.Incarnation.Count)}
 		if d := &m.Details; d.Seq != 0 {
 			if d.Zone > 0 {
 				zone := int(d.Zone) - 1
 				member.Zone = &zone
 			}
-			member.Version, member.Settings, member.Rate, member.Twice =
-				fmt.Sprintf("%08x", d.Version), fmt.Sprintf("%08x", d.Settings), int(d.Rate), d.DuplicateNumber
+			member.VersionHash, member.SettingsHash, member.RequestRate, member.DuplicateNumber =
+				fmt.Sprintf("%08x", d.VersionHash), fmt.Sprintf("%08x", d.SettingsHash), int(d.RequestRate), d.DuplicateNumber
 		}
 		r.Members = append(r.Members, member)
 	}
 	for _, o := range p.view.Observations(now) {
-		r.Caches = append(r.Caches, CacheObservation{fmt.Sprintf("s-%08x", o.Cache),
-			map[view.ObservedState]string{view.SeenDown: "down", view.SeenBack: "back"}[o.State], o.Age.Seconds()})
+		r.Observations = append(r.Observations, CacheObservation{fmt.Sprintf("s-%08x", o.CacheID),
+			map[view.ObservedState]string{view.ObservedDown: "down", view.ObservedUp: "back"}[o.State], o.Age.Seconds()})
 	}
 	return r
 }
 
-// Saw records what this router observed of a slot cache, to be spread with the next tick. It doesn't wait for the view,
+// Observe records what this router observed of a slot cache, to be spread with the next tick. It doesn't wait for the view,
 // because its callers are processing requests.
-func (p *Peers) Saw(cache uint32, state view.ObservedState) {
+func (p *Peers) Observe(cache uint32, state view.ObservedState) {
 	p.pendingMu.Lock()
 	defer p.pendingMu.Unlock()
 	if p.pendingObservations == nil {
--- a/internal/fleet/rollout/driver_test.go
+++ b/internal/fleet/rollout/driver_test.go
@@ -212,10 +212,10 @@
 // TestHoldLease checks that the driver reads the answer that grants the release lease even if it lists as many drained slot
 // caches as a fleet can have.
 func TestHoldLease(t *testing.T) {
-	fleetLeases := peers.Charges{Release: &peers.Running{ID: "x", State: "held"}}
+	fleetLeases := peers.FleetLeases{Release: &peers.RunningRelease{ID: "x", State: "held"}}
 	for range notes.MaxLeases {
-		fleetLeases.Drains = append(fleetLeases.Drains, peers.Drained{Cache: "s-98cf084c", State: "asking",
-			Why: "held by another: slot cache s-b0caaea8 has place 0"})
+		fleetLeases.Drains = append(fleetLeases.Drains, peers.CacheDrain{Cache: "s-98cf084c", State: "asking",
+			Reason: "held by another: slot cache s-b0caaea8 has place 0"})
 	}
 	s := httptest.NewServer(http.HandlerFunc(
 		func(w http.ResponseWriter, r *http.Request) { json.NewEncoder(w).Encode(fleetLeases) }))
@@ -230,9 +230,9 @@
 // that does not answer is what most others report.
 func TestState(t *testing.T) {
 	newReport := func(self int, phase2, start2 string) *peers.Report {
-		r := &peers.Report{Self: self, Sum: "s", Out: &peers.Out{State: "none"}}
+		r := &peers.Report{Self: self, Checksum: "s", Permit: &peers.PermitStatus{State: "none"}}
 		for n := range 4 {
-			r.Members = append(r.Members, peers.Member{Number: n, State: "alive", Phase: "serving", Start: "1", Settings: "aa"})
+			r.Members = append(r.Members, peers.Member{Number: n, State: "alive", Phase: "serving", Start: "1", SettingsHash: "aa"})
 		}
 		r.Members[2].Phase, r.Members[2].Start = phase2, start2
 		r.Members[3].State = "dead"
--- a/internal/fleet/rollout/fleet.go
+++ b/internal/fleet/rollout/fleet.go
@@ -62,8 +62,8 @@
 	for _, n := range f.numbers {
 		g.Go(func() error {
 			a := answer{}
-			reply := peers.Ask(ctx, f.plan.Routers[n])
-			if a.view, a.err = reply.View, reply.Err; a.view != nil {
+			reply := peers.FetchReport(ctx, f.plan.Routers[n])
+			if a.view, a.err = reply.Report, reply.Err; a.view != nil {
 				a.metrics, _ = f.metrics(ctx, f.plan.Routers[n])
 			}
 			if a.view != nil && a.view.Self != n {
@@ -118,9 +118,9 @@
 // settings.
 func (f *fleet) revision(member *peers.Member) string {
 	if f.plan.Program != "" {
-		return member.Version
+		return member.VersionHash
 	}
-	return member.Settings
+	return member.SettingsHash
 }
 
 // targetRevision returns the revision of a changed router. The plan states either a program or settings.
@@ -157,8 +157,8 @@
 			router.Reached, router.Alive = true, true
 			router.Incarnation, router.Revision = own.Start, f.revision(own)
 			router.Serving = own.Phase == "serving" && agreeing*2 >= others
-			if ownReport.Out != nil {
-				router.PermitState, router.Reason = ownReport.Out.State, ownReport.Out.Why
+			if ownReport.Permit != nil {
+				router.PermitState, router.Reason = ownReport.Permit.State, ownReport.Permit.Reason
 			}
 			if router.PermitState == "none" && own.Phase == "draining" {
 				router.Reason = "it was drained by a call that does not belong to this release"
@@ -173,7 +173,7 @@
 				}
 			}
 			if own.Phase == "serving" {
-				checksums[ownReport.Sum] = true
+				checksums[ownReport.Checksum] = true
 			}
 		} else {
 			router.Reason = a.err
@@ -235,12 +235,12 @@
 			continue
 		case status == http.StatusOK:
 			d.leaseRouter = router
-			var fleetLeases peers.Charges
+			var fleetLeases peers.FleetLeases
 			if json.Unmarshal([]byte(text), &fleetLeases) == nil && fleetLeases.Release != nil && fleetLeases.Release.State == "held" {
 				d.leaseHeld = true
 				return true, "", false
 			} else if fleetLeases.Release != nil {
-				return false, "requested, but " + fleetLeases.Release.Why, false
+				return false, "requested, but " + fleetLeases.Release.Reason, false
 			}
 			return false, text, false
 		case status == http.StatusGone:
--- a/internal/fleet/rollout/plan.go
+++ b/internal/fleet/rollout/plan.go
@@ -27,8 +27,8 @@
 		switch a := answers[n]; {
 		case a.view == nil:
 			p.Find(report, "", n, "router", fmt.Sprintf("cannot query router %d: %s", n, a.err))
-		case a.view.Out != nil:
-			maxOut = a.view.Out.Most
+		case a.view.Permit != nil:
+			maxOut = a.view.Permit.MaxOutOfService
 			fleetSize = max(fleetSize, len(a.view.Members))
 		default:
 			p.Find(report, "", n, "router", fmt.Sprintf("router %d does not use permits to go out of service", n))
@@ -106,7 +106,7 @@
 	for _, n := range f.numbers {
 		if v := answers[n].view; v != nil && v.Release != nil {
 			fmt.Fprintf(w, "the fleet knows: release %s, %s, run by %s (%s), kept by router %d\n", v.Release.ID, v.Release.State,
-				v.Release.By, v.Release.Stage, v.Release.Router)
+				v.Release.Driver, v.Release.Stage, v.Release.Router)
 			return nil
 		}
 	}
--- a/internal/fleet/view/clone.go
+++ b/internal/fleet/view/clone.go
@@ -38,7 +38,7 @@
 	since := func(t int64) int64 { return int64(v.now) - t }
 	for i := range v.members {
 		m := &v.members[i]
-		appendInts(int64(m.State), int64(m.Phase), m.Inc.Start, int64(m.Inc.Count),
+		appendInts(int64(m.State), int64(m.Phase), m.Incarnation.Start, int64(m.Incarnation.Count),
 			int64(m.accusers), int64(m.sentCount), int64(m.heardCount))
 		if m.State == Suspect {
 			appendInts(since(int64(m.suspectedAt)))
--- a/internal/fleet/view/gossip.go
+++ b/internal/fleet/view/gossip.go
@@ -137,7 +137,7 @@
 // sendDatagram does what send does, and can add a comparison of the members to the datagram.
 func (v *View) sendDatagram(k kind, to int, seq uint32, subject int, withComparison bool, required []int) {
 	b := v.encodeOwnHead(k, to, seq, subject)
-	const end = MostBytes - checksumBytes
+	const end = MaxDatagramBytes - checksumBytes
 	if withComparison {
 		b = v.appendComparison(b, seq)
 	}
@@ -176,8 +176,8 @@
 // encodeOwnHead returns the encoded head of a datagram from this router.
 func (v *View) encodeOwnHead(k kind, to int, seq uint32, subject int) []byte {
 	h := head{kind: k, from: uint16(v.self), to: uint16(to), routerCount: uint16(v.routerCount), seq: seq, subject: uint16(subject),
-		inc: v.own.Inc, state: v.own.State, phase: v.own.Phase, viewChecksum: v.checksum}
-	return appendHead(make([]byte, 0, MostBytes), &h)
+		inc: v.own.Incarnation, state: v.own.State, phase: v.own.Phase, viewChecksum: v.checksum}
+	return appendHead(make([]byte, 0, MaxDatagramBytes), &h)
 }
 
 // queueDatagram adds the checksum to a datagram and queues it to be sent.
@@ -191,7 +191,7 @@
 // claimAbout returns a claim with what this router knows about a router.
 func (v *View) claimAbout(router int) claim {
 	m := &v.members[router]
-	c := claim{router: uint16(router), state: m.State, phase: m.Phase, inc: m.Inc}
+	c := claim{router: uint16(router), state: m.State, phase: m.Phase, inc: m.Incarnation}
 	if m.State == Suspect {
 		c.accusers, c.suspicionAge = m.accusers, v.now-m.suspectedAt
 	}
@@ -203,8 +203,8 @@
 // passes on about twenty details per second, so that each of n routers may publish new ones every n/10 seconds, and at
 // most every 2 seconds.
 func (v *View) SetDetails(d Details) {
-	same := d.Version == v.ownDetails.Version && d.Settings == v.ownDetails.Settings
-	v.ownDetails.Version, v.ownDetails.Settings, v.ownDetails.Rate, v.ownDetails.Zone = d.Version, d.Settings, d.Rate, d.Zone
+	same := d.VersionHash == v.ownDetails.VersionHash && d.SettingsHash == v.ownDetails.SettingsHash
+	v.ownDetails.VersionHash, v.ownDetails.SettingsHash, v.ownDetails.RequestRate, v.ownDetails.Zone = d.VersionHash, d.SettingsHash, d.RequestRate, d.Zone
 	if interval := max(2*time.Second, time.Duration(v.routerCount)*time.Second/10); v.own.Details.Seq == 0 || !same ||
 		v.now-v.detailsPublishedAt >= interval {
 		v.publishDetails()
@@ -237,7 +237,7 @@
 	}
 	m := &v.members[d.router]
 	// The details must come from the process that this view knows: those of a former process don't describe the present one.
-	if m.Known() && m.Inc.Start == d.start && (m.Details.Seq == 0 || int16(d.Seq-m.Details.Seq) > 0) {
+	if m.Known() && m.Incarnation.Start == d.start && (m.Details.Seq == 0 || int16(d.Seq-m.Details.Seq) > 0) {
 		v.storeDetails(int(d.router), d.Details)
 	}
 }
@@ -257,7 +257,7 @@
 		if m.detailsQueued = m.Details.Seq != 0; !m.detailsQueued { // the process that published them has ended
 			continue
 		}
-		d := detail{router: router, start: m.Inc.Start, Details: m.Details}
+		d := detail{router: router, start: m.Incarnation.Start, Details: m.Details}
 		b = appendDetail(b, &d)
 		b[section+1]++
 		m.detailsSentCount++
--- a/internal/fleet/view/member.go
+++ b/internal/fleet/view/member.go
@@ -72,29 +72,29 @@
 	return [...]string{"starting", "serving", "draining", "stopping"}[p&3]
 }
 
-// MostZone is the greatest zone number that details can carry, because datagrams have seven bits for it. It doesn't limit
+// MaxZone is the greatest zone number that details can carry, because datagrams have seven bits for it. It doesn't limit
 // the number of routers: routers of zones with greater numbers are announced as being in this zone, and permits count
 // them there.
-const MostZone = 126
+const MaxZone = 126
 
 // Details are what a router publishes about itself besides its phase. They spread in the space that membership updates
 // leave free in datagrams.
 type Details struct {
 	Seq             uint16 // sequence number, increased by each publication of a process; 0 if nothing is published yet
-	Version         uint32 // hash of the program's version
-	Settings        uint32 // hash of the router's settings
-	Rate            uint16 // client requests per second
+	VersionHash     uint32 // hash of the program's version
+	SettingsHash    uint32 // hash of the router's settings
+	RequestRate     uint16 // client requests per second
 	Zone            uint8  // number of the router's zone plus 1, at most MostZone + 1; 0 if the zone is not known
 	DuplicateNumber bool   // the router has met another router that uses its number
 }
 
 // Member is a router as a view knows it.
 type Member struct {
-	State   State
-	Phase   Phase
-	Inc     Incarnation
-	Details Details
-	Since   time.Duration // when the state or the process changed last, by the clock of the view's owner
+	State       State
+	Phase       Phase
+	Incarnation Incarnation
+	Details     Details
+	Since       time.Duration // when the state or the process changed last, by the clock of the view's owner
 
 	accusers    uint8         // bit set of the routers whose probes failed, see accuserBit; for suspects only
 	suspectedAt time.Duration // when the earliest known probe failed; for suspects only
@@ -109,10 +109,10 @@
 }
 
 // Known reports whether the router has ever been heard of.
-func (m *Member) Known() bool { return m.Inc.Start != 0 }
+func (m *Member) Known() bool { return m.Incarnation.Start != 0 }
 
-// Here reports whether the router is assumed to be alive: it is known, and its state is Alive or Suspect.
-func (m *Member) Here() bool { return m.Known() && m.State <= Suspect }
+// AssumedAlive reports whether the router is assumed to be alive: it is known, and its state is Alive or Suspect.
+func (m *Member) AssumedAlive() bool { return m.Known() && m.State <= Suspect }
 
 // claim is what a datagram says about one router.
 type claim struct {
@@ -127,7 +127,7 @@
 // supersedes reports whether a claim is to replace what is known about a member. The age of a suspicion and its accusers don't
 // matter here.
 func (c *claim) supersedes(m *Member) bool {
-	if d := c.inc.Compare(m.Inc); d != 0 {
+	if d := c.inc.Compare(m.Incarnation); d != 0 {
 		return d > 0
 	}
 	return c.state > m.State
--- a/internal/fleet/view/observations.go
+++ b/internal/fleet/view/observations.go
@@ -21,27 +21,27 @@
 
 	// observationsPerDatagram is the number of observations that fit into a datagram without other sections. Up to joinDatagrams
 	// such datagrams answer a ping from a router that has just joined.
-	observationsPerDatagram = (MostBytes - headBytes - sectionHeadBytes - checksumBytes) / observationBytes
+	observationsPerDatagram = (MaxDatagramBytes - headBytes - sectionHeadBytes - checksumBytes) / observationBytes
 	joinDatagrams           = 2
 )
 
 // storedObservation is the latest observation of a slot cache.
 type storedObservation struct {
-	Sight
+	Observation
 	at        time.Duration // when the observation was made, by this router's clock
 	sentCount uint8
 }
 
 // Observe spreads to the fleet what this router observed of a slot cache before the list of cache servers showed it.
-func (v *View) Observe(o Sight) { v.storeObservation(&o) }
+func (v *View) Observe(o Observation) { v.storeObservation(&o) }
 
 // Observations returns the latest observation of each slot cache by any router. They are at most a minute old.
-func (v *View) Observations(now time.Duration) (all []Sight) {
+func (v *View) Observations(now time.Duration) (all []Observation) {
 	return v.observationsSince(now, now-observationLifetime+1)
 }
 
 // NewObservations returns the observations that were stored since the last call.
-func (v *View) NewObservations() []Sight {
+func (v *View) NewObservations() []Observation {
 	observations := v.newObservations
 	v.newObservations = nil
 	return observations
@@ -49,7 +49,7 @@
 
 // storeObservation stores an observation if it is newer than the known one of its slot cache. If all space is taken, it
 // replaces the oldest observation, unless it is older itself.
-func (v *View) storeObservation(o *Sight) {
+func (v *View) storeObservation(o *Observation) {
 	at := v.now - o.Age
 	if o.Age >= observationLifetime {
 		return
@@ -57,7 +57,7 @@
 	oldest := -1
 	for i := range v.observations {
 		stored := &v.observations[i]
-		if stored.Cache == o.Cache {
+		if stored.CacheID == o.CacheID {
 			if at > stored.at+2*observationAgeUnit || o.State != stored.State && at > stored.at {
 				*stored = storedObservation{*o, at, 0}
 				v.newObservations = append(v.newObservations, *o)
@@ -111,7 +111,7 @@
 		}
 		stored := &v.observations[leastSent]
 		stored.sentCount++
-		o := stored.Sight
+		o := stored.Observation
 		o.Age = v.now - stored.at
 		b = appendObservation(b, &o)
 		b[section+1]++
@@ -141,18 +141,18 @@
 }
 
 // observationsSince returns the observations that were made at or after a moment, with their age now.
-func (v *View) observationsSince(now, moment time.Duration) (recent []Sight) {
+func (v *View) observationsSince(now, moment time.Duration) (recent []Observation) {
 	for _, stored := range v.observations {
 		if stored.at >= moment {
 			stored.Age = now - stored.at
-			recent = append(recent, stored.Sight)
+			recent = append(recent, stored.Observation)
 		}
 	}
 	return recent
 }
 
 // sendObservations sends a datagram that contains only observations, at most observationsPerDatagram of them.
-func (v *View) sendObservations(to int, observations []Sight) {
+func (v *View) sendObservations(to int, observations []Observation) {
 	b := v.encodeOwnHead(kindUpdate, to, 0, 0)
 	b = append(b, byte(tagObservations), byte(len(observations)))
 	for i := range observations {
--- a/internal/fleet/view/probe.go
+++ b/internal/fleet/view/probe.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// Period is the time between two probes that a router starts.
-	Period = 300 * time.Millisecond
+	// ProbeInterval is the time between two probes that a router starts.
+	ProbeInterval = 300 * time.Millisecond
 
 	// indirectProbers is the number of other routers that are asked to ping a target on behalf of a probe. A probe pings
 	// the target itself and through two others, three times, and ends after 1.2 s. At 10% loss it fails by chance once in
@@ -67,7 +67,7 @@
 // of what the others did meanwhile, and a missing answer proves nothing. The view then drops all probes and extends the time of
 // all suspects by the length of the stall.
 func (v *View) advanceClock(now time.Duration) {
-	if gap := now - v.Next(); gap > minStall {
+	if gap := now - v.NextTick(); gap > minStall {
 		v.counts.Stalls++
 		v.raiseHealthScore()
 		v.probes = v.probes[:0]
@@ -85,14 +85,14 @@
 func (v *View) Tick(now time.Duration) {
 	v.advanceClock(now)
 	if v.leaving {
-		v.nextProbeAt = now + Period
+		v.nextProbeAt = now + ProbeInterval
 		return
 	}
 	v.advanceProbes()
 	if now < v.nextProbeAt {
 		return
 	}
-	v.nextProbeAt = max(v.nextProbeAt+Period, now)
+	v.nextProbeAt = max(v.nextProbeAt+ProbeInterval, now)
 	v.repairBudget, v.recentChanges = maxRepairs, v.recentChanges*recentChangesDecay
 	v.dropExpiredObservations()
 	if v.suspectCount > 0 {
@@ -107,7 +107,7 @@
 	}
 	// The probes can't carry all eager updates when, for example, a third of the fleet joins or half of it fails.
 	if v.updates.eagerCount() > claimsPerDatagram {
-		for _, to := range v.pickOthers(extraUpdates, func(i int) bool { return v.members[i].Here() }) {
+		for _, to := range v.pickOthers(extraUpdates, func(i int) bool { return v.members[i].AssumedAlive() }) {
 			v.send(kindUpdate, to, 0, 0)
 		}
 	}
@@ -116,7 +116,7 @@
 // isAlone reports whether this router assumes no other router to be alive, as at its start.
 func (v *View) isAlone() bool {
 	for i := range v.members {
-		if i != v.self && v.members[i].Here() {
+		if i != v.self && v.members[i].AssumedAlive() {
 			return false
 		}
 	}
@@ -127,7 +127,7 @@
 func (v *View) declareDead() {
 	assumedAlive := 0
 	for i := range v.members {
-		if v.members[i].Here() {
+		if v.members[i].AssumedAlive() {
 			assumedAlive++
 		}
 	}
@@ -144,7 +144,7 @@
 			suspicionTime = maxSuspicionTime - (maxSuspicionTime-minSuspicionTime)*time.Duration(further)/time.Duration(needed)
 		}
 		if v.now-m.suspectedAt >= v.scaledByHealth(suspicionTime) {
-			v.setMember(i, Member{State: Dead, Phase: m.Phase, Inc: m.Inc})
+			v.setMember(i, Member{State: Dead, Phase: m.Phase, Incarnation: m.Incarnation})
 		}
 	}
 }
@@ -160,7 +160,7 @@
 			for len(v.probeOrder) > 0 {
 				i := int(v.probeOrder[len(v.probeOrder)-1])
 				v.probeOrder = v.probeOrder[:len(v.probeOrder)-1]
-				if v.members[i].Here() {
+				if v.members[i].AssumedAlive() {
 					return i, true, true
 				}
 			}
@@ -169,7 +169,7 @@
 			}
 			refilled = true
 			for i := range v.members {
-				if i != v.self && v.members[i].Here() {
+				if i != v.self && v.members[i].AssumedAlive() {
 					v.probeOrder = append(v.probeOrder, uint16(i))
 				}
 			}
@@ -179,7 +179,7 @@
 			}
 		}
 	}
-	if absent := v.pickOthers(1, func(i int) bool { return !v.members[i].Here() }); len(absent) > 0 {
+	if absent := v.pickOthers(1, func(i int) bool { return !v.members[i].AssumedAlive() }); len(absent) > 0 {
 		return absent[0], false, true
 	}
 	if v.probeCount%lookupInterval == 0 && v.routerCount > 1 {
@@ -230,7 +230,7 @@
 				v.ping(&p)
 			}
 			for _, prober := range v.pickOthers(indirectProbers, func(i int) bool {
-				return i != p.target && v.members[i].Here() && v.members[i].State == Alive
+				return i != p.target && v.members[i].AssumedAlive() && v.members[i].State == Alive
 			}) {
 				v.send(kindPingRequest, prober, p.seq, p.target)
 			}
@@ -251,9 +251,9 @@
 	v.raiseHealthScore()
 	m := &v.members[router]
 	switch {
-	case !m.Here():
+	case !m.AssumedAlive():
 	case m.State == Alive:
-		after := Member{State: Suspect, Phase: m.Phase, Inc: m.Inc, accusers: v.accuserBit(), suspectedAt: v.now}
+		after := Member{State: Suspect, Phase: m.Phase, Incarnation: m.Incarnation, accusers: v.accuserBit(), suspectedAt: v.now}
 		v.setMember(router, after)
 	default:
 		v.addAccusers(m, uint16(router), v.accuserBit())
@@ -287,7 +287,7 @@
 	switch m.kind {
 	case kindPing:
 		var required []int
-		if !v.members[from].Here() || v.members[from].State == Suspect {
+		if !v.members[from].AssumedAlive() || v.members[from].State == Suspect {
 			required = []int{from}
 		}
 		v.sendDatagram(kindAck, from, m.seq, v.self, v.wantsComparison(m), required)
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -10,11 +10,11 @@
 
 // Config holds the parameters of a view.
 type Config struct {
-	Self  int           // number of the router whose view it is
-	Of    int           // number of routers in the configuration, this one included; at most 65,535
-	Start time.Time     // start of this process by the wall clock
-	Seed  uint64        // seed of the random source
-	Now   time.Duration // current time by the view's own clock, which never steps
+	Self        int           // number of the router whose view it is
+	RouterCount int           // number of routers in the configuration, this one included; at most 65,535
+	Start       time.Time     // start of this process by the wall clock
+	Seed        uint64        // seed of the random source
+	Now         time.Duration // current time by the view's own clock, which never steps
 }
 
 // Datagram is a datagram that is to be sent to a router.
@@ -50,7 +50,7 @@
 	detailQueue  []uint16 // routers whose details are sent next, in this order
 	observations []storedObservation
 
-	newObservations []Sight // observations since the last call of NewObservations
+	newObservations []Observation // observations since the last call of NewObservations
 
 	probes             []probe
 	probeOrder         []uint16 // the rest of the current round of probes, which is taken from the end
@@ -75,19 +75,19 @@
 
 // Event is a change of a member of the view.
 type Event struct {
-	Who    int // number of the router that has changed
+	Router int // number of the router that has changed
 	Before Member
 	After  Member
 }
 
 // New returns the view of a router that knows only itself.
 func New(c Config) *View {
-	v := &View{self: c.Self, routerCount: c.Of, now: c.Now, rng: *rand.NewPCG(c.Seed, uint64(c.Self)), members: make([]Member, c.Of),
+	v := &View{self: c.Self, routerCount: c.RouterCount, now: c.Now, rng: *rand.NewPCG(c.Seed, uint64(c.Self)), members: make([]Member, c.RouterCount),
 		nextProbeAt: c.Now}
 	v.own = &v.members[c.Self]
 	v.lastSeq = uint32(v.rng.Uint64())
-	v.setMember(c.Self, Member{Inc: Incarnation{Start: max(1, c.Start.UnixMilli())}, Phase: Starting})
-	v.updates.setRouterCount(c.Of)
+	v.setMember(c.Self, Member{Incarnation: Incarnation{Start: max(1, c.Start.UnixMilli())}, Phase: Starting})
+	v.updates.setRouterCount(c.RouterCount)
 	return v
 }
 
@@ -101,8 +101,8 @@
 // probes, stalls of this process and suspicions against it.
 func (v *View) HealthScore() int { return v.healthScore }
 
-// Sum returns a checksum of the view. It is equal for two views that agree on all routers, suspicions aside.
-func (v *View) Sum() uint32 { return v.checksum }
+// Checksum returns a checksum of the view. It is equal for two views that agree on all routers, suspicions aside.
+func (v *View) Checksum() uint32 { return v.checksum }
 
 // DuplicateCount returns how often a claim with a later incarnation than this router's was made under this router's
 // number. One or two such claims may come from a former process, further ones come from another router with the same
@@ -116,15 +116,15 @@
 	return events
 }
 
-// Out returns the datagrams that are to be sent and were not returned by an earlier call.
-func (v *View) Out() []Datagram {
+// Outgoing returns the datagrams that are to be sent and were not returned by an earlier call.
+func (v *View) Outgoing() []Datagram {
 	outgoing := v.outgoing
 	v.outgoing = nil
 	return outgoing
 }
 
-// Next returns the time at which Tick is due.
-func (v *View) Next() time.Duration {
+// NextTick returns the time at which Tick is due.
+func (v *View) NextTick() time.Duration {
 	due := v.nextProbeAt
 	for i := range v.probes {
 		due = min(due, v.probes[i].dueAt)
@@ -139,10 +139,10 @@
 	old := v.members[router]
 	m.Details, m.detailsSentCount, m.detailsQueued, m.generation =
 		old.Details, old.detailsSentCount, old.detailsQueued, old.generation+1
-	if m.Inc.Start != old.Inc.Start { // the details describe the former process
+	if m.Incarnation.Start != old.Incarnation.Start { // the details describe the former process
 		m.Details = Details{}
 	}
-	if m.Since = old.Since; m.State != old.State || m.Inc.Start != old.Inc.Start {
+	if m.Since = old.Since; m.State != old.State || m.Incarnation.Start != old.Incarnation.Start {
 		m.Since = v.now
 	}
 	m.fingerprint = fingerprint(router, &m)
@@ -171,7 +171,7 @@
 	}
 	var b [12]byte
 	binary.BigEndian.PutUint16(b[:], uint16(router))
-	binary.BigEndian.PutUint64(b[2:], uint64(m.Inc.Start)<<16|uint64(m.Inc.Count))
+	binary.BigEndian.PutUint64(b[2:], uint64(m.Incarnation.Start)<<16|uint64(m.Incarnation.Count))
 	b[10], b[11] = byte(state), byte(m.Phase)
 	return xxhash.Sum64(b[:])
 }
@@ -182,7 +182,7 @@
 		return
 	}
 	m := *v.own
-	m.Phase, m.Inc = p, m.Inc.next()
+	m.Phase, m.Incarnation = p, m.Incarnation.next()
 	v.setMember(v.self, m)
 }
 
@@ -196,10 +196,10 @@
 	}
 	v.now, v.leaving = now, true
 	m := *v.own
-	m.State, m.Phase, m.Inc = Left, Stopping, m.Inc.next()
+	m.State, m.Phase, m.Incarnation = Left, Stopping, m.Incarnation.next()
 	v.setMember(v.self, m)
 	v.probes = nil
-	for _, to := range v.pickOthers(leaveNotices, func(i int) bool { return v.members[i].Here() }) {
+	for _, to := range v.pickOthers(leaveNotices, func(i int) bool { return v.members[i].AssumedAlive() }) {
 		v.send(kindUpdate, to, 0, 0)
 	}
 }
@@ -251,12 +251,12 @@
 	v.handleClaim(&claim{router: m.from, state: m.state, phase: m.phase, inc: m.inc})
 	// The datagram was delayed, or its sender restarted after its clock was set back. In the second case the sender must
 	// learn of the incarnation of its former process, so that it can take a later one.
-	if m.inc.Compare(v.members[from].Inc) < 0 {
+	if m.inc.Compare(v.members[from].Incarnation) < 0 {
 		v.updates.addCorrection(m.from, m.from)
 	}
 	for i := range m.claims {
 		if c := &m.claims[i]; int(c.router) < v.routerCount {
-			if isNew := v.handleClaim(c); !isNew && m.kind == kindExchange && c.inc.Compare(v.members[c.router].Inc) < 0 {
+			if isNew := v.handleClaim(c); !isNew && m.kind == kindExchange && c.inc.Compare(v.members[c.router].Incarnation) < 0 {
 				v.updates.addCorrection(m.from, c.router)
 			}
 		}
@@ -292,15 +292,15 @@
 		return false
 	}
 	if !c.supersedes(m) {
-		if c.state == Suspect && m.State == Suspect && c.inc == m.Inc {
+		if c.state == Suspect && m.State == Suspect && c.inc == m.Incarnation {
 			v.mergeSuspicion(m, c)
 		}
-		if c.inc == m.Inc && c.state == m.State && m.heardCount < 255 {
+		if c.inc == m.Incarnation && c.state == m.State && m.heardCount < 255 {
 			m.heardCount++
 		}
 		return false
 	}
-	after := Member{State: c.state, Phase: c.phase, Inc: c.inc}
+	after := Member{State: c.state, Phase: c.phase, Incarnation: c.inc}
 	if c.state == Suspect {
 		after.accusers, after.suspectedAt = c.accusers, v.now-c.suspicionAge
 	}
@@ -316,7 +316,7 @@
 // number, either by a former process whose clock may have been ahead of this one's, or by another router with the same
 // number. In both cases this router takes a later incarnation than that of the claim.
 func (v *View) handleClaimAboutSelf(c *claim) bool {
-	order := c.inc.Compare(v.own.Inc)
+	order := c.inc.Compare(v.own.Incarnation)
 	if order < 0 || order == 0 && c.state == Alive && c.phase == v.own.Phase {
 		return false
 	}
@@ -337,9 +337,9 @@
 		v.raiseHealthScore()
 	}
 	m := *v.own
-	m.Inc = c.inc.next()
-	if c.inc.Start != v.own.Inc.Start {
-		m.Inc = c.inc.nextStart()
+	m.Incarnation = c.inc.next()
+	if c.inc.Start != v.own.Incarnation.Start {
+		m.Incarnation = c.inc.nextStart()
 	}
 	v.setMember(v.self, m)
 	if v.ownDetails.Seq != 0 && v.own.Details.Seq == 0 { // to the other routers this is a new process, so its details are sent again
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -18,7 +18,7 @@
 // millisecond apart.
 func newViews(routerCount int, selves ...int) (all []*View) {
 	for i, self := range selves {
-		all = append(all, New(Config{Self: self, Of: routerCount,
+		all = append(all, New(Config{Self: self, RouterCount: routerCount,
 			Start: startTime.Add(time.Duration(i) * time.Millisecond), Seed: uint64(i)}))
 		all[i].SetPhase(Serving)
 	}
@@ -29,10 +29,10 @@
 func run(all []*View, now *time.Duration, duration time.Duration) {
 	for end := *now + duration; *now < end; *now += 10 * time.Millisecond {
 		for _, v := range all {
-			if *now >= v.Next() {
+			if *now >= v.NextTick() {
 				v.Tick(*now)
 			}
-			for _, d := range v.Out() {
+			for _, d := range v.Outgoing() {
 				for _, to := range all {
 					if to.self == d.To && to != v {
 						to.Receive(*now, v.self, d.Body)
@@ -49,7 +49,7 @@
 	all := newViews(3, 0, 1, 1, 2)
 	now := time.Duration(0)
 	for _, v := range all {
-		v.SetDetails(Details{Version: 7})
+		v.SetDetails(Details{VersionHash: 7})
 	}
 	run(all, &now, 20*time.Second)
 	if all[1].DuplicateCount() < 3 || all[2].DuplicateCount() < 3 {
@@ -58,9 +58,9 @@
 	if m := all[0].Members()[1]; !m.Details.DuplicateNumber {
 		t.Errorf("another router does not report the duplicate number: %+v", m)
 	}
-	countBefore := all[0].Members()[1].Inc.Count
+	countBefore := all[0].Members()[1].Incarnation.Count
 	run(all, &now, 30*time.Second)
-	if overrides := all[0].Members()[1].Inc.Count - countBefore; overrides > 12 {
+	if overrides := all[0].Members()[1].Incarnation.Count - countBefore; overrides > 12 {
 		t.Errorf("the two routers override each other %d times in 30 s", overrides)
 	}
 	unique := newViews(3, 0, 1, 2)
@@ -75,42 +75,42 @@
 	all := newViews(3, 0, 1)
 	all[0].Tick(0)
 	var body []byte
-	for _, d := range all[0].Out() {
+	for _, d := range all[0].Outgoing() {
 		if body = d.Body; d.To != 1 {
-			all[0].Tick(all[0].Next())
+			all[0].Tick(all[0].NextTick())
 		}
 	}
 	for len(body) == 0 || int(body[5]) != 1 {
-		all[0].Tick(all[0].Next())
-		for _, d := range all[0].Out() {
+		all[0].Tick(all[0].NextTick())
+		for _, d := range all[0].Outgoing() {
 			body = d.Body
 		}
 	}
 	v := all[1]
-	checksumBefore := v.Sum()
+	checksumBefore := v.Checksum()
 	for i := range body {
 		corrupt := bytes.Clone(body)
 		corrupt[i] ^= 0x40
 		v.Receive(0, 0, corrupt)
 	}
-	v.Receive(0, 0, append(bytes.Clone(body), make([]byte, MostBytes)...))
-	if c := v.Counts(); c.Undecodable != uint64(len(body)+1) || v.Sum() != checksumBefore || len(v.Out()) > 0 {
+	v.Receive(0, 0, append(bytes.Clone(body), make([]byte, MaxDatagramBytes)...))
+	if c := v.Counts(); c.Undecodable != uint64(len(body)+1) || v.Checksum() != checksumBefore || len(v.Outgoing()) > 0 {
 		t.Errorf("%d of %d corrupt datagrams were rejected", c.Undecodable, len(body)+1)
 	}
 	v.Receive(0, 2, body)
 	v.Receive(0, -1, body)
 	newViews(3, 2)[0].Receive(0, 0, body)
-	if c := v.Counts(); c.Misaddressed != 2 || v.Sum() != checksumBefore {
+	if c := v.Counts(); c.Misaddressed != 2 || v.Checksum() != checksumBefore {
 		t.Errorf("%+v", c)
 	}
-	if v.Receive(0, 0, body); v.Sum() == checksumBefore {
+	if v.Receive(0, 0, body); v.Checksum() == checksumBefore {
 		t.Error("a valid datagram changes nothing")
 	}
 }
 
 // A claim supersedes what is known if its incarnation is newer, or if its state is greater in the same incarnation.
 func TestSupersedes(t *testing.T) {
-	m := &Member{State: Suspect, Inc: Incarnation{5, 3}}
+	m := &Member{State: Suspect, Incarnation: Incarnation{5, 3}}
 	for c, want := range map[claim]bool{
 		{inc: Incarnation{5, 3}, state: Alive}:   false,
 		{inc: Incarnation{5, 3}, state: Suspect}: false,
@@ -133,17 +133,17 @@
 func TestDetailsAndObservationsSpread(t *testing.T) {
 	all := newViews(4, 0, 1, 2, 3)
 	now := time.Duration(0)
-	all[2].SetDetails(Details{Version: 1, Settings: 2, Rate: 3})
-	all[1].Observe(Sight{Cache: 9, State: SeenDown})
+	all[2].SetDetails(Details{VersionHash: 1, SettingsHash: 2, RequestRate: 3})
+	all[1].Observe(Observation{CacheID: 9, State: ObservedDown})
 	run(all, &now, 3*time.Second)
-	all[2].SetDetails(Details{Version: 1, Settings: 2, Rate: 50})
-	all[3].Observe(Sight{Cache: 9, State: SeenBack})
+	all[2].SetDetails(Details{VersionHash: 1, SettingsHash: 2, RequestRate: 50})
+	all[3].Observe(Observation{CacheID: 9, State: ObservedUp})
 	run(all, &now, 3*time.Second)
 	for i, v := range all {
-		if d := v.Members()[2].Details; d.Rate != 50 || d.Version != 1 || d.Settings != 2 {
+		if d := v.Members()[2].Details; d.RequestRate != 50 || d.VersionHash != 1 || d.SettingsHash != 2 {
 			t.Errorf("router %d has details %+v", i, d)
 		}
-		if s := v.Observations(now); len(s) != 1 || s[0].State != SeenBack || s[0].Age < 2*time.Second || s[0].Age > 4*time.Second {
+		if s := v.Observations(now); len(s) != 1 || s[0].State != ObservedUp || s[0].Age < 2*time.Second || s[0].Age > 4*time.Second {
 			t.Errorf("router %d has observations %+v", i, s)
 		}
 		if s := v.Observations(now + observationLifetime); len(s) > 0 {
@@ -156,24 +156,24 @@
 // one of the others has crashed. Without the observation it sends a slot cache that is back a full share of requests
 // within the first second.
 func TestJoiningRouterReceivesObservations(t *testing.T) {
-	const joinedWithin = Period + 50*time.Millisecond
+	const joinedWithin = ProbeInterval + 50*time.Millisecond
 	for seed := range 20 {
 		others := newViews(6, 0, 1, 2, 3, 4)
 		now := time.Duration(0)
 		run(others, &now, 5*time.Second)
 		for i := range uint32(3) {
-			others[i].Observe(Sight{Cache: i, State: SeenDown})
+			others[i].Observe(Observation{CacheID: i, State: ObservedDown})
 		}
 		run(others, &now, 4*time.Second)
-		others[1].Observe(Sight{Cache: 1, State: SeenBack})
+		others[1].Observe(Observation{CacheID: 1, State: ObservedUp})
 		run(others, &now, 4*time.Second)
-		joining := New(Config{Self: 5, Of: 6, Start: startTime.Add(time.Hour), Seed: uint64(seed), Now: now})
+		joining := New(Config{Self: 5, RouterCount: 6, Start: startTime.Add(time.Hour), Seed: uint64(seed), Now: now})
 		run(append(others[:4:4], joining), &now, joinedWithin)
 		states := map[uint32]ObservedState{}
 		for _, s := range joining.Observations(now) {
-			states[s.Cache] = s.State
+			states[s.CacheID] = s.State
 		}
-		if want := map[uint32]ObservedState{0: SeenDown, 1: SeenBack, 2: SeenDown}; !reflect.DeepEqual(states, want) {
+		if want := map[uint32]ObservedState{0: ObservedDown, 1: ObservedUp, 2: ObservedDown}; !reflect.DeepEqual(states, want) {
 			t.Errorf("seed %d: %v after its start the router knows %v, want %v", seed, joinedWithin, states, want)
 		}
 	}
@@ -185,15 +185,15 @@
 	for i := range uint32(MaxObservations + 10) {
 		v.advanceClock(time.Duration(i) * 10 * time.Millisecond)
 		v.nextProbeAt = v.now
-		v.Observe(Sight{Cache: i, State: SeenDown})
+		v.Observe(Observation{CacheID: i, State: ObservedDown})
 	}
 	s := v.Observations(v.now)
 	if len(s) != MaxObservations || len(v.observations) != MaxObservations {
 		t.Fatalf("%d observations are kept, want %d", len(s), MaxObservations)
 	}
 	for _, x := range s {
-		if x.Cache < 10 {
-			t.Errorf("the observation of slot cache %d is kept, which is older than others", x.Cache)
+		if x.CacheID < 10 {
+			t.Errorf("the observation of slot cache %d is kept, which is older than others", x.CacheID)
 		}
 	}
 	v.advanceClock(v.now + observationLifetime)
@@ -208,7 +208,7 @@
 	const caches, minReceived = 1024, 300 // in half a minute, in a fleet of only two routers
 	all := newViews(2, 0, 1)
 	for i := range uint32(caches) {
-		all[0].Observe(Sight{Cache: i, State: SeenDown})
+		all[0].Observe(Observation{CacheID: i, State: ObservedDown})
 	}
 	now := time.Duration(0)
 	run(all, &now, observationLifetime/2)
@@ -216,7 +216,7 @@
 	if t.Logf("%d of %d observations were received", received, caches); received < minReceived || kept != caches {
 		t.Errorf("%d observations were received, %d are kept", received, kept)
 	}
-	if c := all[0].Counts(); c.SentBytes > MostBytes*c.Sent {
+	if c := all[0].Counts(); c.SentBytes > MaxDatagramBytes*c.Sent {
 		t.Errorf("%d datagrams have %d bytes in all", c.Sent, c.SentBytes)
 	}
 	if c := all[1].Counts(); c.Undecodable > 0 { // as datagrams that are too long would be
@@ -250,13 +250,13 @@
 			want.claims = append(want.claims, c)
 		}
 		if rapid.Bool().Draw(t, "detail") {
-			d := detail{5, 77, Details{Seq: 1, Version: 2, Settings: rapid.Uint32().Draw(t, "settings"),
-				Rate: 4, Zone: 127, DuplicateNumber: rapid.Bool().Draw(t, "twice")}}
+			d := detail{5, 77, Details{Seq: 1, VersionHash: 2, SettingsHash: rapid.Uint32().Draw(t, "settings"),
+				RequestRate: 4, Zone: 127, DuplicateNumber: rapid.Bool().Draw(t, "twice")}}
 			b = appendDetail(append(b, byte(tagDetails), 1), &d)
 			want.details = append(want.details, d)
 		}
 		if rapid.Bool().Draw(t, "sight") {
-			s := Sight{8, SeenBack, 3 * time.Second}
+			s := Observation{8, ObservedUp, 3 * time.Second}
 			b = appendObservation(append(b, byte(tagObservations), 1), &s)
 			want.observations = append(want.observations, s)
 		}
@@ -286,7 +286,7 @@
 		now += 100 * time.Millisecond
 		for _, v := range all {
 			v.Tick(now)
-			for _, d := range v.Out() {
+			for _, d := range v.Outgoing() {
 				f.Add(d.Body[:len(d.Body)-checksumBytes])
 				all[d.To].Receive(now, v.self, d.Body)
 			}
@@ -295,15 +295,15 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		v := newViews(3, 1)[0]
 		v.Receive(time.Second, 0, body)
-		own := v.Members()[1].Inc
+		own := v.Members()[1].Incarnation
 		v.Receive(time.Second, 0, appendChecksum(bytes.Clone(body)))
 		v.Receive(time.Second, 2, appendChecksum(bytes.Clone(body)))
-		if v.Members()[1].Inc.Compare(own) < 0 {
+		if v.Members()[1].Incarnation.Compare(own) < 0 {
 			t.Error("the router returned to an older incarnation")
 		}
 		v.Tick(2 * time.Second)
-		for _, d := range v.Out() {
-			if len(d.Body) > MostBytes || d.To == 1 || d.To < 0 || d.To > 2 {
+		for _, d := range v.Outgoing() {
+			if len(d.Body) > MaxDatagramBytes || d.To == 1 || d.To < 0 || d.To > 2 {
 				t.Errorf("datagram of %d bytes to router %d", len(d.Body), d.To)
 			}
 		}
--- a/internal/fleet/view/wire.go
+++ b/internal/fleet/view/wire.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MostBytes is the length of the longest datagram that the platform's routers may send each other (PROTOCOL, "Between
+// MaxDatagramBytes is the length of the longest datagram that the platform's routers may send each other (PROTOCOL, "Between
 // routers").
-const MostBytes = 256
+const MaxDatagramBytes = 256
 
 // A datagram consists of a head, sections and a checksum. All numbers have the most significant byte first. The fields and
 // their lengths in bytes are:
@@ -80,15 +80,15 @@
 
 // The observed states of a slot cache.
 const (
-	SeenDown ObservedState = iota + 1 // it refuses connections
-	SeenBack                          // it accepts connections again
+	ObservedDown ObservedState = iota + 1 // it refuses connections
+	ObservedUp                            // it accepts connections again
 )
 
-// Sight is what a router observed of a slot cache before the list of cache servers showed it.
-type Sight struct {
-	Cache uint32 // the number in the slot cache's id
-	State ObservedState
-	Age   time.Duration // time since the observation
+// Observation is what a router observed of a slot cache before the list of cache servers showed it.
+type Observation struct {
+	CacheID uint32 // the number in the slot cache's id
+	State   ObservedState
+	Age     time.Duration // time since the observation
 }
 
 // message is a decoded datagram.
@@ -97,7 +97,7 @@
 	claims       []claim
 	details      []detail
 	comparison   []byte // number of the first member in two bytes, then fingerprint bits; empty if there is none
-	observations []Sight
+	observations []Observation
 }
 
 var (
@@ -163,17 +163,17 @@
 	b = binary.BigEndian.AppendUint16(b, d.router)
 	b = appendTime(b, d.start)
 	b = binary.BigEndian.AppendUint16(b, d.Seq)
-	b = binary.BigEndian.AppendUint32(b, d.Version)
-	b = binary.BigEndian.AppendUint32(b, d.Settings)
-	b = binary.BigEndian.AppendUint16(b, d.Rate)
+	b = binary.BigEndian.AppendUint32(b, d.VersionHash)
+	b = binary.BigEndian.AppendUint32(b, d.SettingsHash)
+	b = binary.BigEndian.AppendUint16(b, d.RequestRate)
 	if d.DuplicateNumber {
 		return append(b, d.Zone<<1|1)
 	}
 	return append(b, d.Zone<<1)
 }
 
-func appendObservation(b []byte, o *Sight) []byte {
-	b = binary.BigEndian.AppendUint32(b, o.Cache)
+func appendObservation(b []byte, o *Observation) []byte {
+	b = binary.BigEndian.AppendUint32(b, o.CacheID)
 	return append(b, byte(o.State), encodeAge(o.Age, observationAgeUnit))
 }
 
@@ -186,7 +186,7 @@
 	switch {
 	case len(b) < headBytes+checksumBytes:
 		return errTooShort
-	case len(b) > MostBytes:
+	case len(b) > MaxDatagramBytes:
 		return errTooLong
 	case b[0] != version:
 		return errVersion
@@ -240,9 +240,9 @@
 	case tagComparison:
 		m.comparison = append(m.comparison, b[0])
 	case tagObservations:
-		o := Sight{binary.BigEndian.Uint32(b), ObservedState(b[4]), time.Duration(b[5]) * observationAgeUnit}
+		o := Observation{binary.BigEndian.Uint32(b), ObservedState(b[4]), time.Duration(b[5]) * observationAgeUnit}
 		m.observations = append(m.observations, o)
-		return o.State == SeenDown || o.State == SeenBack
+		return o.State == ObservedDown || o.State == ObservedUp
 	}
 	return true
 }
--- a/internal/lab/drill/play.go
+++ b/internal/lab/drill/play.go
@@ -447,22 +447,22 @@
 // pollView records each change of a router's view of the fleet.
 func (p *player) pollView(ctx context.Context, i int) {
 	p.pollChanges(ctx, i, "view", 200*time.Millisecond, func(addr string) (string, bool) {
-		a := peers.Ask(ctx, addr)
-		if a.View == nil {
+		a := peers.FetchReport(ctx, addr)
+		if a.Report == nil {
 			return "", false
 		}
-		return viewText(a.View), true
+		return viewText(a.Report), true
 	})
 }
 
 // viewText formats a view for the timeline: its checksum, the state of each router, and the observations of slot caches.
 func viewText(v *peers.Report) string {
 	var b strings.Builder
-	b.WriteString(v.Sum)
+	b.WriteString(v.Checksum)
 	for _, m := range v.Members {
 		b.WriteString(" " + m.State)
 	}
-	for i, c := range v.Caches {
+	for i, c := range v.Observations {
 		b.WriteString(map[bool]string{true: "; ", false: ", "}[i == 0] + c.ID + " " + c.State)
 	}
 	return b.String()
--- a/internal/lab/membership/measure.go
+++ b/internal/lab/membership/measure.go
@@ -94,7 +94,7 @@
 		m.Leave(router)
 		m.Run(m.now + 10*time.Second)
 		m.Start(router)
-		took := m.await("join", func() bool { return m.HoldsInAllViews(router, (*view.Member).Here) })
+		took := m.await("join", func() bool { return m.HoldsInAllViews(router, (*view.Member).AssumedAlive) })
 		m.result.Joins = append(m.result.Joins, took)
 		m.Run(m.now + 5*time.Second)
 	}
@@ -119,7 +119,7 @@
 // dead.
 func (m *measurement) pauses() {
 	m.OnChange = func(_ time.Duration, _ int, e view.Event) {
-		if e.After.State == view.Dead && m.routers[e.Who].running {
+		if e.After.State == view.Dead && m.routers[e.Router].running {
 			m.result.FalsePositives++
 		}
 	}
--- a/internal/lab/membership/search.go
+++ b/internal/lab/membership/search.go
@@ -119,11 +119,11 @@
 	}
 	n.now[i] += restartTime
 	n.Views[i] = view.New(view.Config{
-		Self:  i,
-		Of:    s.Routers,
-		Start: Epoch.Add(startTime),
-		Seed:  uint64(n.incarnations[i]),
-		Now:   n.now[i],
+		Self:        i,
+		RouterCount: s.Routers,
+		Start:       Epoch.Add(startTime),
+		Seed:        uint64(n.incarnations[i]),
+		Now:         n.now[i],
 	})
 	n.Views[i].SetPhase(view.Serving)
 }
@@ -204,7 +204,7 @@
 
 // tick advances one router's clock to the next tick of its view, and ticks it.
 func (n *State) tick(i int) {
-	n.now[i] = max(n.now[i]+minAdvance, n.Views[i].Next())
+	n.now[i] = max(n.now[i]+minAdvance, n.Views[i].NextTick())
 	n.Views[i].Tick(n.now[i])
 }
 
@@ -219,7 +219,7 @@
 
 // send adds the datagrams that a view has queued to those in flight.
 func (n *State) send(i int) {
-	for _, datagram := range n.Views[i].Out() {
+	for _, datagram := range n.Views[i].Outgoing() {
 		n.inFlight = append(n.inFlight, message{i, datagram.To, datagram.Body})
 	}
 }
@@ -239,7 +239,7 @@
 			if v == nil {
 				continue
 			}
-			if n.now[i] += clockStep; n.now[i] >= v.Next() {
+			if n.now[i] += clockStep; n.now[i] >= v.NextTick() {
 				v.Tick(n.now[i])
 			}
 			v.Events()
@@ -261,14 +261,14 @@
 			continue
 		}
 		if first {
-			checksum, first = v.Sum(), false
+			checksum, first = v.Checksum(), false
 		}
-		if v.Sum() != checksum {
+		if v.Checksum() != checksum {
 			return false
 		}
 		for j := range v.Members() {
 			member := &v.Members()[j]
-			if member.Here() != (n.Views[j] != nil) || member.State == view.Suspect {
+			if member.AssumedAlive() != (n.Views[j] != nil) || member.State == view.Suspect {
 				return false
 			}
 		}
@@ -294,7 +294,7 @@
 			continue
 		}
 		for j := range v.Members() {
-			if v.Members()[j].Inc.Compare(before.Views[i].Members()[j].Inc) < 0 {
+			if v.Members()[j].Incarnation.Compare(before.Views[i].Members()[j].Incarnation) < 0 {
 				return fmt.Errorf("%w: of router %d at router %d after %v", errOlderIncarnation, j, i, after.path)
 			}
 		}
--- a/internal/lab/membership/search_test.go
+++ b/internal/lab/membership/search_test.go
@@ -27,7 +27,7 @@
 	s := &Search{Routers: 3, Depth: 3, MaxInFlight: 4}
 	s.Corrupt = func(n *State) {
 		if len(n.path) == 2 {
-			n.Views[0] = view.New(view.Config{Self: 0, Of: 3, Start: Epoch, Now: n.now[0]})
+			n.Views[0] = view.New(view.Config{Self: 0, RouterCount: 3, Start: Epoch, Now: n.now[0]})
 		}
 	}
 	if err := s.Run(); !errors.Is(err, errOlderIncarnation) {
--- a/internal/lab/membership/simulation.go
+++ b/internal/lab/membership/simulation.go
@@ -115,15 +115,15 @@
 	r := &s.routers[i]
 	*r = router{incarnation: r.incarnation + 1, running: true}
 	r.view = view.New(view.Config{
-		Self:  i,
-		Of:    len(s.routers),
-		Start: Epoch.Add(s.now + s.clockOffset[i]),
-		Seed:  s.rng.Uint64(),
-		Now:   s.now,
+		Self:        i,
+		RouterCount: len(s.routers),
+		Start:       Epoch.Add(s.now + s.clockOffset[i]),
+		Seed:        s.rng.Uint64(),
+		Now:         s.now,
 	})
 	r.view.SetPhase(view.Serving)
 	s.flush(i)
-	firstTick := s.now + time.Duration(s.rng.Int64N(int64(view.Period))) // random, so that routers don't tick at the same time
+	firstTick := s.now + time.Duration(s.rng.Int64N(int64(view.ProbeInterval))) // random, so that routers don't tick at the same time
 	s.push(event{at: firstTick, to: i, from: noSender, incarnation: r.incarnation})
 }
 
@@ -158,7 +158,7 @@
 	}
 	r.view.Tick(s.now)
 	s.flush(i)
-	s.push(event{at: r.view.Next(), to: i, from: noSender, incarnation: r.incarnation})
+	s.push(event{at: r.view.NextTick(), to: i, from: noSender, incarnation: r.incarnation})
 }
 
 // Partition divides the routers into groups that can't reach each other. The group of a router is its number modulo the
@@ -196,7 +196,7 @@
 		return
 	case isTick:
 		r.view.Tick(s.now)
-		s.push(event{at: max(s.now+1, r.view.Next()), to: e.to, from: noSender, incarnation: r.incarnation})
+		s.push(event{at: max(s.now+1, r.view.NextTick()), to: e.to, from: noSender, incarnation: r.incarnation})
 	default:
 		if s.groups[e.from] != s.groups[e.to] || s.cut[link{e.from, e.to}] {
 			return
@@ -209,7 +209,7 @@
 // flush sends the datagrams that a router's view has queued, and reports the changes in the view to OnChange.
 func (s *Simulation) flush(i int) {
 	v := s.routers[i].view
-	for _, datagram := range v.Out() {
+	for _, datagram := range v.Outgoing() {
 		if s.rng.Float64() < s.Loss {
 			continue
 		}
@@ -240,9 +240,9 @@
 			continue
 		}
 		if first == nil {
-			first, checksum = v, v.Sum()
+			first, checksum = v, v.Checksum()
 		}
-		if v.Sum() != checksum {
+		if v.Checksum() != checksum {
 			return false
 		}
 	}
@@ -250,7 +250,7 @@
 		return true
 	}
 	for i, member := range first.Members() {
-		if member.Here() != s.routers[i].running {
+		if member.AssumedAlive() != s.routers[i].running {
 			return false
 		}
 	}
--- a/internal/lab/membership/simulation_test.go
+++ b/internal/lab/membership/simulation_test.go
@@ -90,8 +90,8 @@
 			}
 			s.Loss = c.loss
 			s.OnChange = func(at time.Duration, viewer int, e view.Event) {
-				if e.After.State == view.Dead && !c.mayBeDead[e.Who] {
-					t.Errorf("%s, seed %d: router %d declared %d dead after %v", name, seed, viewer, e.Who, at)
+				if e.After.State == view.Dead && !c.mayBeDead[e.Router] {
+					t.Errorf("%s, seed %d: router %d declared %d dead after %v", name, seed, viewer, e.Router, at)
 				}
 			}
 			c.action(s)
--- a/internal/lab/scale/agreement.go
+++ b/internal/lab/scale/agreement.go
@@ -135,9 +135,9 @@
 		if difference := Difference(report, a.expected); difference != "" {
 			return fmt.Sprintf("as router %d sees it %s", p.number, difference), nil
 		}
-		a.reportedSums[i] = report.Sum
-		if len(a.hollow) > 0 && report.Sum != formatSum(sum) || report.Sum != a.reportedSums[0] {
-			return fmt.Sprintf("router %d has the sum %s, another one %s", p.number, report.Sum, a.reportedSums[0]), nil
+		a.reportedSums[i] = report.Checksum
+		if len(a.hollow) > 0 && report.Checksum != formatSum(sum) || report.Checksum != a.reportedSums[0] {
+			return fmt.Sprintf("router %d has the sum %s, another one %s", p.number, report.Checksum, a.reportedSums[0]), nil
 		}
 	}
 	return "", nil
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -70,16 +70,16 @@
 	agent := &permit.Agent{Self: h.number, RouterCount: len(c.Peers), Zone: c.Settings.Zone, Random: rand.Uint64}
 	var err error
 	inc.peers, err = peers.New(peers.Settings{Self: h.number, Listen: c.PeerListen, Addrs: c.Peers, Seed: rand.Uint64(),
-		Phase: inc.phase, Tell: func() view.Details { return details(c) }, Agent: agent, Out: inc.draining.Store,
-		Caches: module.Caches, Aside: listed,
-		Wrap: func(socket *net.UDPConn) peers.Conn {
+		Phase: inc.phase, Details: func() view.Details { return details(c) }, Agent: agent, SetOutOfService: inc.draining.Store,
+		Caches: module.Caches, Drains: listed,
+		WrapConn: func(socket *net.UDPConn) peers.Conn {
 			return h.network.wrapSocket(h.number, c.Seed, &inc.silent, socket)
 		},
 	})
 	if err != nil {
 		return err
 	}
-	inc.peers.Bound(peers.Bounds{Fleet: permit.Bound{Number: 1}, Caches: permit.Bound{Number: 1}})
+	inc.peers.SetBounds(peers.Bounds{Fleet: permit.Bound{Number: 1}, Caches: permit.Bound{Number: 1}})
 	mapping := &discovery.Names{Zones: c.Zones, Kinds: c.Kinds, OriginKind: c.Settings.OriginKind}
 	client := discovery.NewClient(&discovery.Registry{Addr: c.Discovery, Times: discovery.PlatformTimes}, mapping, listed, c.Known)
 	var ctx context.Context
@@ -94,7 +94,7 @@
 
 // details returns what the router announces about itself.
 func details(c *config.Config) view.Details {
-	return view.Details{Settings: c.Digest, Zone: uint8(c.Settings.Zone + 1)}
+	return view.Details{SettingsHash: c.Digest, Zone: uint8(c.Settings.Zone + 1)}
 }
 
 // phase returns the phase that the router announces. A hollow router has phases although it has no clients.
@@ -152,15 +152,15 @@
 // drain requests a permit to be out of service, or makes the router serve again if on is false.
 func (h *hollow) drain(on bool) error {
 	if on {
-		h.current.peers.GoOut()
+		h.current.peers.GoOutOfService()
 	} else {
-		h.current.peers.ComeBack()
+		h.current.peers.ReturnToService()
 	}
 	return nil
 }
 
 // sum returns the checksum of the router's view.
-func (h *hollow) sum() uint32 { return h.current.peers.Sum() }
+func (h *hollow) sum() uint32 { return h.current.peers.Checksum() }
 
 // isRunning reports whether the router is up.
 func (h *hollow) isRunning() bool { return h.current != nil }
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -155,7 +155,7 @@
 // discard counts datagrams of processes as sent until the socket is closed. They don't count as received, because the router is
 // down.
 func (c *conn) discard() {
-	b := make([]byte, 2*view.MostBytes)
+	b := make([]byte, 2*view.MaxDatagramBytes)
 	for {
 		size, from, err := c.UDPConn.ReadFromUDPAddrPort(b)
 		if err != nil {
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -168,11 +168,11 @@
 
 // fetchView returns the router's complete view.
 func (p *process) fetchView(ctx context.Context) (*peers.Report, error) {
-	asked := peers.Ask(ctx, p.admin)
-	if asked.View == nil {
+	asked := peers.FetchReport(ctx, p.admin)
+	if asked.Report == nil {
 		return nil, fmt.Errorf("router %d: %s", p.number, asked.Err)
 	}
-	return asked.View, nil
+	return asked.Report, nil
 }
 
 // isRunning reports whether the process is up.
