--- a/cmd/hoptiller/calls.go
+++ b/cmd/hoptiller/calls.go
@@ -34,7 +34,7 @@
 	reports *loadreport.Table, router *relay.Relay, fleet *peers.Peers) map[string]admin.Call {
 	transitionCall := func(e lifecycle.Event) func() (bool, []byte) {
 		return func() (bool, []byte) {
-			changed := phases.Tell(e)
+			changed := phases.Apply(e)
 			return changed, phaseJSON(phases)
 		}
 	}
--- a/cmd/hoptiller/fleet_member.go
+++ b/cmd/hoptiller/fleet_member.go
@@ -61,9 +61,9 @@
 			Agent: &permit.Agent{Self: c.Settings.RouterIndex, RouterCount: len(c.Peers), Zone: min(c.Settings.Zone, view.MaxZone), Random: rand.Uint64},
 			SetOutOfService: func(out bool) {
 				if out {
-					phases.Tell(lifecycle.Drain)
+					phases.Apply(lifecycle.Drain)
 				} else {
-					phases.Tell(lifecycle.Activate)
+					phases.Apply(lifecycle.Activate)
 				}
 			},
 			Caches: r.Caches, Drains: caches,
@@ -125,7 +125,7 @@
 // memberPhase returns the phase that this router announces to the others.
 func memberPhase(p lifecycle.Phase, ready bool) view.Phase {
 	switch {
-	case p.Stops():
+	case p.IsEnding():
 		return view.Stopping
 	case p == lifecycle.Draining:
 		return view.Draining
--- a/cmd/hoptiller/release.go
+++ b/cmd/hoptiller/release.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	waves, report := rollout.Examine(ctx, p)
+	waves, report := rollout.CheckPlan(ctx, p)
 	if len(report.Findings) > 0 {
 		fmt.Fprint(os.Stderr, report)
 		return nil, nil, command.ErrFinding
@@ -106,20 +106,20 @@
 	if err != nil {
 		return err
 	}
-	return drive(ctx, p, rollout.Start)
+	return drive(ctx, p, rollout.ModeStart)
 }
 
 // releaseResumeCmd resumes a release.
 type releaseResumeCmd struct{ planFile }
 
 // Run resumes the release and drives it to its end.
-func (c *releaseResumeCmd) Run() error { return c.continueRelease(rollout.Resume) }
+func (c *releaseResumeCmd) Run() error { return c.continueRelease(rollout.ModeResume) }
 
 // releaseBackCmd rolls a release back.
 type releaseBackCmd struct{ planFile }
 
 // Run drives the rollback to its end.
-func (c *releaseBackCmd) Run() error { return c.continueRelease(rollout.Back) }
+func (c *releaseBackCmd) Run() error { return c.continueRelease(rollout.ModeRollback) }
 
 // continueRelease drives a release that has begun. It does not check the plan against the fleet, since a fault of the fleet may
 // be the reason for a rollback.
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	return rollout.Status(ctx, os.Stdout, p)
+	return rollout.WriteStatus(ctx, os.Stdout, p)
 }
 
 // releaseHaltCmd halts a release.
@@ -171,5 +171,5 @@
 	if err != nil {
 		return err
 	}
-	return rollout.End(ctx, p)
+	return rollout.EndRelease(ctx, p)
 }
--- a/cmd/hoptiller/serve.go
+++ b/cmd/hoptiller/serve.go
@@ -205,7 +205,7 @@
 
 	fleet.phase = func() view.Phase { return memberPhase(phases.Phase(), clientFront.Ready()) }
 	defer context.AfterFunc(stopSignal, func() {
-		phases.Tell(lifecycle.Stop)
+		phases.Apply(lifecycle.Stop)
 		slog.Info("stopping")
 	})()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/fleet/rollout/driver.go
+++ b/internal/fleet/rollout/driver.go
@@ -41,9 +41,9 @@
 
 // Modes of a driver.
 const (
-	Start  Mode = "start"  // begin a release of which there are no records
-	Resume Mode = "resume" // continue a release
-	Back   Mode = "back"   // roll a release back
+	ModeStart    Mode = "start"  // begin a release of which there are no records
+	ModeResume   Mode = "resume" // continue a release
+	ModeRollback Mode = "back"   // roll a release back
 )
 
 // ErrHalted is returned if a release has halted. The driver has printed the reason before.
@@ -88,7 +88,7 @@
 		return err
 	}
 	answers := d.fleet.queryAll(ctx)
-	if mode != Start && len(records) == 0 {
+	if mode != ModeStart && len(records) == 0 {
 		if records, err = d.adoptFromRouters(answers); err != nil {
 			return err
 		}
@@ -101,9 +101,9 @@
 		return err
 	}
 	switch mode {
-	case Resume:
+	case ModeResume:
 		err = d.carryOut(ctx, d.run.Resume())
-	case Back:
+	case ModeRollback:
 		err = d.carryOut(ctx, d.run.RollBack())
 	}
 	if err != nil {
@@ -143,9 +143,9 @@
 func (d *Driver) checkMode(mode Mode, records []release.Record) error {
 	run := release.New(0, params(d.plan), d.fleet.numbers, records)
 	switch {
-	case mode == Start && len(records) > 0:
+	case mode == ModeStart && len(records) > 0:
 		return fmt.Errorf("release %s has already begun: use resume or back", d.plan.Name)
-	case mode == Resume && run.Ended():
+	case mode == ModeResume && run.Ended():
 		return fmt.Errorf("release %s has ended", d.plan.Name)
 	}
 	return nil
@@ -158,7 +158,7 @@
 	}
 	d.printf("release %s has ended%s", d.plan.Name,
 		map[bool]string{true: ", all routers have their old revision"}[d.run.RollingBack()])
-	return End(ctx, d.plan)
+	return EndRelease(ctx, d.plan)
 }
 
 // adoptFromRouters creates records from what the routers report. It is used if the driver ran on another machine, so that this
@@ -236,7 +236,7 @@
 		// Another driver that holds the lease may be dead. If it carries out the same release, this driver waits to take over
 		// from it, unless this driver is to start the release.
 		heldByOther := strings.Contains(holder, " is run by ")
-		if (!heldByOther || mode != Start && strings.Contains(holder, "release "+d.plan.Name+" ")) && time.Since(start) < maxWait {
+		if (!heldByOther || mode != ModeStart && strings.Contains(holder, "release "+d.plan.Name+" ")) && time.Since(start) < maxWait {
 			reason, _, _ := strings.Cut(holder, ": ") // without the number of the permit slot, which changes
 			d.printOnce("waiting for the fleet's place for releases: " + reason)
 		} else {
@@ -392,8 +392,8 @@
 	return nil
 }
 
-// End ends a release in the fleet, whichever driver carries it out. That driver then halts.
-func End(ctx context.Context, p *plan.Release) error {
+// EndRelease ends a release in the fleet, whichever driver carries it out. That driver then halts.
+func EndRelease(ctx context.Context, p *plan.Release) error {
 	f := newFleet(p)
 	failure := errors.New("no router answers")
 	for _, n := range f.numbers {
--- a/internal/fleet/rollout/driver_test.go
+++ b/internal/fleet/rollout/driver_test.go
@@ -177,7 +177,7 @@
 			defer s.Close()
 			p.Routers[i] = strings.TrimPrefix(s.URL, "http://")
 		}
-		if err := End(t.Context(), p); (err == nil) != c.ok || calls != c.calls {
+		if err := EndRelease(t.Context(), p); (err == nil) != c.ok || calls != c.calls {
 			t.Errorf("%s: error %v after %d calls", name, err, calls)
 		}
 	}
--- a/internal/fleet/rollout/plan.go
+++ b/internal/fleet/rollout/plan.go
@@ -11,9 +11,9 @@
 	"hoptiller/internal/plan"
 )
 
-// Examine checks a release plan against the running fleet. It returns the waves of the release, and a report of what in the plan
+// CheckPlan checks a release plan against the running fleet. It returns the waves of the release, and a report of what in the plan
 // does not fit the fleet.
-func Examine(ctx context.Context, p *plan.Release) (waves [][]int, report *plan.Report) {
+func CheckPlan(ctx context.Context, p *plan.Release) (waves [][]int, report *plan.Report) {
 	f, report := newFleet(p), &plan.Report{}
 	for name, words := range map[string][]string{"replace": p.Replace, "back": p.Back} {
 		if err := CheckCommand(words); err != nil {
@@ -67,8 +67,8 @@
 	return waves, report
 }
 
-// Status writes the state of a release, first by this machine's journal and then as the routers report it.
-func Status(ctx context.Context, w io.Writer, p *plan.Release) error {
+// WriteStatus writes the state of a release, first by this machine's journal and then as the routers report it.
+func WriteStatus(ctx context.Context, w io.Writer, p *plan.Release) error {
 	records, err := ReadRecords(p.State)
 	if err != nil {
 		return fmt.Errorf("%s: %w", filepath.Join(p.State, "journal"), err)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -122,7 +122,7 @@
 		phase, changed := f.Life.Watch()
 		var due <-chan time.Time
 		switch {
-		case phase.Stops():
+		case phase.IsEnding():
 			return
 		case phase == lifecycle.Serving:
 			f.endGrace.Store(0)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -178,7 +178,7 @@
 		}
 	}
 	request(1)
-	f.Life.Tell(lifecycle.Stop)
+	f.Life.Apply(lifecycle.Stop)
 	testprog.Until(t, "no new client is accepted", func() bool {
 		other, err := net.Dial("tcp", l.Addr().String())
 		if err == nil {
@@ -268,15 +268,15 @@
 func TestReactivationTakesEffectAtOnce(t *testing.T) {
 	f := &Front{Life: lifecycle.New()}
 	f.endGrace.Store(int64(time.Second))
-	f.Life.Tell(lifecycle.Drain)
+	f.Life.Apply(lifecycle.Drain)
 	if f.grace() != time.Second {
 		t.Error("connections of a draining router don't end")
 	}
-	f.Life.Tell(lifecycle.Activate)
+	f.Life.Apply(lifecycle.Activate)
 	if f.grace() != 0 {
 		t.Error("connections of a reactivated router end")
 	}
-	f.Life.Tell(lifecycle.Stop)
+	f.Life.Apply(lifecycle.Stop)
 	if f.grace() != time.Second {
 		t.Error("connections of a stopping router don't end")
 	}
--- a/internal/front/listener_test.go
+++ b/internal/front/listener_test.go
@@ -57,7 +57,7 @@
 		clients = append(clients, connect())
 		fmt.Fprintf(clients[i], "mg k v O%d Pc=read,d=900\r\n", i)
 	}
-	f.Life.Tell(lifecycle.Stop)
+	f.Life.Apply(lifecycle.Stop)
 	testprog.Await(t, paused.stopped, "the listener's end")
 	close(paused.resume)
 	for i, client := range clients {
@@ -153,7 +153,7 @@
 		defer results[1].mu.Unlock()
 		return results[0].served > 2 && results[1].served > 2
 	})
-	f.Life.Tell(lifecycle.Stop)
+	f.Life.Apply(lifecycle.Stop)
 	stopped := time.Now()
 	clients.Wait()
 	for i, result := range results {
--- a/internal/front/long_value_test.go
+++ b/internal/front/long_value_test.go
@@ -117,7 +117,7 @@
 	server := disconnectServer{make(chan string, 9), make(chan string, 9)}
 	f := &Front{MostConns: 4, MostOpen: 4, Keep: time.Hour, Last: 50 * time.Millisecond, Server: server}
 	conn, checkNotSent := startWaitingForMemory(t, f, server)
-	f.Life.Tell(lifecycle.Stop)
+	f.Life.Apply(lifecycle.Stop)
 	if line, err := bufio.NewReader(conn).ReadString('\n'); line != "SERVER_ERROR failed\r\n" {
 		t.Errorf("got %q, %v", line, err)
 	}
--- a/internal/front/race_test.go
+++ b/internal/front/race_test.go
@@ -153,7 +153,7 @@
 		defer f.conns.mu.Unlock()
 		return f.conns.lists[idle].Len() == 1
 	})
-	f.Life.Tell(lifecycle.Stop)
+	f.Life.Apply(lifecycle.Stop)
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 	conn := start(t, f)()
 	fmt.Fprint(conn, "mg k v O1 Pc=read,d=900\r\n")
 	testprog.Await(t, server.arrived, "request")
-	f.Life.Tell(lifecycle.Stop)
+	f.Life.Apply(lifecycle.Stop)
 	if line, err := bufio.NewReader(conn).ReadString('\n'); line != "SERVER_ERROR failed\r\n" {
 		t.Errorf("got %q, %v", line, err)
 	}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -18,13 +18,13 @@
 // String returns the name of a phase.
 func (p Phase) String() string { return [...]string{"serving", "draining", "stopping", "leaving"}[p] }
 
-// Wanted reports whether clients should come to this router. A router that stops without a drain does not send its
+// WantsClients reports whether clients should come to this router. A router that stops without a drain does not send its
 // clients away: those who direct clients to it learn of the stop by other means, or another process already serves
 // at the same address.
-func (p Phase) Wanted() bool { return p == Serving || p == Stopping }
+func (p Phase) WantsClients() bool { return p == Serving || p == Stopping }
 
-// Stops reports whether the program is ending.
-func (p Phase) Stops() bool { return p >= Stopping }
+// IsEnding reports whether the program is ending.
+func (p Phase) IsEnding() bool { return p >= Stopping }
 
 // Event is a request to change the phase of a router.
 type Event uint8
@@ -60,8 +60,8 @@
 // New returns the State of a router in phase Serving.
 func New() *State { return &State{changed: make(chan struct{})} }
 
-// Tell applies an event, and reports whether the phase now fulfils the request.
-func (s *State) Tell(e Event) (fulfilled bool) {
+// Apply applies an event, and reports whether the phase now fulfils the request.
+func (s *State) Apply(e Event) (fulfilled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	to, fulfilled := Next(s.phase, e)
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -17,7 +17,7 @@
 		drained, stopped := false, false
 		for _, e := range rapid.SliceOf(rapid.SampledFrom([]Event{Drain, Activate, Stop})).Draw(t, "events") {
 			before, changed := s.Watch()
-			fulfilled := s.Tell(e)
+			fulfilled := s.Apply(e)
 			switch {
 			case e == Stop:
 				stopped = true
@@ -27,7 +27,7 @@
 				drained = false
 			}
 			p := s.Phase()
-			if p.Wanted() == drained || p.Stops() != stopped || fulfilled != (e != Activate || !stopped) {
+			if p.WantsClients() == drained || p.IsEnding() != stopped || fulfilled != (e != Activate || !stopped) {
 				t.Fatalf("after event %d: phase %v, fulfilled %v; drained %v, stopped %v", e, p, fulfilled, drained, stopped)
 			}
 			select {
