--- a/cmd/hoptiller/calls.go
+++ b/cmd/hoptiller/calls.go
@@ -42,7 +42,7 @@
 		"/v1/readyz": {Method: "GET", Do: func() (bool, []byte) { return clientFront.Ready(), phaseJSON(phases) }},
 		"/v1/metrics": {Method: "GET", Do: func() (bool, []byte) {
 			s := processMetrics{Snapshot: counts.Snapshot(), Reasons: reasons.counts()}
-			s.Members, s.Unavailable = router.Members()
+			s.Members, s.Unavailable = router.CacheCounts()
 			s.Reports = reports.Summary()
 			if fleet != nil {
 				s.Fleet = fleet.Summary()
--- a/cmd/hoptiller/fleet_member.go
+++ b/cmd/hoptiller/fleet_member.go
@@ -68,7 +68,7 @@
 			},
 			Caches: r.Caches, Drains: caches,
 			OnObservation: func(s view.Observation) {
-				r.Sighted(hoptiller.Observation{Server: s.CacheID, Up: s.State == view.ObservedUp, Age: s.Age})
+				r.Observe(hoptiller.Observation{Server: s.CacheID, Up: s.State == view.ObservedUp, Age: s.Age})
 			}})
 		if err == nil {
 			f.peers = p
@@ -114,7 +114,7 @@
 	if f.peers == nil {
 		return
 	}
-	f.relay.Sighted(hoptiller.Observation{Server: cache, Up: up})
+	f.relay.Observe(hoptiller.Observation{Server: cache, Up: up})
 	if up {
 		f.peers.Observe(cache, view.ObservedUp)
 	} else {
--- a/cmd/hoptiller/serve.go
+++ b/cmd/hoptiller/serve.go
@@ -156,20 +156,20 @@
 		debug.SetMemoryLimit(int64(limits.heapBytes))
 	}
 	var fleet *fleetMember
-	longValueBudget := semaphore.NewWeighted(int64(max(limits.longValueBytes, meta.MaxLong)))
+	longValueBudget := semaphore.NewWeighted(int64(max(limits.longValueBytes, meta.MaxLongValue)))
 	providers := upstream.New(upstream.Settings{
-		Share: callsPerConn(c), MostConns: limits.connsPerCache, MostTotal: limits.cacheConns, MostCalls: max(1, c.MostCalls),
+		CallsPerConn: callsPerConn(c), MaxConnsPerServer: limits.connsPerCache, MaxConns: limits.cacheConns, MaxCallsPerConn: max(1, c.MostCalls),
 		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnectTimeout,
-		Kept: connlimit.MaxIdle(c.Settings.RouterCount, p.Limits.Places), Places: p.Limits.Places,
-		Called: counts.AttemptSent, Reports: reports,
-		Seen: func(id uint32, up bool) { fleet.observeCache(id, up) }, Closed: reasons.serverClosed,
-		LookedAgain: counts.LookedAgain,
+		MaxIdle: connlimit.MaxIdle(c.Settings.RouterCount, p.Limits.Places), ConnsPerCore: p.Limits.Places,
+		AttemptSent: counts.AttemptSent, LoadReports: reports,
+		Observed: func(id uint32, up bool) { fleet.observeCache(id, up) }, ConnClosed: reasons.serverClosed,
+		CheckRepeated: counts.LookedAgain,
 	}, upstream.Meta{})
 	origins := upstream.New(upstream.Settings{
-		Share: 1, MostConns: limits.originConns, MostCalls: 1, Kept: limits.originConns,
+		CallsPerConn: 1, MaxConnsPerServer: limits.originConns, MaxCallsPerConn: 1, MaxIdle: limits.originConns,
 		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnectTimeout,
-		Room: longValueBudget, Called: counts.AttemptSent, Rest: originReuseDelay, Closed: reasons.serverClosed,
-		LookedAgain: counts.LookedAgain,
+		ValueMemory: longValueBudget, AttemptSent: counts.AttemptSent, Cooldown: originReuseDelay, ConnClosed: reasons.serverClosed,
+		CheckRepeated: counts.LookedAgain,
 	}, origin.Protocol{})
 	router := relay.New(c.Settings, c.Seed, providers, origins)
 	router.AttemptEnded = reasons.attemptEnded
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -136,7 +136,7 @@
 // makeAnswer carries out a call and returns its answer. err is the error of reading the request head.
 func (s *Server) makeAnswer(req http1.Request, err error) []byte {
 	switch {
-	case errors.Is(err, http1.ErrLarge):
+	case errors.Is(err, http1.ErrHeadTooLarge):
 		return textAnswer(431, "Request Header Fields Too Large", "the head is too long")
 	case err != nil:
 		return textAnswer(400, "Bad Request", "the head can't be read")
@@ -157,17 +157,17 @@
 		if status != http.StatusOK {
 			return textAnswer(status, http.StatusText(status), string(body))
 		}
-		return http1.AppendAnswer(nil, 200, "OK", body, http1.Header{Name: "Content-Type", Value: "application/json"})
+		return http1.AppendResponse(nil, 200, "OK", body, http1.Header{Name: "Content-Type", Value: "application/json"})
 	}
 	succeeded, body := call.Do()
 	if !succeeded {
 		return textAnswer(503, "Service Unavailable", string(body))
 	}
-	return http1.AppendAnswer(nil, 200, "OK", body, http1.Header{Name: "Content-Type", Value: "application/json"})
+	return http1.AppendResponse(nil, 200, "OK", body, http1.Header{Name: "Content-Type", Value: "application/json"})
 }
 
 // textAnswer returns an HTTP answer with a plain text body.
 func textAnswer(status int, reason, body string, headers ...http1.Header) []byte {
 	headers = append(headers, http1.Header{Name: "Content-Type", Value: "text/plain; charset=utf-8"})
-	return http1.AppendAnswer(nil, status, reason, []byte(strings.TrimSpace(body)+"\n"), headers...)
+	return http1.AppendResponse(nil, status, reason, []byte(strings.TrimSpace(body)+"\n"), headers...)
 }
--- a/internal/admission/middleware/middleware.go
+++ b/internal/admission/middleware/middleware.go
@@ -74,9 +74,9 @@
 
 // Serve serves a request and returns its final answer, which is a rejection if the request doesn't pass a limit.
 func (h *Handler) Serve(ctx context.Context, req *relay.Request) relay.Answer {
-	tenant, _ := meta.Fact(req.Facts, tenantFact)
-	constraints := h.controller.Lookup(req.Class, req.Key, tenant, req.Client)
-	if req.Narrow = constraints.Narrowing(); constraints.Unlimited() {
+	tenant, _ := meta.LookupFact(req.Facts, tenantFact)
+	constraints := h.controller.Lookup(req.Class, req.Key, tenant, req.ClientAddr)
+	if req.Constraints = constraints.Narrowing(); constraints.Unlimited() {
 		return h.next.Serve(ctx, req)
 	}
 	id := h.lastID.Add(1)
--- a/internal/admission/middleware/middleware_test.go
+++ b/internal/admission/middleware/middleware_test.go
@@ -73,7 +73,7 @@
 	h, fake, rejections := newHandler(t, fmt.Sprintf(oneSlotPlan, "50s"))
 	answers := make(chan relay.Answer, 2)
 	serve := func(ctx context.Context) {
-		answers <- h.Serve(ctx, &relay.Request{Key: []byte("k"), Arrived: time.Now(), Wait: time.Minute})
+		answers <- h.Serve(ctx, &relay.Request{Key: []byte("k"), Arrived: time.Now(), Timeout: time.Minute})
 	}
 	go serve(context.Background())
 	testprog.Await(t, fake.arrived, "request at the relay")
@@ -85,7 +85,7 @@
 	}
 	fake.proceed <- true
 	if req := testprog.Await(t, fake.arrived, "the next request at the relay"); time.Until(req.Deadline()) >= time.Minute ||
-		req.Narrow == nil {
+		req.Constraints == nil {
 		t.Errorf("the time in the queue is not subtracted from the deadline: %+v", req)
 	}
 	fake.proceed <- true
@@ -148,7 +148,7 @@
 				if (i+j)%7 == 0 {
 					cancel()
 				}
-				h.Serve(ctx, &relay.Request{Key: []byte("k"), Arrived: time.Now(), Wait: time.Minute})
+				h.Serve(ctx, &relay.Request{Key: []byte("k"), Arrived: time.Now(), Timeout: time.Minute})
 				cancel()
 				count.Add(1)
 			}
@@ -168,7 +168,7 @@
 		return relay.Server{Server: hoptiller.Server{ID: id, Zone: zone, Phase: phase}}
 	}
 	allowed := func(id uint32) bool {
-		return h.controller.Lookup(0, nil, nil, (&relay.Request{}).Client).Narrowing().Allows(id)
+		return h.controller.Lookup(0, nil, nil, (&relay.Request{}).ClientAddr).Narrowing().Allows(id)
 	}
 	h.Told(hoptiller.ListFull, []relay.Server{server(1, 0, hoptiller.Ready), server(2, 1, hoptiller.Ready)})
 	h.Told(hoptiller.ListFailed, nil)
@@ -206,7 +206,7 @@
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			h := New(emptyServer{}, &fakeRelay{}, load(b, c.text), func(string) {})
-			req := &relay.Request{Key: []byte("k500:x"), Arrived: time.Now(), Wait: time.Minute}
+			req := &relay.Request{Key: []byte("k500:x"), Arrived: time.Now(), Timeout: time.Minute}
 			b.ReportAllocs()
 			for b.Loop() {
 				h.Serve(context.Background(), req)
--- a/internal/buffer/arrival_test.go
+++ b/internal/buffer/arrival_test.go
@@ -53,7 +53,7 @@
 	var arrived time.Time
 	read := func(used int) {
 		t.Helper()
-		if err := r.Next(func(b []byte) int { arrived = r.Arrived(len(b)); return min(used, len(b)) }); err != nil {
+		if err := r.Next(func(b []byte) int { arrived = r.EarliestArrival(len(b)); return min(used, len(b)) }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -61,7 +61,7 @@
 	read(1)
 	first := r.LastRead
 	io.WriteString(client, "yz")
-	testprog.Until(t, "more bytes have arrived", r.Waiting)
+	testprog.Until(t, "more bytes have arrived", r.MoreArrived)
 	conn.SetReadDeadline(time.Unix(1, 0))
 	if err := r.Next(func(b []byte) int { return len(b) }); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a read after its deadline: %v", err)
@@ -70,7 +70,7 @@
 	if read(1); !arrived.Equal(first) {
 		t.Errorf("bytes that arrived before the read count as %v younger than the read before", arrived.Sub(first))
 	}
-	if r.Again(func(b []byte) int { arrived = r.Arrived(len(b)); return 0 }); !arrived.Equal(first) {
+	if r.Redeliver(func(b []byte) int { arrived = r.EarliestArrival(len(b)); return 0 }); !arrived.Equal(first) {
 		t.Errorf("bytes that are delivered again count as %v younger", arrived.Sub(first))
 	}
 }
--- a/internal/buffer/awaitend_test.go
+++ b/internal/buffer/awaitend_test.go
@@ -34,13 +34,13 @@
 				t.Fatal(err)
 			}
 			conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-			if err := r.AwaitEnd(); !errors.Is(err, os.ErrDeadlineExceeded) {
+			if err := r.AwaitPeerClose(); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("waiting for an end that does not come returned %v", err)
 			}
 			conn.SetReadDeadline(time.Now().Add(testprog.Patience))
 			conn.(*net.TCPConn).CloseWrite()
 			peer.(*net.TCPConn).CloseWrite()
-			if err := r.AwaitEnd(); err != nil {
+			if err := r.AwaitPeerClose(); err != nil {
 				t.Errorf("waiting for an end that comes returned %v", err)
 			}
 			conn.SetReadDeadline(time.Now().Add(testprog.Patience))
--- a/internal/buffer/reader.go
+++ b/internal/buffer/reader.go
@@ -21,8 +21,8 @@
 // Reader reads a connection and holds a buffer only while there is something to read, because nearly all of hundreds
 // of connections are idle at any time. Bytes that are left over between reads are kept in memory of their own size.
 type Reader struct {
-	Long     bool      // much data is expected: each read fills a whole buffer
-	LastRead time.Time // when the connection was read last
+	LargeReads bool      // much data is expected: each read fills a whole buffer
+	LastRead   time.Time // when the connection was read last
 
 	raw       syscall.RawConn
 	leftover  []byte    // bytes that were read and not consumed
@@ -49,21 +49,21 @@
 // RawConn returns the raw connection, for a caller that must check something right before a system call.
 func (r *Reader) RawConn() syscall.RawConn { return r.raw }
 
-// Arrived returns the earliest time at which the byte in front of an offset in the delivered bytes can have arrived.
+// EarliestArrival returns the earliest time at which the byte in front of an offset in the delivered bytes can have arrived.
 // Bytes that arrived while nobody read may have waited since the read before. Arrived is meant for the callback that
 // gets the bytes from Next or Again.
-func (r *Reader) Arrived(offset int) time.Time {
+func (r *Reader) EarliestArrival(offset int) time.Time {
 	if at, known := r.arrivals.timeOf(offset); known {
 		return at
 	}
 	return r.notBefore
 }
 
-// Unread returns the number of bytes that were read and not consumed.
-func (r *Reader) Unread() int { return len(r.leftover) }
+// Unconsumed returns the number of bytes that were read and not consumed.
+func (r *Reader) Unconsumed() int { return len(r.leftover) }
 
-// Waiting reports whether more bytes have arrived that were not read. It does not block.
-func (r *Reader) Waiting() (more bool) {
+// MoreArrived reports whether more bytes have arrived that were not read. It does not block.
+func (r *Reader) MoreArrived() (more bool) {
 	n, err := r.peek()
 	return err == nil && n > 0
 }
@@ -99,9 +99,9 @@
 	return n, err
 }
 
-// Gone reports whether the peer has closed or reset the connection and no unread bytes precede that. It does not
+// PeerClosed reports whether the peer has closed or reset the connection and no unread bytes precede that. It does not
 // block.
-func (r *Reader) Gone() bool {
+func (r *Reader) PeerClosed() bool {
 	n, err := r.peek()
 	return err == nil && n == 0 || err != nil && err != syscall.EAGAIN
 }
@@ -120,10 +120,10 @@
 	return n, err
 }
 
-// AwaitEnd waits until the peer has closed or broken a connection on which this side has stopped sending, or until
+// AwaitPeerClose waits until the peer has closed or broken a connection on which this side has stopped sending, or until
 // the read deadline passes. It reads nothing: bytes that arrive meanwhile stay with the operating system. If unread
 // bytes precede the end, AwaitEnd sees the end where the operating system reports the connection's state.
-func (r *Reader) AwaitEnd() error {
+func (r *Reader) AwaitPeerClose() error {
 	return r.raw.Read(func(fd uintptr) (ended bool) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -190,7 +190,7 @@
 	if len(r.leftover) > 0 {
 		r.leftover = append(r.leftover, buf[:n]...)
 		r.arrivals.add(len(r.leftover), r.notBefore)
-		return r.Again(take)
+		return r.Redeliver(take)
 	}
 	if used := take(buf[:n]); used < n {
 		r.keep(buf[used:n])
@@ -212,14 +212,14 @@
 
 // readSize returns how many bytes the next read asks for.
 func (r *Reader) readSize() int {
-	if r.Long {
+	if r.LargeReads {
 		return Size
 	}
 	return min(Size, max(minReadSize, len(r.leftover)))
 }
 
-// Again passes the leftover bytes to take without reading more.
-func (r *Reader) Again(take func(b []byte) (used int)) error {
+// Redeliver passes the leftover bytes to take without reading more.
+func (r *Reader) Redeliver(take func(b []byte) (used int)) error {
 	used := take(r.leftover)
 	r.keep(r.leftover[used:])
 	r.arrivals.drop(used)
--- a/internal/buffer/reader_test.go
+++ b/internal/buffer/reader_test.go
@@ -45,7 +45,7 @@
 		})
 	}
 	leftover := string(r.leftover)
-	if err != io.EOF || got.String()+leftover != text || r.Unread() != len(leftover) {
+	if err != io.EOF || got.String()+leftover != text || r.Unconsumed() != len(leftover) {
 		t.Errorf("%v after %d consumed and %d leftover bytes, want io.EOF after %d", err, got.Len(), len(leftover), len(text))
 	}
 	if err := (&Reader{leftover: make([]byte, MaxUnconsumed)}).Next(nil); err != io.ErrShortBuffer {
@@ -62,13 +62,13 @@
 		return err
 	})()
 	r, err := NewReader(testprog.Await(t, conns, "connection"))
-	if err != nil || r.Waiting() {
+	if err != nil || r.MoreArrived() {
 		t.Fatal("bytes are waiting on a new connection", err)
 	}
 	io.WriteString(client, "x")
-	testprog.Until(t, "a byte waits", r.Waiting)
+	testprog.Until(t, "a byte waits", r.MoreArrived)
 	got := ""
-	if err := r.Next(func(b []byte) int { got += string(b); return len(b) }); got != "x" || err != nil || r.Waiting() {
+	if err := r.Next(func(b []byte) int { got += string(b); return len(b) }); got != "x" || err != nil || r.MoreArrived() {
 		t.Errorf("read %q, %v", got, err)
 	}
 }
--- a/internal/discovery/body_parser.go
+++ b/internal/discovery/body_parser.go
@@ -16,7 +16,7 @@
 	onMessage  func([]byte) error
 	headParsed bool
 	completed  int // number of complete messages and empty lines
-	head       http1.Head
+	head       http1.ResponseHead
 	partial    []byte // beginning of a message that is not complete yet
 	scanned    int    // number of bytes of partial that have been scanned
 	nesting    jsonNesting
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -145,7 +145,7 @@
 		// A request that arrives after CloseWrite must not be read: the client may only retry elsewhere because it was not.
 		tcp.CloseWrite()
 		c.SetReadDeadline(time.Now().Add(closeTimeout))
-		c.reader.AwaitEnd()
+		c.reader.AwaitPeerClose()
 	}
 }
 
@@ -167,7 +167,7 @@
 		var consumed int
 		outcome := outcomeIncomplete
 		err := next(func(b []byte) (used int) {
-			if disconnected = c.reader.Gone(); !disconnected { // else the client has disconnected already and wants no answer
+			if disconnected = c.reader.PeerClosed(); !disconnected { // else the client has disconnected already and wants no answer
 				used, outcome = c.takeCommands(ctx, b)
 			}
 			consumed = used
@@ -185,19 +185,19 @@
 				return errors.Is(err, os.ErrDeadlineExceeded), false
 			}
 			if !last {
-				next = c.reader.Again
+				next = c.reader.Redeliver
 				continue
 			}
 		}
 		// A connection that is to end while its client still sends ends behind the commands that have been taken so far.
-		last = last || consumed > 0 && !mustWait && c.front.grace() > 0 && c.endsWhenIdle() && c.reader.Unread() == 0
+		last = last || consumed > 0 && !mustWait && c.front.grace() > 0 && c.endsWhenIdle() && c.reader.Unconsumed() == 0
 		c.mu.Lock()
-		if partial := c.reader.Unread() > 0 && !mustWait; partial != c.hasPartialCommand || partial && consumed > 0 {
+		if partial := c.reader.Unconsumed() > 0 && !mustWait; partial != c.hasPartialCommand || partial && consumed > 0 {
 			// Another command has begun, or no partial one is left.
 			c.hasPartialCommand, c.waitingSince = partial, time.Now()
 		}
 		if c.updateReadDeadline(); errors.Is(err, os.ErrDeadlineExceeded) && (c.openCommands == 0 || c.hasPartialCommand) &&
-			c.reader.Waiting() {
+			c.reader.MoreArrived() {
 			// A command, or the rest of one, that has already arrived must not be lost. The final check is made right before the
 			// close: a process with a fraction of a core may be paused at any point, and the close would reset all that arrived
 			// during the pause.
@@ -220,7 +220,7 @@
 				c.setReadError(err)
 				return false, false
 			}
-			next = c.reader.Again
+			next = c.reader.Redeliver
 		}
 	}
 }
@@ -258,9 +258,9 @@
 	c.readingAhead = true
 	c.updateReadDeadline()
 	c.mu.Unlock()
-	c.front.readAheadBytes.Add(int64(c.reader.Unread()))
+	c.front.readAheadBytes.Add(int64(c.reader.Unconsumed()))
 	defer func() {
-		c.front.readAheadBytes.Add(-int64(c.reader.Unread()))
+		c.front.readAheadBytes.Add(-int64(c.reader.Unconsumed()))
 		c.mu.Lock()
 		c.readingAhead, c.readAheadDone = false, false
 		c.updateReadDeadline()
@@ -272,10 +272,10 @@
 			return nil
 		default:
 		}
-		before := c.reader.Unread()
+		before := c.reader.Unconsumed()
 		if c.front.readAheadBytes.Load() < maxReadAhead && before < maxReadAheadPerConn {
 			err = c.reader.Next(func([]byte) int { return 0 })
-			c.front.readAheadBytes.Add(int64(c.reader.Unread() - before))
+			c.front.readAheadBytes.Add(int64(c.reader.Unconsumed() - before))
 		} else {
 			select {
 			case <-c.answerWritten:
--- a/internal/front/long_value.go
+++ b/internal/front/long_value.go
@@ -46,7 +46,7 @@
 	c.updateState()
 	c.mu.Unlock()
 	defer func() {
-		c.reader.Long = false
+		c.reader.LargeReads = false
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.hasPartialCommand, c.pieceDeadline = false, time.Time{}
@@ -67,10 +67,10 @@
 		value.Free()
 		c.front.Room.Release(size)
 	}
-	c.reader.Long = true
+	c.reader.LargeReads = true
 	begun := time.Now()
 	remaining, terminator := length, "\r\n"
-	for next := c.reader.Again; remaining > 0 || terminator != ""; next = c.reader.Next {
+	for next := c.reader.Redeliver; remaining > 0 || terminator != ""; next = c.reader.Next {
 		c.mu.Lock()
 		c.pieceDeadline = nextPieceDeadline(begun, time.Now(), value.Len())
 		c.updateReadDeadline()
@@ -86,7 +86,7 @@
 				used += n
 			}
 			if remaining == 0 && terminator == "" {
-				req.Arrived = c.reader.Arrived(used)
+				req.Arrived = c.reader.EarliestArrival(used)
 			}
 			return used
 		}); err != nil {
@@ -97,16 +97,16 @@
 		if badTerminator {
 			release()
 			releaseID()
-			c.answerInvalid(meta.ErrChunk.Error())
+			c.answerInvalid(meta.ErrBadChunk.Error())
 			return true, nil
 		}
 	}
-	if c.reader.Gone() {
+	if c.reader.PeerClosed() {
 		release()
 		releaseID()
 		return false, io.EOF
 	}
-	req.Long = value
+	req.LongValue = value
 	c.startRequest(ctx, req, release)
 	return false, nil
 }
--- a/internal/front/long_value_test.go
+++ b/internal/front/long_value_test.go
@@ -23,7 +23,7 @@
 
 func (s longValueServer) Serve(ctx context.Context, req *relay.Request) relay.Answer {
 	value := ""
-	for _, part := range req.Long.Parts(nil) {
+	for _, part := range req.LongValue.Parts(nil) {
 		value += string(part)
 	}
 	s.arrived <- string(req.ID) + " " + value
@@ -34,10 +34,10 @@
 // arrives completely. Other requests are not delayed meanwhile.
 func TestLongValueMemoryIsBounded(t *testing.T) {
 	server := longValueServer{make(chan string, 2), make(chan string)}
-	f := &Front{MostConns: 9, MostOpen: 9, Room: semaphore.NewWeighted(meta.MaxLong), Server: server}
+	f := &Front{MostConns: 9, MostOpen: 9, Room: semaphore.NewWeighted(meta.MaxLongValue), Server: server}
 	connect := start(t, f)
 	first, second, other := connect(), connect(), connect()
-	value := strings.Repeat("a", meta.MaxLong)
+	value := strings.Repeat("a", meta.MaxLongValue)
 	send := func(conn io.Writer, id int) {
 		fmt.Fprintf(conn, "ms k %d O%d Pc=read,d=900\r\n%s\r\n", len(value), id, value)
 	}
@@ -76,9 +76,9 @@
 // A client that disconnects in the middle of a long value, or ends it wrongly, frees its memory and its request id.
 func TestIncompleteLongValue(t *testing.T) {
 	server := longValueServer{make(chan string, 2), make(chan string, 2)}
-	f := &Front{MostConns: 9, MostOpen: 9, Room: semaphore.NewWeighted(meta.MaxLong), Server: server}
+	f := &Front{MostConns: 9, MostOpen: 9, Room: semaphore.NewWeighted(meta.MaxLongValue), Server: server}
 	connect := start(t, f)
-	value := strings.Repeat("a", meta.MaxLong)
+	value := strings.Repeat("a", meta.MaxLongValue)
 	head := fmt.Sprintf("ms k %d O1 Pc=read,d=900\r\n", len(value))
 	for range 3 {
 		half := connect()
@@ -103,7 +103,7 @@
 func TestNextPieceDeadline(t *testing.T) {
 	begun, late := time.Now(), 5*time.Second
 	for received, want := range map[int]time.Duration{5: pieceTimeout, minRate: pieceTimeout + time.Second,
-		meta.MaxLong: late + pieceTimeout} {
+		meta.MaxLongValue: late + pieceTimeout} {
 		if deadline := nextPieceDeadline(begun, begun.Add(late), received).Sub(begun).Round(time.Millisecond); deadline != want {
 			t.Errorf("%d bytes after %v: %v, want %v", received, late, deadline, want)
 		}
--- a/internal/front/protocol.go
+++ b/internal/front/protocol.go
@@ -46,7 +46,7 @@
 	}
 	cmd, n, err := meta.ParseCommand(b[offset:])
 	switch {
-	case err != nil && meta.Fatal(err):
+	case err != nil && meta.IsFatal(err):
 		c.answerInvalid(err.Error())
 		return n, outcomeLast
 	case err != nil:
@@ -70,16 +70,16 @@
 		}
 		req, fault := c.newRequest(&cmd)
 		switch {
-		case fault != "" && cmd.Long > 0: // the value that follows can't be read as commands
+		case fault != "" && cmd.LongValueLen > 0: // the value that follows can't be read as commands
 			c.answerInvalid(fault)
 			return n, outcomeLast
 		case fault != "":
 			c.answerInvalid(fault)
-		case cmd.Long > 0:
-			c.longWrite, c.longWriteLen = req, cmd.Long
+		case cmd.LongValueLen > 0:
+			c.longWrite, c.longWriteLen = req, cmd.LongValueLen
 			return n, outcomeTaken
 		default:
-			req.Arrived = c.reader.Arrived(offset + n)
+			req.Arrived = c.reader.EarliestArrival(offset + n)
 			c.startRequest(ctx, req, func() {})
 		}
 	}
@@ -120,7 +120,7 @@
 
 // newRequest makes a request from a command. If the command is invalid, fault is the error line to answer with.
 func (c *conn) newRequest(cmd *meta.Command) (req *relay.Request, fault string) {
-	req = &relay.Request{Write: cmd.Verb == meta.Set, Client: c.client, Gone: c.reader.Gone}
+	req = &relay.Request{Write: cmd.Verb == meta.Set, ClientAddr: c.client, Disconnected: c.reader.PeerClosed}
 	if fault := c.front.parseFacts(req, cmd.Facts); fault != "" {
 		return nil, "CLIENT_ERROR " + fault
 	}
@@ -178,7 +178,7 @@
 
 // parseFacts reads the facts of a request, which are name=value pairs, into req. If they are invalid, fault says why.
 func (f *Front) parseFacts(req *relay.Request, facts []byte) (fault string) {
-	class, _ := meta.Fact(facts, "c")
+	class, _ := meta.LookupFact(facts, "c")
 	if f.AnyClass {
 		req.Class = 0
 	} else if req.Class = slices.Index(f.Classes, string(class)); req.Class < 0 || len(class) == 0 {
@@ -188,16 +188,16 @@
 	if err != nil {
 		return err.Error()
 	}
-	if req.Wait = timeout; !stated {
-		req.Wait = f.Deadlines[req.Class]
+	if req.Timeout = timeout; !stated {
+		req.Timeout = f.Deadlines[req.Class]
 	}
 	if len(f.Tenants) > 0 { // an unknown tenant has the number -1 and no share that it could exceed
-		tenant, _ := meta.Fact(facts, "t")
+		tenant, _ := meta.LookupFact(facts, "t")
 		if req.Tenant = slices.Index(f.Tenants, string(tenant)); len(tenant) == 0 {
 			req.Tenant = -1
 		}
 	}
-	retry, _ := meta.Fact(facts, "r")
+	retry, _ := meta.LookupFact(facts, "r")
 	req.Retry = string(retry) == "1"
 	return ""
 }
--- a/internal/front/race_test.go
+++ b/internal/front/race_test.go
@@ -212,8 +212,8 @@
 // it holds no memory.
 func startWaitingForMemory(t *testing.T, f *Front, served disconnectServer) (conn net.Conn, checkNotSent func()) {
 	t.Helper()
-	f.Room = semaphore.NewWeighted(meta.MaxLong)
-	if !f.Room.TryAcquire(meta.MaxLong) {
+	f.Room = semaphore.NewWeighted(meta.MaxLongValue)
+	if !f.Room.TryAcquire(meta.MaxLongValue) {
 		t.Fatal("no memory for long values")
 	}
 	conn = start(t, f)()
@@ -226,12 +226,12 @@
 	return conn, func() {
 		t.Helper()
 		conn.Close()
-		f.Room.Release(meta.MaxLong)
+		f.Room.Release(meta.MaxLongValue)
 		testprog.Until(t, "the connection has ended", func() bool { return len(f.conns.all()) == 0 })
 		if n := len(served.arrived); n > 0 {
 			t.Error("the request was passed on")
 		}
-		if !f.Room.TryAcquire(meta.MaxLong) {
+		if !f.Room.TryAcquire(meta.MaxLongValue) {
 			t.Error("its memory was not released")
 		}
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -51,8 +51,8 @@
 	return b
 }
 
-// Head holds those parts of a response's status line and headers that the router uses.
-type Head struct {
+// ResponseHead holds those parts of a response's status line and headers that the router uses.
+type ResponseHead struct {
 	Status  int
 	Length  int // length of the body in bytes; -1 if not stated
 	Chunked bool
@@ -62,7 +62,7 @@
 
 // ParseHead reads the head of a response. n is the number of bytes that the head takes up: 0 without an error means
 // that it is incomplete. Header names are matched case-insensitively; extra names further headers to keep.
-func ParseHead(b []byte, extra ...string) (h Head, n int, err error) {
+func ParseHead(b []byte, extra ...string) (h ResponseHead, n int, err error) {
 	const prefix = "HTTP/1."
 	end := bytes.Index(b[:min(len(b), MaxHead)], []byte("\r\n\r\n"))
 	if end < 0 {
@@ -81,7 +81,7 @@
 	if parseErr != nil || code < 100 {
 		return h, 0, ErrMalformedResponse
 	}
-	h = Head{Status: int(code), Length: -1, Close: string(status[0]) == "HTTP/1.0"}
+	h = ResponseHead{Status: int(code), Length: -1, Close: string(status[0]) == "HTTP/1.0"}
 	for _, l := range lines[1:] {
 		name, value, ok := bytes.Cut(l, []byte(":"))
 		if !ok {
@@ -98,7 +98,7 @@
 }
 
 // addHeader records a header if the router uses it or the caller asked for it.
-func (h *Head) addHeader(name, value string, extra []string) error {
+func (h *ResponseHead) addHeader(name, value string, extra []string) error {
 	is := func(s string) bool { return bytes.EqualFold([]byte(name), []byte(s)) }
 	switch {
 	case is("Content-Length"):
@@ -130,7 +130,7 @@
 // without an error means that it is incomplete. Interim responses (1xx) before it are skipped. long reports that the
 // body is longer than MaxShortBody or ends only with the connection; then n covers the head alone, and the body is
 // not read.
-func ParseResponse(b []byte, extra ...string) (h Head, body []byte, n int, long bool, err error) {
+func ParseResponse(b []byte, extra ...string) (h ResponseHead, body []byte, n int, long bool, err error) {
 	for h.Status < 200 {
 		var used int
 		if h, used, err = ParseHead(b[n:], extra...); err != nil || used == 0 {
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// ErrLarge reports a request head that is longer than MaxHead.
-var ErrLarge = errors.New("HTTP head too long")
+// ErrHeadTooLarge reports a request head that is longer than MaxHead.
+var ErrHeadTooLarge = errors.New("HTTP head too long")
 
 // ErrMalformedRequest reports a request that cannot be parsed.
 var ErrMalformedRequest = errors.New("malformed HTTP request")
@@ -32,7 +32,7 @@
 	}
 	switch {
 	case end < 0 && len(b) >= MaxHead:
-		return Request{}, 0, ErrLarge
+		return Request{}, 0, ErrHeadTooLarge
 	case end < 0:
 		return Request{}, 0, nil
 	}
@@ -60,8 +60,8 @@
 	return Request{Method: parts[0], Path: path, Query: query}, nil
 }
 
-// AppendAnswer appends a complete response with a body. It announces that the connection ends afterwards.
-func AppendAnswer(b []byte, status int, reason string, body []byte, headers ...Header) []byte {
+// AppendResponse appends a complete response with a body. It announces that the connection ends afterwards.
+func AppendResponse(b []byte, status int, reason string, body []byte, headers ...Header) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10)
 	b = append(append(append(b, ' '), reason...), "\r\nConnection: close\r\n"...)
 	for _, h := range headers {
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -220,7 +220,7 @@
 			if err != nil {
 				number = xxhash.Sum64String(a.key)
 			}
-			class, _ := meta.Fact([]byte(a.facts), "c")
+			class, _ := meta.LookupFact([]byte(a.facts), "c")
 			request = e.newForeignRequest(a.id, string(class), number, a.write)
 			request.incarnation = l.node.incarnation
 			e.Check.Taken(e.World.Now(), l.node.index, request.number, request.try.Op.Class, e.World.Now()+time.Hour)
--- a/internal/meta/meta.go
+++ b/internal/meta/meta.go
@@ -14,7 +14,7 @@
 	MaxLine       = 2048
 	MaxKey        = 250
 	MaxShortValue = 64 << 10 // a value that is read as a whole
-	MaxLong       = 4 << 20  // a longer value is rejected
+	MaxLongValue  = 4 << 20  // a longer value is rejected
 )
 
 // Verb is the kind of a command.
@@ -32,12 +32,12 @@
 
 // Command is one command of a client. Its slices are parts of the parsed bytes.
 type Command struct {
-	Verb  Verb
-	Key   []byte
-	ID    []byte // the O flag: the request ID
-	Facts []byte // the P flag: a list of name=value pairs, separated by commas
-	Value []byte // the value of Set; empty if the value is long
-	Long  int    // length of a value longer than MaxShortValue; the value and a line end follow the command line
+	Verb         Verb
+	Key          []byte
+	ID           []byte // the O flag: the request ID
+	Facts        []byte // the P flag: a list of name=value pairs, separated by commas
+	Value        []byte // the value of Set; empty if the value is long
+	LongValueLen int    // length of a value longer than MaxShortValue; the value and a line end follow the command line
 }
 
 // The faults of a command. After a fault for which Fatal returns true the stream cannot be read on.
@@ -48,12 +48,12 @@
 	ErrBadID       = errors.New("CLIENT_ERROR missing request id")
 	ErrBadLength   = errors.New("CLIENT_ERROR bad data length")
 	ErrTooLarge    = errors.New("CLIENT_ERROR object too large")
-	ErrChunk       = errors.New("CLIENT_ERROR bad data chunk")
+	ErrBadChunk    = errors.New("CLIENT_ERROR bad data chunk")
 )
 
-// Fatal reports whether nothing after a command with this fault can be trusted.
-func Fatal(err error) bool {
-	return errors.Is(err, ErrLineTooLong) || errors.Is(err, ErrTooLarge) || errors.Is(err, ErrChunk) ||
+// IsFatal reports whether nothing after a command with this fault can be trusted.
+func IsFatal(err error) bool {
+	return errors.Is(err, ErrLineTooLong) || errors.Is(err, ErrTooLarge) || errors.Is(err, ErrBadChunk) ||
 		errors.Is(err, ErrBadLength)
 }
 
@@ -110,14 +110,14 @@
 		switch end := n + int(size); {
 		case parseErr != nil: // it is unknown how much data follows
 			return c, n, ErrBadLength
-		case size > MaxLong:
+		case size > MaxLongValue:
 			return c, n, ErrTooLarge
 		case size > MaxShortValue:
-			c.Long = int(size)
+			c.LongValueLen = int(size)
 		case len(b) < end+2:
 			return c, 0, nil
 		case b[end] != '\r' || b[end+1] != '\n':
-			return c, n, ErrChunk
+			return c, n, ErrBadChunk
 		default:
 			c.Value, n = b[n:end], end+2
 		}
@@ -154,8 +154,8 @@
 	return len(key) > 0 && len(key) <= MaxKey && bytes.IndexFunc(key, isControl) < 0
 }
 
-// Fact looks up a name in a list of name=value pairs.
-func Fact(facts []byte, name string) (value []byte, ok bool) {
+// LookupFact looks up a name in a list of name=value pairs.
+func LookupFact(facts []byte, name string) (value []byte, ok bool) {
 	for len(facts) > 0 {
 		var item []byte
 		item, facts, _ = bytes.Cut(facts, []byte(","))
@@ -219,7 +219,7 @@
 func AppendCommand(b []byte, c *Command) []byte {
 	if c.Verb == Set {
 		b = append(append(b, "ms "...), c.Key...)
-		b = strconv.AppendInt(append(b, ' '), int64(max(len(c.Value), c.Long)), 10)
+		b = strconv.AppendInt(append(b, ' '), int64(max(len(c.Value), c.LongValueLen)), 10)
 	} else {
 		b = append(append(append(b, "mg "...), c.Key...), " v"...)
 	}
@@ -321,14 +321,14 @@
 	switch end := n + int(size); {
 	case parseErr != nil:
 		return a, 0, ErrBadLength
-	case size > MaxLong:
+	case size > MaxLongValue:
 		return a, 0, ErrTooLarge
 	case size > MaxShortValue:
 		a.LongValueLen = int(size)
 	case len(b) < end+2:
 		return a, 0, nil
 	case b[end] != '\r' || b[end+1] != '\n':
-		return a, 0, ErrChunk
+		return a, 0, ErrBadChunk
 	default:
 		a.Data, n = b[n:end], end+2
 	}
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -39,7 +39,7 @@
 	command := *c
 	command.Facts = AppendFacts(nil, c.Facts, timeLeft)
 	b := AppendCommand(nil, &command)
-	if c.Verb == Set && c.Long == 0 {
+	if c.Verb == Set && c.LongValueLen == 0 {
 		b = append(append(b, c.Value...), "\r\n"...)
 	}
 	return b
@@ -62,7 +62,7 @@
 		}
 	}
 	for in, want := range map[string]error{ // each error is reported as soon as it shows
-		"VA x O9b\r\n": ErrBadLength, "VA 3 O9b\r\nabcdef": ErrChunk, "VA 4194305 O9b\r\n": ErrTooLarge,
+		"VA x O9b\r\n": ErrBadLength, "VA 3 O9b\r\nabcdef": ErrBadChunk, "VA 4194305 O9b\r\n": ErrTooLarge,
 		"VA 3000000000 O9b\r\n": ErrBadLength, "VA -1 O9b\r\n": ErrBadLength, "VA 3\r\n": ErrBadID, "EN\r\n": ErrBadID,
 		"VA 3 O9c\r\n": ErrBadID, "HD O9bb c5\r\n": ErrBadID, // reported before the value has arrived
 		"\r\n": ErrNotAnswer, "VALUE": ErrNotAnswer, "x": ErrNotAnswer, "ENO9b\r\n": ErrNotAnswer, "EN\x00": ErrNotAnswer,
--- a/internal/origin/crossing_test.go
+++ b/internal/origin/crossing_test.go
@@ -33,9 +33,9 @@
 			}
 		}
 	})
-	memory := semaphore.NewWeighted(meta.MaxLong)
-	p := upstream.New(upstream.Settings{Share: 1, MostConns: 2, MostCalls: 1, ConnectTimeout: 5 * time.Second, Rest: cooldown,
-		Room: memory}, Protocol{})
+	memory := semaphore.NewWeighted(meta.MaxLongValue)
+	p := upstream.New(upstream.Settings{CallsPerConn: 1, MaxConnsPerServer: 2, MaxCallsPerConn: 1, ConnectTimeout: 5 * time.Second, Cooldown: cooldown,
+		ValueMemory: memory}, Protocol{})
 	p.Update(relay.Server{Addr: l.Addr().String(), Server: hoptiller.Server{ID: 1, Phase: hoptiller.Ready}}, false)
 	t.Cleanup(p.Close)
 	return p, memory
--- a/internal/origin/endless_test.go
+++ b/internal/origin/endless_test.go
@@ -48,7 +48,7 @@
 			if r := testprog.Await(t, ended, "end of the call"); r.Status != c.status {
 				t.Errorf("status %d, not %d", r.Status, c.status)
 			}
-			if !memory.TryAcquire(meta.MaxLong) {
+			if !memory.TryAcquire(meta.MaxLongValue) {
 				t.Error("memory for the value is still acquired")
 			}
 		})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,42 +19,42 @@
 
 // Request is one client request.
 type Request struct {
-	Key     []byte        // the cache key
-	ID      []byte        // the request ID that the client chose
-	Facts   []byte        // name=value pairs that the client sent with the request
-	Value   []byte        // the value to write; empty for a read or a long value
-	Long    *buffer.Chain // the value to write if it is long; must not be used once the final answer is known
-	Write   bool          // a write rather than a read
-	Class   int           // index of the request's class in the settings
-	Tenant  int           // number of the tenant; -1 if unknown
-	Retry   bool          // the client marked the request as its own retry
-	Arrived time.Time     // when the last byte of the request arrived
-	Wait    time.Duration // how long the client waits for the answer, counted from Arrived
-
-	Client netip.Addr            // the client's address; invalid if unknown
-	Gone   func() bool           // checks whether the client has disconnected, even if nothing has noticed yet; nil: unknown
-	Narrow hoptiller.Constraints // what an operator forbids for the request; nil: nothing
+	Key       []byte        // the cache key
+	ID        []byte        // the request ID that the client chose
+	Facts     []byte        // name=value pairs that the client sent with the request
+	Value     []byte        // the value to write; empty for a read or a long value
+	LongValue *buffer.Chain // the value to write if it is long; must not be used once the final answer is known
+	Write     bool          // a write rather than a read
+	Class     int           // index of the request's class in the settings
+	Tenant    int           // number of the tenant; -1 if unknown
+	Retry     bool          // the client marked the request as its own retry
+	Arrived   time.Time     // when the last byte of the request arrived
+	Timeout   time.Duration // how long the client waits for the answer, counted from Arrived
+
+	ClientAddr   netip.Addr            // the client's address; invalid if unknown
+	Disconnected func() bool           // checks whether the client has disconnected, even if nothing has noticed yet; nil: unknown
+	Constraints  hoptiller.Constraints // what an operator forbids for the request; nil: nothing
 }
 
 // Deadline returns the time at which the client stops waiting.
-func (req *Request) Deadline() time.Time { return req.Arrived.Add(req.Wait) }
+func (req *Request) Deadline() time.Time { return req.Arrived.Add(req.Timeout) }
 
 // ClientDisconnected checks whether the client has disconnected. The request's context reports that later, because
 // the disconnect must be noticed first.
-func (req *Request) ClientDisconnected() bool { return req.Gone != nil && req.Gone() }
+func (req *Request) ClientDisconnected() bool { return req.Disconnected != nil && req.Disconnected() }
 
 // routerRequest returns the request in the form that the decision module takes.
 func (req *Request) routerRequest(id uint32, now time.Time) hoptiller.Request {
 	return hoptiller.Request{
 		ID: id, Class: req.Class, Tenant: req.Tenant, Key: keyNumber(req.Key), Write: req.Write, IsRetry: req.Retry,
-		Remaining: max(0, req.Deadline().Sub(now)), Constraints: req.Narrow,
+		Remaining: max(0, req.Deadline().Sub(now)), Constraints: req.Constraints,
 	}
 }
 
 // ValueLen returns the length in bytes of the value to write.
 func (req *Request) ValueLen() int {
-	if req.Long != nil {
-		return req.Long.Len()
+	if req.LongValue != nil {
+		return req.LongValue.Len()
 	}
 	return len(req.Value)
 }
@@ -112,8 +112,8 @@
 	EarliestStart time.Time // when its process can have started at the earliest, by the local monotonic clock; set by the Relay
 }
 
-// Directory takes the Relay's requests to service discovery. Its methods return at once.
-type Directory interface {
+// Discovery takes the Relay's requests to service discovery. Its methods return at once.
+type Discovery interface {
 	Watch(on bool) // starts or ends the subscription to changes of the list
 	List()         // requests the complete list
 }
@@ -165,17 +165,17 @@
 	return time.Duration(r.created.UnixNano()) + time.Since(r.created)
 }
 
-// Members returns how many cache servers are listed, and how many of them the decision module avoids now.
-func (r *Relay) Members() (listed, avoided int) { return r.facade.CacheCounts() }
+// CacheCounts returns how many cache servers are listed, and how many of them the decision module avoids now.
+func (r *Relay) CacheCounts() (listed, avoided int) { return r.facade.CacheCounts() }
 
 // Caches returns the listed cache servers as this router sees them.
 func (r *Relay) Caches() []hoptiller.CacheState { return r.facade.Caches() }
 
-// Sighted passes on that some router observed a cache server to be down or up before the list reported it.
-func (r *Relay) Sighted(observation hoptiller.Observation) { r.facade.Observe(r.now(), observation) }
+// Observe passes on that some router observed a cache server to be down or up before the list reported it.
+func (r *Relay) Observe(observation hoptiller.Observation) { r.facade.Observe(r.now(), observation) }
 
 // Run carries out the orders of the decision module that belong to no single request, until ctx is done.
-func (r *Relay) Run(ctx context.Context, discovery Directory) error {
+func (r *Relay) Run(ctx context.Context, discovery Discovery) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	due := time.Now()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -90,7 +90,7 @@
 
 // newRequest returns a request whose client waits for 5 seconds.
 func newRequest(class int, write bool) *Request {
-	return &Request{Key: []byte("k"), ID: []byte("1"), Class: class, Write: write, Arrived: time.Now(), Wait: 5 * time.Second}
+	return &Request{Key: []byte("k"), ID: []byte("1"), Class: class, Write: write, Arrived: time.Now(), Timeout: 5 * time.Second}
 }
 
 // After a miss the request goes to the origin, once the attempt that missed has been aborted. The answer is the
@@ -252,7 +252,7 @@
 func TestRouterRequest(t *testing.T) {
 	now := time.Now()
 	req := &Request{Key: []byte("00000000000000ff"), Class: 1, Tenant: 3, Write: true, Retry: true,
-		Arrived: now.Add(-time.Second), Wait: 2 * time.Second}
+		Arrived: now.Add(-time.Second), Timeout: 2 * time.Second}
 	want := hoptiller.Request{ID: 7, Class: 1, Tenant: 3, Key: 255, Write: true, IsRetry: true, Remaining: time.Second}
 	if got := req.routerRequest(7, now); got != want {
 		t.Errorf("%+v, want %+v", got, want)
@@ -278,7 +278,7 @@
 		})
 		req := newRequest(0, false)
 		before := time.Now()
-		req.Arrived, req.Wait = before.Add(c.clientTimeout-time.Second), time.Second
+		req.Arrived, req.Timeout = before.Add(c.clientTimeout-time.Second), time.Second
 		r.makeAttempt(t.Context(), &activeRequest{}, req, hoptiller.Step{Kind: hoptiller.StepCall, Server: 1, Timeout: c.stepTimeout})
 		end := testprog.Await(t, ends, "attempt")
 		if end.Before(before.Add(c.want)) || end.After(time.Now().Add(c.want)) {
--- a/internal/relay/trace.go
+++ b/internal/relay/trace.go
@@ -48,6 +48,6 @@
 	if kind == hoptiller.StepReject {
 		message = "request refused"
 	}
-	slog.Info(message, "request", string(req.ID), "class", req.Class, "waits", req.Wait.Round(time.Millisecond),
+	slog.Info(message, "request", string(req.ID), "class", req.Class, "waits", req.Timeout.Round(time.Millisecond),
 		"after", time.Since(t.started).Round(time.Millisecond), "attempts", t)
 }
--- a/internal/upstream/buffered_body.go
+++ b/internal/upstream/buffered_body.go
@@ -56,9 +56,9 @@
 // length first. Memory for the longest allowed value is acquired before more of the value is read; what the value did
 // not need is released when it has arrived.
 func (p *Pool) bufferBody(ctx context.Context, stream *streamBody) relay.Result {
-	const maxLen = meta.MaxLong
+	const maxLen = meta.MaxLongValue
 	defer context.AfterFunc(ctx, stream.Close)()
-	if err := p.settings.Room.Acquire(ctx, maxLen); err != nil {
+	if err := p.settings.ValueMemory.Acquire(ctx, maxLen); err != nil {
 		stream.Close()
 		return relay.Result{Status: contextStatus(ctx)}
 	}
@@ -73,9 +73,9 @@
 	used := int64(buffered.value.Len())
 	buffered.free = func() {
 		buffered.value.Free()
-		p.settings.Room.Release(used)
+		p.settings.ValueMemory.Release(used)
 	}
-	p.settings.Room.Release(maxLen - used)
+	p.settings.ValueMemory.Release(maxLen - used)
 	switch {
 	case err == nil && stream.call.req.Write:
 		defer buffered.free()
--- a/internal/upstream/closing.go
+++ b/internal/upstream/closing.go
@@ -67,8 +67,8 @@
 
 // reportClosed counts a closed connection, and logs it if requests depend on it. The caller holds p.mu.
 func (p *Pool) reportClosed(c *conn, reason CloseReason) {
-	if p.settings.Closed != nil {
-		p.settings.Closed(reason)
+	if p.settings.ConnClosed != nil {
+		p.settings.ConnClosed(reason)
 	}
 	streamedID := c.streamedRequestID()
 	waitingIDs := c.waitingRequestIDs()
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -31,7 +31,7 @@
 // lateServer returns a pool that knows one server, to which connections are established only once listen is called.
 func lateServer(t *testing.T) (p *Pool, listen func() net.Listener) {
 	addr, listen := testprog.Late(t)
-	p = New(Settings{Share: 4, MostConns: 4, MostCalls: 100, ConnectTimeout: 20 * time.Second}, Meta{})
+	p = New(Settings{CallsPerConn: 4, MaxConnsPerServer: 4, MaxCallsPerConn: 100, ConnectTimeout: 20 * time.Second}, Meta{})
 	p.Update(listEntry(addr, hoptiller.Ready), false)
 	t.Cleanup(p.Close)
 	return p, listen
@@ -88,7 +88,7 @@
 // server's side of that connection.
 func idleConn(t *testing.T) (p *Pool, c *conn, server net.Conn) {
 	l := testprog.Listen(t)
-	p = New(Settings{Share: 4, MostConns: 4, MostCalls: 100, ConnectTimeout: time.Second}, Meta{})
+	p = New(Settings{CallsPerConn: 4, MaxConnsPerServer: 4, MaxCallsPerConn: 100, ConnectTimeout: time.Second}, Meta{})
 	t.Cleanup(p.Close)
 	p.Update(listEntry(l.Addr().String(), hoptiller.Ready), false)
 	nc, err := net.Dial("tcp", l.Addr().String())
@@ -149,7 +149,7 @@
 	}
 	// After that readLoop waits for p.mu. Until then the final check sees the bytes.
 	testprog.Until(t, "the answer has been read", func() bool {
-		return !c.reader.Quiet() && !c.reader.Waiting()
+		return !c.reader.Quiet() && !c.reader.MoreArrived()
 	})
 	call := &pendingCall{req: readRequest("01"), result: make(chan relay.Result, 1), sentAt: time.Now()}
 	c.pending = append(c.pending, call)
@@ -179,7 +179,7 @@
 			t.Parallel()
 			l := testprog.Listen(t)
 			received := readLines(l)
-			p := New(Settings{Share: 4, MostConns: 1, MostCalls: 100, ConnectTimeout: time.Second}, Meta{})
+			p := New(Settings{CallsPerConn: 4, MaxConnsPerServer: 1, MaxCallsPerConn: 100, ConnectTimeout: time.Second}, Meta{})
 			t.Cleanup(p.Close)
 			p.Update(listEntry(l.Addr().String(), hoptiller.Ready), false)
 			ctx, stop := context.WithCancel(t.Context())
--- a/internal/upstream/dial_timeout_test.go
+++ b/internal/upstream/dial_timeout_test.go
@@ -14,7 +14,7 @@
 func TestDialTimeout(t *testing.T) {
 	t.Parallel()
 	addr, _ := testprog.Late(t)
-	p := New(Settings{Share: 4, MostConns: 4, MostCalls: 100, ConnectTimeout: 50 * time.Millisecond}, Meta{})
+	p := New(Settings{CallsPerConn: 4, MaxConnsPerServer: 4, MaxCallsPerConn: 100, ConnectTimeout: 50 * time.Millisecond}, Meta{})
 	t.Cleanup(p.Close)
 	p.Update(listEntry(addr, hoptiller.Ready), false)
 	ended := make(chan relay.Result, 1)
--- a/internal/upstream/final_check_test.go
+++ b/internal/upstream/final_check_test.go
@@ -34,8 +34,8 @@
 	p := serve(t, holdOpen)
 	p.protocol = hookedProtocol{onEncode: func() { disconnected.Store(true) }}
 	sent := 0
-	p.settings.Called = func() { sent++ }
-	req := &relay.Request{Key: []byte("k"), ID: []byte("01"), Facts: []byte("c=read,d=9"), Gone: disconnected.Load}
+	p.settings.AttemptSent = func() { sent++ }
+	req := &relay.Request{Key: []byte("k"), ID: []byte("01"), Facts: []byte("c=read,d=9"), Disconnected: disconnected.Load}
 	ctx, cancel := context.WithTimeout(t.Context(), testprog.Patience)
 	defer cancel()
 	if r := p.Call(ctx, ctx, 1, req); r.Status != hoptiller.NotSent || sent > 0 {
@@ -48,10 +48,10 @@
 func TestClientDisconnectsDuringFinalCheck(t *testing.T) {
 	p, c, server := idleConn(t)
 	repeated := 0
-	p.settings.LookedAgain = func() { repeated++ }
+	p.settings.CheckRepeated = func() { repeated++ }
 	req := readRequest("01")
 	disconnected := false
-	req.Gone = func() bool {
+	req.Disconnected = func() bool {
 		before := disconnected
 		disconnected = true
 		time.Sleep(10 * maxCheckAge)
@@ -72,9 +72,9 @@
 func TestSlowChecksEnd(t *testing.T) {
 	p, c, server := idleConn(t)
 	repeated := 0
-	p.settings.LookedAgain = func() { repeated++ }
+	p.settings.CheckRepeated = func() { repeated++ }
 	req := readRequest("01")
-	req.Gone = func() bool {
+	req.Disconnected = func() bool {
 		time.Sleep(2 * maxCheckAge)
 		return false
 	}
@@ -95,7 +95,7 @@
 	var disconnected atomic.Bool
 	checked := make(chan struct{}, maxChecks)
 	req := readRequest("01")
-	req.Gone = func() bool {
+	req.Disconnected = func() bool {
 		select {
 		case checked <- struct{}{}:
 		default:
--- a/internal/upstream/find.go
+++ b/internal/upstream/find.go
@@ -33,8 +33,8 @@
 			return nil, hoptiller.NotSent
 		}
 		c = p.takeIdle(s)
-		atLimit = len(s.conns)+s.dialing >= p.settings.MostConns
-		if c == nil && !atLimit && p.settings.MostTotal > 0 && p.connCount >= p.settings.MostTotal {
+		atLimit = len(s.conns)+s.dialing >= p.settings.MaxConnsPerServer
+		if c == nil && !atLimit && p.settings.MaxConns > 0 && p.connCount >= p.settings.MaxConns {
 			atLimit = !p.evictIdle()
 		}
 		if c == nil && atLimit {
@@ -55,7 +55,7 @@
 		}
 	}
 	switch {
-	case atLimit && (c == nil || c.load >= p.settings.MostCalls):
+	case atLimit && (c == nil || c.load >= p.settings.MaxCallsPerConn):
 		return nil, hoptiller.ConnectFailed
 	case !atLimit && (c == nil || c.load >= p.callsPerConn()):
 		return p.openConn(sendCtx, s)
@@ -70,7 +70,7 @@
 	if !p.lastLongValue.IsZero() && time.Since(p.lastLongValue) < unsharedTime {
 		return 1
 	}
-	return p.settings.Share
+	return p.settings.CallsPerConn
 }
 
 // evictIdle closes the connection that has been idle longest, to any server, and reports whether there was one. The
@@ -96,8 +96,8 @@
 	if s.unreachable != up { // unchanged
 		return
 	}
-	if s.unreachable = !up; p.settings.Seen != nil {
-		p.settings.Seen(s.ID, up)
+	if s.unreachable = !up; p.settings.Observed != nil {
+		p.settings.Observed(s.ID, up)
 	}
 }
 
@@ -110,7 +110,7 @@
 		if c.load > 0 {
 			continue
 		}
-		if c.answered && time.Since(c.lastReleased) < p.settings.Rest {
+		if c.answered && time.Since(c.lastReleased) < p.settings.Cooldown {
 			continue
 		}
 		if p.settings.IdleLimit > 0 && time.Since(c.lastReleased) >= p.settings.IdleLimit {
--- a/internal/upstream/outgoing.go
+++ b/internal/upstream/outgoing.go
@@ -45,12 +45,12 @@
 	o.statedTime, o.firstWrite, o.laterWrites = timeLeft, firstWrite, nil
 	switch {
 	case !req.Write:
-	case req.Long == nil && len(firstWrite)+len(req.Value)+len(tail) <= cap(firstWrite):
+	case req.LongValue == nil && len(firstWrite)+len(req.Value)+len(tail) <= cap(firstWrite):
 		o.firstWrite = append(append(firstWrite, req.Value...), tail...)
 	default:
 		o.laterWrites = append(o.laterWrites, req.Value)
-		if req.Long != nil {
-			o.laterWrites = req.Long.Parts(o.laterWrites)
+		if req.LongValue != nil {
+			o.laterWrites = req.LongValue.Parts(o.laterWrites)
 		}
 		o.laterWrites = append(o.laterWrites, []byte(tail))
 	}
@@ -71,7 +71,7 @@
 		if time.Since(checkedAt) <= maxCheckAge {
 			return true
 		}
-		if checkRepeated := o.conn.pool.settings.LookedAgain; checkRepeated != nil {
+		if checkRepeated := o.conn.pool.settings.CheckRepeated; checkRepeated != nil {
 			checkRepeated()
 		}
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -19,21 +19,21 @@
 
 // Settings are the limits and callbacks of a Pool.
 type Settings struct {
-	Share          int           // calls on each open connection before another one is opened
-	MostConns      int           // connections to one server, however many calls share them
-	MostTotal      int           // connections to all servers; 0: no limit
-	MostCalls      int           // calls in flight on one connection
-	IdleLimit      time.Duration // a connection that has been idle for this long is not used again; 0: no limit
-	Rest           time.Duration // time after an answer in which no call is sent, because a second answer may arrive
-	Places         int           // connections that each core of a server accepts; 0: not stated
-	Kept           int           // idle connections to one server that stay open until IdleLimit; surplus ones are closed sooner
-	ConnectTimeout time.Duration
-	Room           *semaphore.Weighted      // memory in bytes for values whose length is known only at their end
-	Reports        *loadreport.Table        // stores the load reports of servers; nil: they are dropped
-	Seen           func(id uint32, up bool) // called when a server is found to have no process, or answers again; may be nil
-	Called         func()                   // called for each call that was written completely; may be nil
-	LookedAgain    func()                   // called for each final check of a call that had to be repeated; may be nil
-	Closed         func(CloseReason)        // called for each connection that was closed; may be nil
+	CallsPerConn      int           // calls on each open connection before another one is opened
+	MaxConnsPerServer int           // connections to one server, however many calls share them
+	MaxConns          int           // connections to all servers; 0: no limit
+	MaxCallsPerConn   int           // calls in flight on one connection
+	IdleLimit         time.Duration // a connection that has been idle for this long is not used again; 0: no limit
+	Cooldown          time.Duration // time after an answer in which no call is sent, because a second answer may arrive
+	ConnsPerCore      int           // connections that each core of a server accepts; 0: not stated
+	MaxIdle           int           // idle connections to one server that stay open until IdleLimit; surplus ones are closed sooner
+	ConnectTimeout    time.Duration
+	ValueMemory       *semaphore.Weighted      // memory in bytes for values whose length is known only at their end
+	LoadReports       *loadreport.Table        // stores the load reports of servers; nil: they are dropped
+	Observed          func(id uint32, up bool) // called when a server is found to have no process, or answers again; may be nil
+	AttemptSent       func()                   // called for each call that was written completely; may be nil
+	CheckRepeated     func()                   // called for each final check of a call that had to be repeated; may be nil
+	ConnClosed        func(CloseReason)        // called for each connection that was closed; may be nil
 }
 
 // Pool holds the connections to all servers of one kind. It implements relay.Upstream.
@@ -120,8 +120,8 @@
 		return false
 	}
 	delete(p.servers, id)
-	if p.settings.Reports != nil {
-		p.settings.Reports.Forget(id)
+	if p.settings.LoadReports != nil {
+		p.settings.LoadReports.Forget(id)
 	}
 	return true
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -32,7 +32,7 @@
 			}()
 		}
 	}()
-	p := New(Settings{Share: 4, MostConns: 4, MostCalls: 100, ConnectTimeout: time.Second}, Meta{})
+	p := New(Settings{CallsPerConn: 4, MaxConnsPerServer: 4, MaxCallsPerConn: 100, ConnectTimeout: time.Second}, Meta{})
 	p.Update(listEntry(l.Addr().String(), hoptiller.Ready), false)
 	t.Cleanup(func() { l.Close(); p.Close() })
 	return p
@@ -190,7 +190,7 @@
 // needed. A removed server is forgotten when there are no connections to it any more.
 func TestMaxConnsAndForget(t *testing.T) {
 	p := serve(t, answer("EN O01\r\n"))
-	p.settings.MostTotal = 1
+	p.settings.MaxConns = 1
 	other := listEntry(p.servers[1].Addr, hoptiller.Ready)
 	other.ID = 2
 	p.Update(other, false)
@@ -312,7 +312,7 @@
 		r.ReadString('\n')
 		ended <- conn
 	})
-	p.settings.Share, p.settings.Kept, p.settings.ConnectTimeout = 1, 1, 50*time.Millisecond
+	p.settings.CallsPerConn, p.settings.MaxIdle, p.settings.ConnectTimeout = 1, 1, 50*time.Millisecond
 	called := make(chan relay.Result, 3)
 	for range 3 {
 		go func() { called <- p.Call(t.Context(), t.Context(), 1, exampleRead) }()
@@ -347,7 +347,7 @@
 // a busy machine.
 func TestWaitsForADial(t *testing.T) {
 	p := serve(t, answer("EN O01\r\n"))
-	p.settings.MostConns = 1
+	p.settings.MaxConnsPerServer = 1
 	p.mu.Lock()
 	s := p.servers[1]
 	s.dialing = 1
@@ -394,7 +394,7 @@
 		}
 	})
 	reports := make(chan bool, 10)
-	p.settings.Seen = func(id uint32, up bool) { reports <- up }
+	p.settings.Observed = func(id uint32, up bool) { reports <- up }
 	ctx, cancel := context.WithTimeout(context.Background(), testprog.Patience)
 	defer cancel()
 	call := func(wantDown bool) {
--- a/internal/upstream/protocol.go
+++ b/internal/upstream/protocol.go
@@ -76,7 +76,7 @@
 
 // AppendAttempt implements Protocol.
 func (Meta) AppendAttempt(b []byte, a *Attempt) (head []byte, tail string) {
-	c := meta.Command{Verb: meta.Get, Key: a.Key, ID: a.ID, Facts: a.Facts, Long: a.ValueLen}
+	c := meta.Command{Verb: meta.Get, Key: a.Key, ID: a.ID, Facts: a.Facts, LongValueLen: a.ValueLen}
 	if a.Write {
 		c.Verb, tail = meta.Set, "\r\n"
 	}
--- a/internal/upstream/reap.go
+++ b/internal/upstream/reap.go
@@ -10,13 +10,13 @@
 // surplusIdleTime returns how long surplus connections may stay idle. It is never shorter than ConnectTimeout, since
 // reopening a connection may take that long.
 func (p *Pool) surplusIdleTime() time.Duration {
-	return max(p.callTimes.IdleTimeout(p.settings.Places), p.settings.ConnectTimeout)
+	return max(p.callTimes.IdleTimeout(p.settings.ConnsPerCore), p.settings.ConnectTimeout)
 }
 
 // scheduleReap schedules a check of the idle connections if the server has surplus connections and no check is
 // scheduled yet. The caller holds p.mu.
 func (p *Pool) scheduleReap(s *server) {
-	if !p.reapScheduled && len(s.conns) > p.settings.Kept {
+	if !p.reapScheduled && len(s.conns) > p.settings.MaxIdle {
 		p.reapScheduled = true
 		time.AfterFunc(p.surplusIdleTime(), p.reap)
 	}
@@ -30,7 +30,7 @@
 	limit, now := p.surplusIdleTime(), time.Now()
 	next := limit + 1
 	for _, s := range p.servers {
-		for i := 0; i < len(s.conns) && len(s.conns) > p.settings.Kept; { // the connections used last are at the end and stay open
+		for i := 0; i < len(s.conns) && len(s.conns) > p.settings.MaxIdle; { // the connections used last are at the end and stay open
 			c := s.conns[i]
 			left := limit - now.Sub(c.lastReleased)
 			if c.load == 0 && left <= 0 {
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -31,12 +31,12 @@
 			if stream.reader = r; !stream.deliver() {
 				return
 			}
-			next = r.Again // what arrived behind the long value
+			next = r.Redeliver // what arrived behind the long value
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) && c.moreArrived() {
 			err = nil
 		}
-		if r.Unread() > 0 {
+		if r.Unconsumed() > 0 {
 			c.SetReadDeadline(time.Now().Add(maxAnswerGap))
 		} else {
 			c.SetReadDeadline(time.Time{})
@@ -60,7 +60,7 @@
 func (c *conn) moreArrived() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	return !c.closed && c.reader.Waiting()
+	return !c.closed && c.reader.MoreArrived()
 }
 
 // handleAnswers passes the complete answers in b to their callers. It returns how many bytes they took up, the long
@@ -90,8 +90,8 @@
 			return used, nil, true
 		}
 		used += reply.Size
-		if reply.LoadReport != nil && p.settings.Reports != nil {
-			p.settings.Reports.Take(c.server.ID, reply.LoadReport)
+		if reply.LoadReport != nil && p.settings.LoadReports != nil {
+			p.settings.LoadReports.Take(c.server.ID, reply.LoadReport)
 		}
 		c.pending, c.answered = c.pending[1:], true
 		p.observe(c.server, true)
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -28,8 +28,8 @@
 	}
 	written, err := o.write()
 	if err == nil && o.status == hoptiller.OK {
-		if c.pool.settings.Called != nil {
-			c.pool.settings.Called()
+		if c.pool.settings.AttemptSent != nil {
+			c.pool.settings.AttemptSent()
 		}
 		return true, hoptiller.OK
 	}
--- a/internal/upstream/stream_body.go
+++ b/internal/upstream/stream_body.go
@@ -35,8 +35,8 @@
 // Copy implements relay.Body. It reads from the connection no faster than write accepts the pieces.
 func (b *streamBody) Copy(write func(piece []byte) error) (err error) {
 	defer func() { b.finish(err) }()
-	defer func() { b.reader.Long = false }()
-	next := b.reader.Again // what arrived together with the head
+	defer func() { b.reader.LargeReads = false }()
+	next := b.reader.Redeliver // what arrived together with the head
 	for done := false; !done; {
 		var pieceErr error
 		b.conn.SetReadDeadline(time.Now().Add(pieceTimeout))
@@ -56,7 +56,7 @@
 		if err = errors.Join(pieceErr, err); err != nil {
 			return err
 		}
-		b.reader.Long, next = true, b.reader.Next
+		b.reader.LargeReads, next = true, b.reader.Next
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 // finishComplete returns the connection to the pool after the complete value has arrived. The caller holds the pool's
 // mu.
 func (b *streamBody) finishComplete() {
-	if b.reader.Unread() == 0 {
+	if b.reader.Unconsumed() == 0 {
 		b.reader.MarkHandled()
 	}
 	b.conn.release()
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -59,7 +59,7 @@
 			t.Parallel()
 			l := testprog.Listen(t)
 			received := readLines(l)
-			p := New(Settings{Share: 4, MostConns: 1, MostCalls: 100, ConnectTimeout: time.Second}, Meta{})
+			p := New(Settings{CallsPerConn: 4, MaxConnsPerServer: 1, MaxCallsPerConn: 100, ConnectTimeout: time.Second}, Meta{})
 			t.Cleanup(p.Close)
 			p.Update(listEntry(l.Addr().String(), hoptiller.Ready), false)
 			ctx, cancel := context.WithTimeout(t.Context(), wait)
