--- a/cmd/hoptiller/calls.go
+++ b/cmd/hoptiller/calls.go
@@ -74,7 +74,7 @@
 // addParameterCalls adds the calls that take query parameters.
 func addParameterCalls(all map[string]admin.Call, fleet *peers.Peers) {
 	addCall := func(path string, do func(q url.Values) error) {
-		all[path] = admin.Call{Method: "POST", Ask: func(q url.Values) (int, []byte) {
+		all[path] = admin.Call{Method: "POST", Query: func(q url.Values) (int, []byte) {
 			if err := do(q); err != nil {
 				return errorStatus(err), []byte(err.Error())
 			}
--- a/cmd/hoptiller/reload.go
+++ b/cmd/hoptiller/reload.go
@@ -65,7 +65,7 @@
 	}
 	r.plan = p
 	r.fleet.setBounds(p.Fleet)
-	r.log.Set(options)
+	r.log.SetOptions(options)
 	if c.Discovery != r.config.Discovery {
 		r.discoveryClient.Move(registry(c))
 	}
--- a/cmd/hoptiller/scenario_test.go
+++ b/cmd/hoptiller/scenario_test.go
@@ -183,7 +183,7 @@
 	for i := range addrs {
 		text, _ := log.ReadString('\n')
 		var ok bool
-		if addrs[i], ok = logs.Field(text, "addr"); !ok {
+		if addrs[i], ok = logs.AttrValue(text, "addr"); !ok {
 			t.Fatalf("the first log lines of the program name no address: %q", text)
 		}
 	}
--- a/cmd/hoptiller/serve.go
+++ b/cmd/hoptiller/serve.go
@@ -163,13 +163,13 @@
 		MaxIdle: connlimit.MaxIdle(c.Settings.RouterCount, p.Limits.Places), ConnsPerCore: p.Limits.Places,
 		AttemptSent: counts.AttemptSent, LoadReports: reports,
 		Observed: func(id uint32, up bool) { fleet.observeCache(id, up) }, ConnClosed: reasons.serverClosed,
-		CheckRepeated: counts.LookedAgain,
+		CheckRepeated: counts.CheckRepeated,
 	}, upstream.Meta{})
 	origins := upstream.New(upstream.Settings{
 		CallsPerConn: 1, MaxConnsPerServer: limits.originConns, MaxCallsPerConn: 1, MaxIdle: limits.originConns,
 		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnectTimeout,
 		ValueMemory: longValueBudget, AttemptSent: counts.AttemptSent, Cooldown: originReuseDelay, ConnClosed: reasons.serverClosed,
-		CheckRepeated: counts.LookedAgain,
+		CheckRepeated: counts.CheckRepeated,
 	}, origin.Protocol{})
 	router := relay.New(c.Settings, c.Seed, providers, origins)
 	router.AttemptEnded = reasons.attemptEnded
@@ -188,15 +188,15 @@
 	firstList := &firstListNotifier{Listener: listener, received: make(chan struct{})}
 	discoveryClient := discovery.NewClient(registry(c), names, firstList, c.Known)
 	clientFront := &front.Front{
-		Classes: c.Classes, AnyClass: c.AnyClass, Tenants: c.Tenants, MostConns: limits.clientConns,
-		MostKept: limits.idleClientConns, MostHeld: limits.busyClientConns,
-		MostOpen: limits.extraInvocations, Room: longValueBudget,
-		Linger: lingerTime, Keep: keepServingTime(c.Settings.Classes), Rest: commandGrace, Last: answerTimeLimit(c.Settings.Classes),
-		Life: phases, Counts: counts, Server: server, Closed: reasons.clientClosed,
+		Classes: c.Classes, AnyClass: c.AnyClass, Tenants: c.Tenants, MaxConns: limits.clientConns,
+		MaxUsedConns: limits.idleClientConns, MaxStartedConns: limits.busyClientConns,
+		MaxOpenRequests: limits.extraInvocations, ValueMemory: longValueBudget,
+		AcceptDuration: lingerTime, ServeDuration: keepServingTime(c.Settings.Classes), CommandGrace: commandGrace, FailOpenAfter: answerTimeLimit(c.Settings.Classes),
+		Lifecycle: phases, Counts: counts, Server: server, OnClosed: reasons.clientClosed,
 	}
 	if c.SocketFD != "" { // another process accepts from the same socket
-		clientFront.Linger, clientFront.Keep = 0, handoverKeepTime
-		clientFront.Rest = min(maxCommandGrace, max(commandGrace, keepServingTime(c.Settings.Classes)-handoverKeepTime))
+		clientFront.AcceptDuration, clientFront.ServeDuration = 0, handoverKeepTime
+		clientFront.CommandGrace = min(maxCommandGrace, max(commandGrace, keepServingTime(c.Settings.Classes)-handoverKeepTime))
 	}
 	for _, class := range c.Settings.Classes {
 		clientFront.Deadlines = append(clientFront.Deadlines, class.Deadline)
@@ -234,7 +234,7 @@
 		return clientFront.Serve(ctx, listeners...)
 	})
 	if operatorListener != nil {
-		a := &admin.Server{Places: limits.operatorConns,
+		a := &admin.Server{MaxConns: limits.operatorConns,
 			Calls: adminCalls(phases, clientFront, counts, reasons, reports, router, fleet.peers)}
 		group.Go(func() error { return a.Serve(ctx, operatorListener) })
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -33,15 +33,15 @@
 	Method string // HTTP method of the call
 	// Do carries out a call without parameters. If ok is false, the body says why, and the status is 503.
 	Do func() (ok bool, body []byte)
-	// Ask carries out a call with parameters. It gets the parsed query and returns an HTTP status. The body is JSON with
+	// Query carries out a call with parameters. It gets the parsed query and returns an HTTP status. The body is JSON with
 	// status 200 and plain text otherwise.
-	Ask func(query url.Values) (status int, body []byte)
+	Query func(query url.Values) (status int, body []byte)
 }
 
 // Server answers operators' calls, by path.
 type Server struct {
-	Calls  map[string]Call // by path
-	Places int             // connections at once; one more descriptor may be in use, and another one for the listener
+	Calls    map[string]Call // by path
+	MaxConns int             // connections at once; one more descriptor may be in use, and another one for the listener
 
 	mu      sync.Mutex
 	pending []net.Conn // connections whose request head has not arrived yet, the oldest first
@@ -52,11 +52,11 @@
 	var g errgroup.Group
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
-	slots := make(chan struct{}, max(1, s.Places))
+	slots := make(chan struct{}, max(1, s.MaxConns))
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			s.closeOldest(s.Places)
+			s.closeOldest(s.MaxConns)
 			return g.Wait()
 		}
 		if err != nil { // e.g. no descriptors are left, or the caller has disconnected: the listener still works
@@ -148,12 +148,12 @@
 	if string(req.Method) != call.Method {
 		return textAnswer(405, "Method Not Allowed", "the method must be "+call.Method, http1.Header{Name: "Allow", Value: call.Method})
 	}
-	if call.Ask != nil {
+	if call.Query != nil {
 		query, err := url.ParseQuery(string(req.Query))
 		if err != nil {
 			return textAnswer(400, "Bad Request", "the query can't be parsed")
 		}
-		status, body := call.Ask(query)
+		status, body := call.Query(query)
 		if status != http.StatusOK {
 			return textAnswer(status, http.StatusText(status), string(body))
 		}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -32,7 +32,7 @@
 // stateOK is the result of the call /state.
 var stateOK = true
 
-var server = Server{Places: 8, Calls: map[string]Call{
+var server = Server{MaxConns: 8, Calls: map[string]Call{
 	"/state": {Method: "GET", Do: func() (bool, []byte) { return stateOK, []byte("as it is") }},
 }}
 
@@ -74,7 +74,7 @@
 func TestStalledCallersAreEvicted(t *testing.T) {
 	dial := testprog.Serve(t, server.Serve)
 	first := dial()
-	for range 3 * server.Places {
+	for range 3 * server.MaxConns {
 		fmt.Fprint(dial(), "GET /sta")
 	}
 	if status, _, _ := request(t, dial(), "GET /state HTTP/1.1\r\n\r\n"); status != 200 {
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -148,7 +148,7 @@
 		limits.budget.CountRequest(now)
 	}
 	if constraints.Unlimited() {
-		return Decision{RequestID: id, Verdict: limit.Go}, nil
+		return Decision{RequestID: id, Verdict: limit.Admitted}, nil
 	}
 	req := &request{constraints: constraints, since: now}
 	if limits == nil {
@@ -162,11 +162,11 @@
 	verdict, shed := limits.gate.Acquire(now, id, constraints.entry.Policy.Priority)
 	others = c.rejectShed(shed, &limits.gate, limits.concurrencyName, others)
 	switch verdict {
-	case limit.No:
+	case limit.Rejected:
 		return c.reject(id, limits.gate.RetryAfter(), limits.concurrencyName), others
-	case limit.Wait:
+	case limit.Queued:
 		c.requests[id] = req
-		return Decision{RequestID: id, Verdict: limit.Wait, WaitUntil: now + limits.gate.MaxWait}, others
+		return Decision{RequestID: id, Verdict: limit.Queued, WaitUntil: now + limits.gate.MaxWait}, others
 	}
 	return c.admitShared(now, id, req, others)
 }
@@ -178,7 +178,7 @@
 	gate := req.constraints.sharedGate
 	if gate == nil {
 		req.stage, req.since = admitted, now
-		return Decision{RequestID: id, Verdict: limit.Go}, others
+		return Decision{RequestID: id, Verdict: limit.Admitted}, others
 	}
 	verdict, shed := gate.Acquire(now, id, req.constraints.entry.Policy.Priority)
 	if shed != 0 {
@@ -186,15 +186,15 @@
 		others = c.releaseRoute(now, shed, others)
 	}
 	switch verdict {
-	case limit.No:
+	case limit.Rejected:
 		others = c.releaseRoute(now, id, others)
 		return c.reject(id, gate.RetryAfter(), sharedConcurrencyName), others
-	case limit.Wait:
+	case limit.Queued:
 		req.stage = waitingForShared
-		return Decision{RequestID: id, Verdict: limit.Wait, WaitUntil: now + gate.MaxWait}, others
+		return Decision{RequestID: id, Verdict: limit.Queued, WaitUntil: now + gate.MaxWait}, others
 	}
 	req.stage, req.since = admitted, now
-	return Decision{RequestID: id, Verdict: limit.Go}, others
+	return Decision{RequestID: id, Verdict: limit.Admitted}, others
 }
 
 // rejectShed rejects a request that was shed from a gate's queue; id 0 means that none was.
@@ -246,12 +246,12 @@
 func (c *Controller) reject(id uint64, after time.Duration, name string) Decision {
 	settings := &c.Plan().Platform().Settings
 	if !settings.SendsRetryAfter {
-		return Decision{RequestID: id, Verdict: limit.No, Limit: name}
+		return Decision{RequestID: id, Verdict: limit.Rejected, Limit: name}
 	}
 	spread := 1 + float64(id*hashMultiplier>>hashShift)/hashRange*maxJitter
 	after = time.Duration(float64(max(after, minRetryAfter)) * spread)
 	after = min(after, cmp.Or(settings.MaxRetryAfter, after))
-	return Decision{RequestID: id, Verdict: limit.No, RetryAfter: after, Limit: name}
+	return Decision{RequestID: id, Verdict: limit.Rejected, RetryAfter: after, Limit: name}
 }
 
 // CancelWait takes a request out of its queue because its time there is up or its client has
@@ -276,7 +276,7 @@
 
 // Finish records how an admitted request ended and returns the decisions on the requests that take
 // its place. It ignores the id of a request without limits.
-func (c *Controller) Finish(now time.Duration, id uint64, outcome limit.Ended) (others []Decision) {
+func (c *Controller) Finish(now time.Duration, id uint64, outcome limit.Outcome) (others []Decision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	req := c.requests[id]
@@ -290,7 +290,7 @@
 		for _, nextID := range gate.Release(now, priority, duration, outcome) {
 			if next := c.requests[nextID]; next != nil {
 				next.stage, next.since = admitted, now
-				others = append(others, Decision{RequestID: nextID, Verdict: limit.Go})
+				others = append(others, Decision{RequestID: nextID, Verdict: limit.Admitted})
 			}
 		}
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -40,17 +40,17 @@
 func TestRateAndQueue(t *testing.T) {
 	c := New(load(t, "policy p {\n\tconcurrency 1\n\tqueue 1 for 50ms\n\trate 10/s burst 4\n}\nroute r {\n\tpolicy p\n}\n"))
 	constraints := constraintsFor(c, 0, "k")
-	for id, want := range []limit.Verdict{limit.Go, limit.Wait, limit.No, limit.No, limit.No} {
+	for id, want := range []limit.Verdict{limit.Admitted, limit.Queued, limit.Rejected, limit.Rejected, limit.Rejected} {
 		decision, _ := c.Admit(0, uint64(id+1), constraints)
-		if decision.Verdict != want || want == limit.Wait && decision.WaitUntil != 50*time.Millisecond ||
-			want == limit.No && (decision.RetryAfter <= 0 || decision.Limit == "") {
+		if decision.Verdict != want || want == limit.Queued && decision.WaitUntil != 50*time.Millisecond ||
+			want == limit.Rejected && (decision.RetryAfter <= 0 || decision.Limit == "") {
 			t.Errorf("%d: %+v", id+1, decision)
 		}
 		if id == 4 && decision.Limit != "rate of route r" {
 			t.Errorf("%+v", decision)
 		}
 	}
-	if others := c.Finish(time.Millisecond, 1, limit.Well); len(others) != 1 || others[0].RequestID != 2 || others[0].Verdict != limit.Go {
+	if others := c.Finish(time.Millisecond, 1, limit.Succeeded); len(others) != 1 || others[0].RequestID != 2 || others[0].Verdict != limit.Admitted {
 		t.Errorf("%+v", others)
 	}
 	if waited, _, _ := c.CancelWait(2*time.Millisecond, 2); waited {
@@ -65,21 +65,21 @@
 		"route view {\n\tclass view\n\tpolicy low\n}\nroute book {\n\tclass book\n\tpolicy high\n}\n"))
 	view, book := constraintsFor(c, 0, "k"), constraintsFor(c, 1, "k")
 	c.Admit(0, 1, view)
-	if decision, _ := c.Admit(0, 2, view); decision.Verdict != limit.Wait {
+	if decision, _ := c.Admit(0, 2, view); decision.Verdict != limit.Queued {
 		t.Fatalf("%+v", decision)
 	}
-	if decision, _ := c.Admit(0, 3, view); decision.Verdict != limit.No || decision.Limit != "concurrency of route view" {
+	if decision, _ := c.Admit(0, 3, view); decision.Verdict != limit.Rejected || decision.Limit != "concurrency of route view" {
 		t.Errorf("%+v", decision)
 	}
 	decision, others := c.Admit(0, 4, book)
-	if decision.Verdict != limit.Wait || len(others) != 1 || others[0].RequestID != 2 || others[0].Verdict != limit.No ||
+	if decision.Verdict != limit.Queued || len(others) != 1 || others[0].RequestID != 2 || others[0].Verdict != limit.Rejected ||
 		others[0].Limit != sharedConcurrencyName {
 		t.Fatalf("%+v, %+v", decision, others)
 	}
 	if decision, _ := c.Admit(0, 5, view); decision.Limit != sharedConcurrencyName {
 		t.Errorf("the shed request still has its slot at the route's limit: %+v", decision)
 	}
-	if others := c.Finish(0, 1, limit.Well); len(others) != 1 || others[0].RequestID != 4 {
+	if others := c.Finish(0, 1, limit.Succeeded); len(others) != 1 || others[0].RequestID != 4 {
 		t.Errorf("%+v", others)
 	}
 }
@@ -91,7 +91,7 @@
 	allowed := func(servers ...Server) (ids []uint32) {
 		c.SetServers(servers)
 		for id := uint32(1); id <= 4; id++ {
-			if constraints.Narrowing().Allows(id) {
+			if constraints.ForModule().Allows(id) {
 				ids = append(ids, id)
 			}
 		}
@@ -110,7 +110,7 @@
 	if got := allowed(one, two, other); got != nil {
 		t.Error(got)
 	}
-	if got := constraintsFor(New(load(t, "")), 0, "k").Narrowing(); got != nil {
+	if got := constraintsFor(New(load(t, "")), 0, "k").ForModule(); got != nil {
 		t.Errorf("%+v", got)
 	}
 }
@@ -118,7 +118,7 @@
 func TestConstraints(t *testing.T) {
 	c := New(load(t, "policy p {\n\tattempts 2\n\trepeat on full timeout\n\ttimeout 30ms\n\tbudget 0% least 0.1/s\n}\nroute r {\n\tclass view\n\tpolicy p\n}\n"))
 	constraints := constraintsFor(c, 0, "k")
-	narrowing := constraints.Narrowing()
+	narrowing := constraints.ForModule()
 	if narrowing.Timeout() != 30*time.Millisecond || !narrowing.AllowsRetry(1, hoptiller.TurnedAway) ||
 		!narrowing.AllowsRetry(1, hoptiller.Cancelled) || narrowing.AllowsRetry(1, hoptiller.Reset) ||
 		narrowing.AllowsRetry(2, hoptiller.TurnedAway) || narrowing.AllowsHedge() {
@@ -131,7 +131,7 @@
 	if narrowing.Timeout() != 30*time.Millisecond || !narrowing.AllowsRetry(1, hoptiller.TurnedAway) {
 		t.Error("the constraints of a running request change at a reload")
 	}
-	if constraintsFor(c, 0, "k").Narrowing() != nil {
+	if constraintsFor(c, 0, "k").ForModule() != nil {
 		t.Error("a request after a reload has the old constraints")
 	}
 }
@@ -157,9 +157,9 @@
 		}
 		apply := func(decisions ...Decision) {
 			for _, decision := range decisions {
-				if waiting = remove(waiting, decision.RequestID); decision.Verdict == limit.Go {
+				if waiting = remove(waiting, decision.RequestID); decision.Verdict == limit.Admitted {
 					running = append(running, decision.RequestID)
-				} else if decision.Verdict == limit.Wait {
+				} else if decision.Verdict == limit.Queued {
 					waiting = append(waiting, decision.RequestID)
 				}
 			}
@@ -178,7 +178,7 @@
 				}
 				id := rapid.SampledFrom(running).Draw(t, "which")
 				running = remove(running, id)
-				apply(c.Finish(now, id, limit.Ended(rapid.IntRange(0, 2).Draw(t, "how")))...)
+				apply(c.Finish(now, id, limit.Outcome(rapid.IntRange(0, 2).Draw(t, "how")))...)
 			},
 			"leave": func(t *rapid.T) {
 				if len(waiting) == 0 {
@@ -186,7 +186,7 @@
 				}
 				id := rapid.SampledFrom(waiting).Draw(t, "which")
 				waited, decision, others := c.CancelWait(now, id)
-				if !waited || decision.Verdict != limit.No {
+				if !waited || decision.Verdict != limit.Rejected {
 					t.Fatalf("request %d did not wait: %+v", id, decision)
 				}
 				apply(append([]Decision{decision}, others...)...)
@@ -197,7 +197,7 @@
 		for len(running) > 0 {
 			id := running[0]
 			running = running[1:]
-			apply(c.Finish(now, id, limit.Well)...)
+			apply(c.Finish(now, id, limit.Succeeded)...)
 		}
 		if a, b := c.Counts(); a+b > 0 || len(waiting) > 0 {
 			t.Fatalf("%d admitted and %d waiting requests remain, %v", a, b, waiting)
--- a/internal/admission/constraints.go
+++ b/internal/admission/constraints.go
@@ -74,8 +74,8 @@
 // Unlimited reports whether no limit applies. Admit would then return Go, and Finish need not be called.
 func (c *Constraints) Unlimited() bool { return c.limits == nil && c.sharedGate == nil }
 
-// Narrowing returns the constraints that the module gets with a request, or nil if there are none.
-func (c *Constraints) Narrowing() hoptiller.Constraints {
+// ForModule returns the constraints that the module gets with a request, or nil if there are none.
+func (c *Constraints) ForModule() hoptiller.Constraints {
 	if !c.constrains {
 		return nil
 	}
--- a/internal/admission/middleware/middleware.go
+++ b/internal/admission/middleware/middleware.go
@@ -76,24 +76,24 @@
 func (h *Handler) Serve(ctx context.Context, req *relay.Request) relay.Answer {
 	tenant, _ := meta.LookupFact(req.Facts, tenantFact)
 	constraints := h.controller.Lookup(req.Class, req.Key, tenant, req.ClientAddr)
-	if req.Constraints = constraints.Narrowing(); constraints.Unlimited() {
+	if req.Constraints = constraints.ForModule(); constraints.Unlimited() {
 		return h.next.Serve(ctx, req)
 	}
 	id := h.lastID.Add(1)
 	arrival := time.Since(h.start)
 	decision := h.admit(ctx, arrival, id, constraints)
-	if decision.Verdict == limit.No {
+	if decision.Verdict == limit.Rejected {
 		h.onReject(decision.Limit)
 		return relay.Answer{Kind: hoptiller.StepReject, RetryAfter: decision.RetryAfter}
 	}
 	answer := h.next.Serve(ctx, req)
 	now := time.Since(h.start)
-	outcome := limit.Well
+	outcome := limit.Succeeded
 	switch {
 	case ctx.Err() != nil || answer.Kind == hoptiller.StepReject:
 		outcome = limit.Unknown // load shed by the module says nothing about the fleet's capacity
 	case answer.Kind == hoptiller.StepFail || constraints.Late(now-arrival):
-		outcome = limit.Badly
+		outcome = limit.Failed
 	}
 	h.deliver(h.controller.Finish(now, id, outcome))
 	return answer
@@ -106,7 +106,7 @@
 	h.mu.Lock() // held so that a decision on a request that waits always finds its channel
 	decision, others := h.controller.Admit(now, id, constraints)
 	var decisions chan admission.Decision
-	if decision.Verdict == limit.Wait {
+	if decision.Verdict == limit.Queued {
 		decisions = make(chan admission.Decision, maxDecisions)
 		h.waiting[id] = decisions
 	}
@@ -115,7 +115,7 @@
 	if decisions == nil {
 		return decision
 	}
-	for decision.Verdict == limit.Wait {
+	for decision.Verdict == limit.Queued {
 		decision = h.awaitDecision(ctx, id, decision, decisions)
 	}
 	h.mu.Lock()
--- a/internal/admission/middleware/middleware_test.go
+++ b/internal/admission/middleware/middleware_test.go
@@ -168,7 +168,7 @@
 		return relay.Server{Server: hoptiller.Server{ID: id, Zone: zone, Phase: phase}}
 	}
 	allowed := func(id uint32) bool {
-		return h.controller.Lookup(0, nil, nil, (&relay.Request{}).ClientAddr).Narrowing().Allows(id)
+		return h.controller.Lookup(0, nil, nil, (&relay.Request{}).ClientAddr).ForModule().Allows(id)
 	}
 	h.Told(hoptiller.ListFull, []relay.Server{server(1, 0, hoptiller.Ready), server(2, 1, hoptiller.Ready)})
 	h.Told(hoptiller.ListFailed, nil)
--- a/internal/front/close_reason.go
+++ b/internal/front/close_reason.go
@@ -64,8 +64,8 @@
 	c.mu.Lock()
 	reason, err, unanswered := c.closeReason, c.closeError, c.unansweredCount
 	c.mu.Unlock()
-	if c.front.Closed != nil {
-		c.front.Closed(reason)
+	if c.front.OnClosed != nil {
+		c.front.OnClosed(reason)
 	}
 	if unanswered == 0 {
 		return
--- a/internal/front/conntable.go
+++ b/internal/front/conntable.go
@@ -148,7 +148,7 @@
 // once. Clients that send one command and keep the connection, or that send a command slowly, would leave no connection to
 // the other clients.
 func (f *Front) endSurplusConn() {
-	if c := f.conns.surplusConn(f.MostKept, f.MostHeld); c != nil {
+	if c := f.conns.surplusConn(f.MaxUsedConns, f.MaxStartedConns); c != nil {
 		c.endIfIdle(0, CloseEvicted)
 	}
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -26,24 +26,24 @@
 
 // Front serves the clients of a router. They may connect to several listeners.
 type Front struct {
-	Classes   []string            // names of the classes, by index
-	AnyClass  bool                // every request belongs to the first class, whatever class it names
-	Tenants   []string            // names of the tenants, by index; if empty, all clients are one tenant
-	Deadlines []time.Duration     // deadline of a request that states none, by class
-	Aims      []time.Duration     // target latency, after which an answer counts as late, by class; 0 or a nil slice: never
-	MostConns int                 // client connections at the same time
-	MostKept  int                 // connections that have sent a command; idle ones beyond that end as others connect; 0: no limit
-	MostHeld  int                 // connections that have sent at least a part of a command; 0: no limit
-	MostOpen  int                 // open requests at which a connection may have only one command open
-	Linger    time.Duration       // after a stop: for how long connections are still accepted
-	Keep      time.Duration       // after a stop: for how long open connections are served at most
-	Rest      time.Duration       // after Keep: for how long the rest of a command may arrive
-	Last      time.Duration       // after a stop: when all requests still open are answered as failed; 0: never
-	Room      *semaphore.Weighted // memory budget of long values in bytes, at least the size of the longest value
-	Life      *lifecycle.State    // the router's lifecycle, e.g. serving, draining or stopping
-	Counts    *metrics.Counters
-	Server    Server            // serves the requests
-	Closed    func(CloseReason) // called with the reason when a client connection ends; may be nil
+	Classes         []string            // names of the classes, by index
+	AnyClass        bool                // every request belongs to the first class, whatever class it names
+	Tenants         []string            // names of the tenants, by index; if empty, all clients are one tenant
+	Deadlines       []time.Duration     // deadline of a request that states none, by class
+	Aims            []time.Duration     // target latency, after which an answer counts as late, by class; 0 or a nil slice: never
+	MaxConns        int                 // client connections at the same time
+	MaxUsedConns    int                 // connections that have sent a command; idle ones beyond that end as others connect; 0: no limit
+	MaxStartedConns int                 // connections that have sent at least a part of a command; 0: no limit
+	MaxOpenRequests int                 // open requests at which a connection may have only one command open
+	AcceptDuration  time.Duration       // after a stop: for how long connections are still accepted
+	ServeDuration   time.Duration       // after a stop: for how long open connections are served at most
+	CommandGrace    time.Duration       // after Keep: for how long the rest of a command may arrive
+	FailOpenAfter   time.Duration       // after a stop: when all requests still open are answered as failed; 0: never
+	ValueMemory     *semaphore.Weighted // memory budget of long values in bytes, at least the size of the longest value
+	Lifecycle       *lifecycle.State    // the router's lifecycle, e.g. serving, draining or stopping
+	Counts          *metrics.Counters
+	Server          Server            // serves the requests
+	OnClosed        func(CloseReason) // called with the reason when a client connection ends; may be nil
 
 	accepting atomic.Bool
 	// endGrace is a duration in nanoseconds. If it is not 0, connections end once no command is open on them, and the rest of
@@ -64,7 +64,7 @@
 }
 
 // Ready reports whether the router accepts clients and is to serve new ones.
-func (f *Front) Ready() bool { return f.accepting.Load() && f.Life.Phase() == lifecycle.Serving }
+func (f *Front) Ready() bool { return f.accepting.Load() && f.Lifecycle.Phase() == lifecycle.Serving }
 
 // Serve accepts and serves clients until the lifecycle in Life stops. Then it accepts connections for Linger more, serves
 // the open connections until Keep is over, finishes the open requests and returns. When ctx is done, it drops all
@@ -77,7 +77,7 @@
 	f.openIDs = map[string]bool{}
 	f.mu.Unlock()
 	g, ctx := errgroup.WithContext(ctx)
-	slots := make(chan struct{}, max(1, f.MostConns))
+	slots := make(chan struct{}, max(1, f.MaxConns))
 	stop := make(chan struct{})
 	var accepting sync.WaitGroup
 	for _, l := range listeners {
@@ -86,18 +86,18 @@
 	f.accepting.Store(true)
 	f.followLifecycle(ctx)
 	stopped := time.Now()
-	if f.Last > 0 {
-		defer time.AfterFunc(f.Last, f.failOpenRequests).Stop()
+	if f.FailOpenAfter > 0 {
+		defer time.AfterFunc(f.FailOpenAfter, f.failOpenRequests).Stop()
 	}
-	f.waitUntil(ctx, stopped.Add(f.Linger), false) // the layer in front still sends clients until it notices the stop
+	f.waitUntil(ctx, stopped.Add(f.AcceptDuration), false) // the layer in front still sends clients until it notices the stop
 	close(stop)
 	for _, l := range listeners {
 		stopAccepting(l)
 	}
 	accepting.Wait()
 	// Clients use their connections for as long as they can, since another router may be down at this time.
-	f.waitUntil(ctx, stopped.Add(f.Keep), true)
-	f.endIdleConns(max(f.Rest, 1))
+	f.waitUntil(ctx, stopped.Add(f.ServeDuration), true)
+	f.endIdleConns(max(f.CommandGrace, 1))
 	err := g.Wait()
 	slog.Info("clients served", "after", time.Since(stopped).Round(time.Millisecond))
 	return err
@@ -119,7 +119,7 @@
 // followLifecycle ends client connections while the router drains. It returns when the router stops.
 func (f *Front) followLifecycle(ctx context.Context) {
 	for {
-		phase, changed := f.Life.Watch()
+		phase, changed := f.Lifecycle.Watch()
 		var due <-chan time.Time
 		switch {
 		case phase.IsEnding():
@@ -172,7 +172,7 @@
 // notified yet.
 func (f *Front) grace() time.Duration {
 	grace := f.endGrace.Load()
-	if grace > 0 && f.Life.Phase() == lifecycle.Serving {
+	if grace > 0 && f.Lifecycle.Phase() == lifecycle.Serving {
 		return 0
 	}
 	return time.Duration(grace)
@@ -183,7 +183,7 @@
 func (f *Front) hasMaxOpen() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.openIDs) >= f.MostOpen
+	return len(f.openIDs) >= f.MaxOpenRequests
 }
 
 // reserveID reserves a request id and reports whether it was free. The answers to two open requests with the same id could
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -35,7 +35,7 @@
 // the order of the commands.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	server := &concurrencyServer{}
-	conn := start(t, &Front{MostConns: 4, MostOpen: 3, Server: server})()
+	conn := start(t, &Front{MaxConns: 4, MaxOpenRequests: 3, Server: server})()
 	const commands = 200
 	go func() {
 		for i := range commands {
@@ -68,7 +68,7 @@
 // startServing does the same as start and calls serve in place of Front.Serve.
 func startServing(t *testing.T, f *Front, serve func(context.Context, net.Listener) error) (connect func() net.Conn) {
 	f.Classes, f.Deadlines = []string{"read"}, []time.Duration{time.Second}
-	f.Life, f.Counts = lifecycle.New(), metrics.New(f.Classes)
+	f.Lifecycle, f.Counts = lifecycle.New(), metrics.New(f.Classes)
 	return testprog.Serve(t, serve)
 }
 
@@ -77,7 +77,7 @@
 func TestManySilentClients(t *testing.T) {
 	hold := make(blockingServer)
 	close(hold)
-	connect := start(t, &Front{MostConns: 20, MostOpen: 20, Server: hold})
+	connect := start(t, &Front{MaxConns: 20, MaxOpenRequests: 20, Server: hold})
 	slow := connect()
 	fmt.Fprint(slow, "mg k v O1 Pc=re")
 	for range 10 * 20 {
@@ -107,7 +107,7 @@
 // answer keeps its connection.
 func TestEvictionAdmitsActiveClients(t *testing.T) {
 	hold := make(chan struct{})
-	connect := start(t, &Front{MostConns: 3, MostOpen: 3, Server: blockingServer(hold)})
+	connect := start(t, &Front{MaxConns: 3, MaxOpenRequests: 3, Server: blockingServer(hold)})
 	waiting := connect()
 	fmt.Fprint(waiting, "mg k v O1 Pc=read,d=900\r\n")
 	for range 5 {
@@ -129,7 +129,7 @@
 // stays in use until the request ends.
 func TestDisconnectFreesTheSlot(t *testing.T) {
 	hold := make(blockingServer)
-	f := &Front{MostConns: 1, MostOpen: 9, Server: hold}
+	f := &Front{MaxConns: 1, MaxOpenRequests: 9, Server: hold}
 	connect := start(t, f)
 	first := connect()
 	fmt.Fprint(first, "mg k v O1 Pc=read,d=900\r\n")
@@ -159,9 +159,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &Front{MostConns: 4, MostOpen: 4, Keep: time.Hour, Server: hold,
+	f := &Front{MaxConns: 4, MaxOpenRequests: 4, ServeDuration: time.Hour, Server: hold,
 		Classes: []string{"read"}, Deadlines: []time.Duration{time.Second}}
-	f.Life, f.Counts = lifecycle.New(), metrics.New(f.Classes)
+	f.Lifecycle, f.Counts = lifecycle.New(), metrics.New(f.Classes)
 	done := make(chan error, 1)
 	go func() { done <- f.Serve(context.Background(), l) }()
 	conn, err := net.Dial("tcp", l.Addr().String())
@@ -178,7 +178,7 @@
 		}
 	}
 	request(1)
-	f.Life.Apply(lifecycle.Stop)
+	f.Lifecycle.Apply(lifecycle.Stop)
 	testprog.Until(t, "no new client is accepted", func() bool {
 		other, err := net.Dial("tcp", l.Addr().String())
 		if err == nil {
@@ -197,7 +197,7 @@
 // the others none. Beyond MostKept the connection that has been idle longest ends, and none with an open request or without
 // a first command ends in its place.
 func TestSurplusEndsTheLongestIdle(t *testing.T) {
-	f := &Front{MostConns: 9, MostOpen: 9, MostKept: 2, Server: make(blockingServer)}
+	f := &Front{MaxConns: 9, MaxOpenRequests: 9, MaxUsedConns: 2, Server: make(blockingServer)}
 	connect := start(t, f)
 	waiting := connect()
 	fmt.Fprint(waiting, "mg k v O1 Pc=read,d=900\r\n")
@@ -266,17 +266,17 @@
 // followLifecycle has not been notified yet. On a busy machine a scenario once waited for an answer on a connection that
 // had ended.
 func TestReactivationTakesEffectAtOnce(t *testing.T) {
-	f := &Front{Life: lifecycle.New()}
+	f := &Front{Lifecycle: lifecycle.New()}
 	f.endGrace.Store(int64(time.Second))
-	f.Life.Apply(lifecycle.Drain)
+	f.Lifecycle.Apply(lifecycle.Drain)
 	if f.grace() != time.Second {
 		t.Error("connections of a draining router don't end")
 	}
-	f.Life.Apply(lifecycle.Activate)
+	f.Lifecycle.Apply(lifecycle.Activate)
 	if f.grace() != 0 {
 		t.Error("connections of a reactivated router end")
 	}
-	f.Life.Apply(lifecycle.Stop)
+	f.Lifecycle.Apply(lifecycle.Stop)
 	if f.grace() != time.Second {
 		t.Error("connections of a stopping router don't end")
 	}
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -145,7 +145,7 @@
 	}
 	c.rejectsRequests = true
 	f.conns.setState(c, silent)
-	c.endIfIdle(max(f.Rest, 1), CloseDrained)
+	c.endIfIdle(max(f.CommandGrace, 1), CloseDrained)
 	f.serve(ctx, g, c, func() {})
 }
 
--- a/internal/front/listener_test.go
+++ b/internal/front/listener_test.go
@@ -46,8 +46,8 @@
 // pause are served and not reset.
 func TestBacklogIsServedWhenTheListenerCloses(t *testing.T) {
 	paused := &pausedListener{resume: make(chan struct{}), stopped: make(chan struct{})}
-	f := &Front{MostConns: 4, MostOpen: 4, Server: &concurrencyServer{}, Life: lifecycle.New(), Linger: time.Millisecond,
-		Keep: testprog.Patience}
+	f := &Front{MaxConns: 4, MaxOpenRequests: 4, Server: &concurrencyServer{}, Lifecycle: lifecycle.New(), AcceptDuration: time.Millisecond,
+		ServeDuration: testprog.Patience}
 	connect := startWithListener(t, f, func(l net.Listener) net.Listener {
 		paused.TCPListener = l.(*net.TCPListener)
 		return paused
@@ -57,7 +57,7 @@
 		clients = append(clients, connect())
 		fmt.Fprintf(clients[i], "mg k v O%d Pc=read,d=900\r\n", i)
 	}
-	f.Life.Apply(lifecycle.Stop)
+	f.Lifecycle.Apply(lifecycle.Stop)
 	testprog.Await(t, paused.stopped, "the listener's end")
 	close(paused.resume)
 	for i, client := range clients {
@@ -130,8 +130,8 @@
 func TestFullTableWhenTheListenersClose(t *testing.T) {
 	const linger = 100 * time.Millisecond
 	const maxDelay = 500 * time.Millisecond // tolerated delay of the listeners' close, on a busy machine
-	f := &Front{MostConns: 2, MostOpen: 2, Server: slowServer(30 * time.Millisecond), Linger: linger, Keep: 2 * time.Second,
-		Rest: time.Second, Last: 3 * time.Second}
+	f := &Front{MaxConns: 2, MaxOpenRequests: 2, Server: slowServer(30 * time.Millisecond), AcceptDuration: linger, ServeDuration: 2 * time.Second,
+		CommandGrace: time.Second, FailOpenAfter: 3 * time.Second}
 	secondListener := testprog.Listen(t)
 	addresses := make(chan string, 2)
 	connect := startServing(t, f, func(ctx context.Context, l net.Listener) error {
@@ -153,7 +153,7 @@
 		defer results[1].mu.Unlock()
 		return results[0].served > 2 && results[1].served > 2
 	})
-	f.Life.Apply(lifecycle.Stop)
+	f.Lifecycle.Apply(lifecycle.Stop)
 	stopped := time.Now()
 	clients.Wait()
 	for i, result := range results {
--- a/internal/front/long_value.go
+++ b/internal/front/long_value.go
@@ -31,7 +31,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(f.openFailed, cancel)()
-	return f.Room.Acquire(ctx, size)
+	return f.ValueMemory.Acquire(ctx, size)
 }
 
 // readLongValue reads the value of c.longWrite and starts the request when the value is complete. It first acquires memory
@@ -65,7 +65,7 @@
 	value := &buffer.Chain{}
 	release := func() {
 		value.Free()
-		c.front.Room.Release(size)
+		c.front.ValueMemory.Release(size)
 	}
 	c.reader.LargeReads = true
 	begun := time.Now()
--- a/internal/front/long_value_test.go
+++ b/internal/front/long_value_test.go
@@ -34,7 +34,7 @@
 // arrives completely. Other requests are not delayed meanwhile.
 func TestLongValueMemoryIsBounded(t *testing.T) {
 	server := longValueServer{make(chan string, 2), make(chan string)}
-	f := &Front{MostConns: 9, MostOpen: 9, Room: semaphore.NewWeighted(meta.MaxLongValue), Server: server}
+	f := &Front{MaxConns: 9, MaxOpenRequests: 9, ValueMemory: semaphore.NewWeighted(meta.MaxLongValue), Server: server}
 	connect := start(t, f)
 	first, second, other := connect(), connect(), connect()
 	value := strings.Repeat("a", meta.MaxLongValue)
@@ -76,7 +76,7 @@
 // A client that disconnects in the middle of a long value, or ends it wrongly, frees its memory and its request id.
 func TestIncompleteLongValue(t *testing.T) {
 	server := longValueServer{make(chan string, 2), make(chan string, 2)}
-	f := &Front{MostConns: 9, MostOpen: 9, Room: semaphore.NewWeighted(meta.MaxLongValue), Server: server}
+	f := &Front{MaxConns: 9, MaxOpenRequests: 9, ValueMemory: semaphore.NewWeighted(meta.MaxLongValue), Server: server}
 	connect := start(t, f)
 	value := strings.Repeat("a", meta.MaxLongValue)
 	head := fmt.Sprintf("ms k %d O1 Pc=read,d=900\r\n", len(value))
@@ -115,9 +115,9 @@
 func TestWaitingForMemoryWhenShutdownExpires(t *testing.T) {
 	t.Parallel()
 	server := disconnectServer{make(chan string, 9), make(chan string, 9)}
-	f := &Front{MostConns: 4, MostOpen: 4, Keep: time.Hour, Last: 50 * time.Millisecond, Server: server}
+	f := &Front{MaxConns: 4, MaxOpenRequests: 4, ServeDuration: time.Hour, FailOpenAfter: 50 * time.Millisecond, Server: server}
 	conn, checkNotSent := startWaitingForMemory(t, f, server)
-	f.Life.Apply(lifecycle.Stop)
+	f.Lifecycle.Apply(lifecycle.Stop)
 	if line, err := bufio.NewReader(conn).ReadString('\n'); line != "SERVER_ERROR failed\r\n" {
 		t.Errorf("got %q, %v", line, err)
 	}
--- a/internal/front/partial_command_test.go
+++ b/internal/front/partial_command_test.go
@@ -17,7 +17,7 @@
 	const pause = 100 * time.Millisecond
 	hold := make(blockingServer)
 	close(hold)
-	conn := start(t, &Front{MostConns: 4, MostOpen: 4, Server: hold})()
+	conn := start(t, &Front{MaxConns: 4, MaxOpenRequests: 4, Server: hold})()
 	r := bufio.NewReader(conn)
 	command := func(i int) string { return fmt.Sprintf("mg k v O%d Pc=read,d=900\r\n", i) }
 	tick := time.NewTicker(pause)
@@ -43,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			hold := make(blockingServer)
-			f := &Front{MostConns: 4, MostOpen: 4, Server: hold}
+			f := &Front{MaxConns: 4, MaxOpenRequests: 4, Server: hold}
 			client := start(t, f)()
 			fmt.Fprintf(client, "%smg k v O2 Pc=re", first)
 			var c *conn
--- a/internal/front/protocol.go
+++ b/internal/front/protocol.go
@@ -96,7 +96,7 @@
 
 // noopAnswer returns the answer to a no-op, by which clients ask whether this router is to serve them.
 func (f *Front) noopAnswer() string {
-	if !f.Life.Phase().WantsClients() {
+	if !f.Lifecycle.Phase().WantsClients() {
 		return "SERVER_ERROR draining\r\n"
 	}
 	return "MN\r\n"
--- a/internal/front/race_test.go
+++ b/internal/front/race_test.go
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := disconnectServer{make(chan string, commands), make(chan string, commands)}
-			connect := start(t, &Front{MostConns: 4, MostOpen: commands, Server: server})
+			connect := start(t, &Front{MaxConns: 4, MaxOpenRequests: commands, Server: server})
 			conn := connect().(*net.TCPConn)
 			for i := range commands {
 				fmt.Fprintf(conn, "mg k v O%d Pc=read,d=900\r\n", i)
@@ -80,7 +80,7 @@
 	t.Parallel()
 	const commands = 5000 // far more than are read ahead
 	hold := make(blockingServer)
-	f := &Front{MostConns: 4, MostOpen: 9, Server: hold}
+	f := &Front{MaxConns: 4, MaxOpenRequests: 9, Server: hold}
 	conn := start(t, f)()
 	go func() {
 		for i := range commands {
@@ -116,8 +116,8 @@
 		conn.Close()
 	}
 	server := disconnectServer{make(chan string, 100), make(chan string, 100)}
-	f := &Front{MostConns: 99, MostOpen: 99, Server: server, Classes: []string{"read"}, Deadlines: []time.Duration{time.Second}}
-	f.Life, f.Counts = lifecycle.New(), metrics.New(f.Classes)
+	f := &Front{MaxConns: 99, MaxOpenRequests: 99, Server: server, Classes: []string{"read"}, Deadlines: []time.Duration{time.Second}}
+	f.Lifecycle, f.Counts = lifecycle.New(), metrics.New(f.Classes)
 	done := make(chan error, 1)
 	ctx, end := context.WithCancel(t.Context())
 	go func() { done <- f.Serve(ctx, l) }()
@@ -145,7 +145,7 @@
 	t.Parallel()
 	hold := make(blockingServer)
 	close(hold)
-	f := &Front{MostConns: 4, MostOpen: 4, Server: hold}
+	f := &Front{MaxConns: 4, MaxOpenRequests: 4, Server: hold}
 	conn := start(t, f)().(*net.TCPConn)
 	fmt.Fprint(conn, "mg k v O1 Pc=read,d=900\r\n")
 	testprog.Until(t, "the connection is idle after its answer", func() bool {
@@ -153,7 +153,7 @@
 		defer f.conns.mu.Unlock()
 		return f.conns.lists[idle].Len() == 1
 	})
-	f.Life.Apply(lifecycle.Stop)
+	f.Lifecycle.Apply(lifecycle.Stop)
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -182,11 +182,11 @@
 func TestOpenRequestsFailWhenShutdownExpires(t *testing.T) {
 	t.Parallel()
 	server := disconnectServer{make(chan string, 9), make(chan string, 9)}
-	f := &Front{MostConns: 4, MostOpen: 4, Keep: time.Hour, Last: 50 * time.Millisecond, Server: server}
+	f := &Front{MaxConns: 4, MaxOpenRequests: 4, ServeDuration: time.Hour, FailOpenAfter: 50 * time.Millisecond, Server: server}
 	conn := start(t, f)()
 	fmt.Fprint(conn, "mg k v O1 Pc=read,d=900\r\n")
 	testprog.Await(t, server.arrived, "request")
-	f.Life.Apply(lifecycle.Stop)
+	f.Lifecycle.Apply(lifecycle.Stop)
 	if line, err := bufio.NewReader(conn).ReadString('\n'); line != "SERVER_ERROR failed\r\n" {
 		t.Errorf("got %q, %v", line, err)
 	}
@@ -198,7 +198,7 @@
 func TestDisconnectWhileWaitingForMemory(t *testing.T) {
 	t.Parallel()
 	server := disconnectServer{make(chan string, 9), make(chan string, 9)}
-	f := &Front{MostConns: 4, MostOpen: 4, Server: server}
+	f := &Front{MaxConns: 4, MaxOpenRequests: 4, Server: server}
 	conn, checkNotSent := startWaitingForMemory(t, f, server)
 	fmt.Fprintf(conn, "%s\r\n", strings.Repeat("x", waitingLength))
 	checkNotSent()
@@ -212,8 +212,8 @@
 // it holds no memory.
 func startWaitingForMemory(t *testing.T, f *Front, served disconnectServer) (conn net.Conn, checkNotSent func()) {
 	t.Helper()
-	f.Room = semaphore.NewWeighted(meta.MaxLongValue)
-	if !f.Room.TryAcquire(meta.MaxLongValue) {
+	f.ValueMemory = semaphore.NewWeighted(meta.MaxLongValue)
+	if !f.ValueMemory.TryAcquire(meta.MaxLongValue) {
 		t.Fatal("no memory for long values")
 	}
 	conn = start(t, f)()
@@ -226,12 +226,12 @@
 	return conn, func() {
 		t.Helper()
 		conn.Close()
-		f.Room.Release(meta.MaxLongValue)
+		f.ValueMemory.Release(meta.MaxLongValue)
 		testprog.Until(t, "the connection has ended", func() bool { return len(f.conns.all()) == 0 })
 		if n := len(served.arrived); n > 0 {
 			t.Error("the request was passed on")
 		}
-		if !f.Room.TryAcquire(meta.MaxLongValue) {
+		if !f.ValueMemory.TryAcquire(meta.MaxLongValue) {
 			t.Error("its memory was not released")
 		}
 	}
@@ -259,7 +259,7 @@
 	for range 3 {
 		errs = append(errs, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR)
 	}
-	f := &Front{MostConns: 2, MostOpen: 1, Server: &concurrencyServer{}}
+	f := &Front{MaxConns: 2, MaxOpenRequests: 1, Server: &concurrencyServer{}}
 	connect := startWithListener(t, f, func(l net.Listener) net.Listener { return &failingListener{Listener: l, errs: errs} })
 	for range 2 {
 		conn := connect()
--- a/internal/lab/drill/timeline.go
+++ b/internal/lab/drill/timeline.go
@@ -105,7 +105,7 @@
 		text := string(append(l.partialLine, line...))
 		l.partialLine, b = nil, rest
 		at, uncertainty := time.Now(), time.Second
-		if stated, ok := logs.Field(text, "time"); ok {
+		if stated, ok := logs.AttrValue(text, "time"); ok {
 			if x, err := time.Parse(time.RFC3339Nano, stated); err == nil {
 				at, uncertainty = x, time.Millisecond
 			}
--- a/internal/lab/sim/limited.go
+++ b/internal/lab/sim/limited.go
@@ -66,15 +66,15 @@
 		return // its client has disconnected
 	}
 	switch decision.Verdict {
-	case limit.Go:
+	case limit.Admitted:
 		q.admitted = true
 		r := q.Request
 		r.Remaining -= l.now - q.arrivedAt
-		r.Constraints = q.constraints.Narrowing()
+		r.Constraints = q.constraints.ForModule()
 		l.run(l.now, func() { l.next.Request(l.now, r) })
-	case limit.Wait:
+	case limit.Queued:
 		l.SetTimer(queueTimerFlag|decision.RequestID, decision.WaitUntil-l.now)
-	case limit.No:
+	case limit.Rejected:
 		delete(l.requests, q.ID)
 		l.Actions.Refuse(q.ID, decision.RetryAfter)
 	}
@@ -92,7 +92,7 @@
 }
 
 // finish records the final answer of a request and frees what it held.
-func (l *limitedPolicy) finish(id uint32, result limit.Ended) {
+func (l *limitedPolicy) finish(id uint32, result limit.Outcome) {
 	q := l.requests[id]
 	if q == nil {
 		return
@@ -103,8 +103,8 @@
 		l.decisions = append(l.decisions, others...)
 		return
 	}
-	if result == limit.Well && q.constraints.Late(l.now-q.arrivedAt) {
-		result = limit.Badly
+	if result == limit.Succeeded && q.constraints.Late(l.now-q.arrivedAt) {
+		result = limit.Failed
 	}
 	l.decisions = append(l.decisions, l.control.Finish(l.now, uint64(id), result)...)
 }
@@ -115,7 +115,7 @@
 }
 
 func (l *limitedPolicy) Fail(id uint32) {
-	l.finish(id, limit.Badly)
+	l.finish(id, limit.Failed)
 	l.Actions.Fail(id)
 }
 
@@ -123,7 +123,7 @@
 	l.run(now, func() {
 		l.next.Outcome(now, o)
 		if o.Status == hoptiller.OK {
-			l.finish(o.Request, limit.Well)
+			l.finish(o.Request, limit.Succeeded)
 		}
 	})
 }
--- a/internal/lab/speed/speed.go
+++ b/internal/lab/speed/speed.go
@@ -241,7 +241,7 @@
 	}
 	r := bufio.NewReader(out)
 	line, _ := r.ReadString('\n')
-	addr, ok := logs.Field(line, "addr")
+	addr, ok := logs.AttrValue(line, "addr")
 	if !ok {
 		end()
 		return "", nil, errors.New(command[0] + " does not log the address on which it listens: " + line)
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -15,9 +15,9 @@
 
 // The verdicts of a Gate.
 const (
-	Go   Verdict = iota // the request is admitted; Release must be called when it ends
-	Wait                // the request is queued until Release admits it, Acquire sheds it, or Remove takes it out
-	No                  // the request is rejected
+	Admitted Verdict = iota // the request is admitted; Release must be called when it ends
+	Queued                  // the request is queued until Release admits it, Acquire sheds it, or Remove takes it out
+	Rejected                // the request is rejected
 )
 
 // Gate bounds how many requests are in flight at once, over all priorities. It reserves
@@ -98,18 +98,18 @@
 	ahead := slices.ContainsFunc(g.waiting, func(w waiter) bool { return w.priority >= priority })
 	if !ahead && g.hasRoom(priority) {
 		g.admit(priority)
-		return Go, 0
+		return Admitted, 0
 	}
 	// Requests of lower priority must leave a slot for this one, so the peak counts it as if it were in flight.
 	g.peak[priority] = max(g.peak[priority], float64(g.inFlight[priority]+1))
 	g.MarkSaturated()
 	if g.MaxQueue == 0 {
-		return No, 0
+		return Rejected, 0
 	}
 	if len(g.waiting) >= g.MaxQueue {
 		last := g.waiting[len(g.waiting)-1]
 		if last.priority >= priority {
-			return No, 0
+			return Rejected, 0
 		}
 		g.waiting = g.waiting[:len(g.waiting)-1]
 		shed = last.id
@@ -119,11 +119,11 @@
 		return cmp.Or(cmp.Compare(w.priority, e.priority), -1) // after the waiters of the same priority
 	})
 	g.waiting = slices.Insert(g.waiting, at, w)
-	return Wait, shed
+	return Queued, shed
 }
 
 // Release records the end of an admitted request. It returns the ids of the queued requests that are admitted in its place.
-func (g *Gate) Release(now time.Duration, priority int, duration time.Duration, outcome Ended) []uint64 {
+func (g *Gate) Release(now time.Duration, priority int, duration time.Duration, outcome Outcome) []uint64 {
 	priority = max(0, min(Priorities-1, priority))
 	g.decayPeaks(now)
 	g.RecordEnd(now, duration, outcome, g.total)
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -82,14 +82,14 @@
 	return true
 }
 
-// Ended says how a request that a limit admitted has ended.
-type Ended uint8
+// Outcome says how a request that a limit admitted has ended.
+type Outcome uint8
 
 // The ways in which a request can end.
 const (
-	Well    Ended = iota // the request was answered
-	Badly                // a server rejected the request, or it timed out or failed: a sign of overload
-	Unknown              // the end says nothing about the load, e.g. because the client disconnected
+	Succeeded Outcome = iota // the request was answered
+	Failed                   // a server rejected the request, or it timed out or failed: a sign of overload
+	Unknown                  // the end says nothing about the load, e.g. because the client disconnected
 )
 
 // Concurrency bounds how many requests are in flight at once.
@@ -151,13 +151,13 @@
 func (c *Concurrency) MarkSaturated() { c.saturated = true }
 
 // RecordEnd records the end of a request that took duration. inFlight is the number of requests in flight, this one included.
-func (c *Concurrency) RecordEnd(now, duration time.Duration, outcome Ended, inFlight int) {
+func (c *Concurrency) RecordEnd(now, duration time.Duration, outcome Outcome, inFlight int) {
 	c.saturated = c.saturated || float64(inFlight) >= c.limit/2
 	if c.initialize(); !c.Adaptive || outcome == Unknown {
 		return
 	}
 	minLimit, maxLimit := float64(c.Min), float64(c.Max)
-	if outcome == Badly {
+	if outcome == Failed {
 		if (now - c.lastCut).Seconds() > cutInterval {
 			c.lastCut = now
 			c.limit = max(minLimit, cutFactor*c.limit)
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -115,9 +115,9 @@
 				model.lastID++
 				p := rapid.IntRange(0, Priorities-1).Draw(t, "priority")
 				switch v, shed := model.gate.Acquire(model.now, model.lastID, p); {
-				case v == Go:
+				case v == Admitted:
 					model.admitted[model.lastID] = p
-				case v == Wait:
+				case v == Queued:
 					model.queued[model.lastID] = p
 					if shed != 0 {
 						if at, was := model.queued[shed]; !was || at >= p {
@@ -133,7 +133,7 @@
 				id := pick(model.admitted)
 				p := model.admitted[id]
 				delete(model.admitted, id)
-				outcome := Ended(rapid.IntRange(0, 2).Draw(t, "how"))
+				outcome := Outcome(rapid.IntRange(0, 2).Draw(t, "how"))
 				for _, id := range model.gate.Release(
 					model.now, p, time.Duration(rapid.IntRange(1, 500).Draw(t, "ms"))*time.Millisecond, outcome) {
 					model.admit(t, id)
@@ -187,9 +187,9 @@
 			j := running[i]
 			doneAt, running = slices.Delete(doneAt, i, i+1), slices.Delete(running, i, i+1)
 			i--
-			outcome := Well
+			outcome := Succeeded
 			if now-j.since > aim {
-				outcome = Badly
+				outcome = Failed
 			} else {
 				inTime[j.priority]++
 			}
@@ -206,11 +206,11 @@
 			requests[p]++
 			id++
 			j := job{p, now}
-			verdict := Go
+			verdict := Admitted
 			if gate != nil {
 				verdict, _ = gate.Acquire(now, id, p)
 			}
-			if verdict == Go {
+			if verdict == Admitted {
 				waiting = append(waiting, j)
 			}
 			byID[id] = j
--- a/internal/loadreport/table.go
+++ b/internal/loadreport/table.go
@@ -25,8 +25,8 @@
 	return &Table{names: names, latest: map[uint32][]float64{}, parsed: make([]float64, len(names))}
 }
 
-// Take records the report of a server. A report that can't be parsed is only counted as dropped.
-func (t *Table) Take(server uint32, report []byte) {
+// Record records the report of a server. A report that can't be parsed is only counted as dropped.
+func (t *Table) Record(server uint32, report []byte) {
 	if len(t.names) == 0 {
 		return
 	}
--- a/internal/loadreport/table_test.go
+++ b/internal/loadreport/table_test.go
@@ -10,12 +10,12 @@
 func TestTable(t *testing.T) {
 	table := New([]string{"queue", "latency_ms", "x0"})
 	for _, good := range []string{"queue=7,latency_ms=12.5,x0=0.61", "x0=0.5,queue=3", "latency_ms=1e2"} {
-		table.Take(1, []byte(good))
+		table.Record(1, []byte(good))
 	}
-	table.Take(2, []byte("queue=4,x0=0"))
+	table.Record(2, []byte("queue=4,x0=0"))
 	for _, bad := range []string{"", "=", ",=", "queue", "queue=", "queue=x", "queue=NaN", "queue=-1", "queue=1e300", "queue=Inf", "queue=0x10",
 		"queue=1,queue=1", "queue=1,util=0.5", "queue=1,", "queue=1,latency", "queue=1 x0=2", "queue==1", ",queue=1"} {
-		table.Take(2, []byte(bad))
+		table.Record(2, []byte(bad))
 	}
 	s := table.Summary()
 	if s.Accepted != 4 || s.Dropped != 18 || s.Servers != 2 || s.Mean["queue"] != 4 || s.Mean["latency_ms"] != 100 || s.Mean["x0"] != 0 || s.Max["queue"] != 4 {
@@ -37,7 +37,7 @@
 	}
 	f.Fuzz(func(t *testing.T, report []byte) {
 		table := New([]string{"queue", "x0"})
-		table.Take(1, report)
+		table.Record(1, report)
 		s := table.Summary()
 		if s.Accepted+s.Dropped != 1 {
 			t.Fatalf("%+v", s)
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -62,12 +62,12 @@
 func New(out io.Writer, o Options) *Log {
 	start := time.Now()
 	l := &Log{out: out, sinceStart: func() time.Duration { return time.Since(start) }, kinds: map[string]*kind{}}
-	l.Set(o)
+	l.SetOptions(o)
 	return l
 }
 
-// Set changes the options, which must have passed Check.
-func (l *Log) Set(o Options) {
+// SetOptions changes the options, which must have passed Check.
+func (l *Log) SetOptions(o Options) {
 	var level slog.Level
 	level.UnmarshalText([]byte(o.Level))
 	options := &slog.HandlerOptions{Level: level}
@@ -150,9 +150,9 @@
 func (h *attrHandler) WithAttrs(attrs []slog.Attr) slog.Handler { return &attrHandler{h, attrs, ""} }
 func (h *attrHandler) WithGroup(name string) slog.Handler       { return &attrHandler{h, nil, name} }
 
-// Field returns the value of an attribute in a log line in text format, if the value has
+// AttrValue returns the value of an attribute in a log line in text format, if the value has
 // no spaces. Programs that start a router use it to find out where the router listens.
-func Field(line, name string) (string, bool) {
+func AttrValue(line, name string) (string, bool) {
 	for _, word := range strings.Fields(line) {
 		if value, ok := strings.CutPrefix(word, name+"="); ok {
 			return value, true
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -36,7 +36,7 @@
 	l := New(&out, Options{"warn", "text", 100})
 	log := slog.New(l).With("router", "a")
 	log.Info("nothing")
-	l.Set(Options{"debug", "json", 100})
+	l.SetOptions(Options{"debug", "json", 100})
 	log.Debug("reload", "file", "x")
 	if line := gjson.ParseBytes(out.Bytes()); line.Get("msg").String() != "reload" || line.Get("router").String() != "a" || line.Get("level").String() != "DEBUG" {
 		t.Errorf("%s", &out)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -54,8 +54,8 @@
 // AttemptSent counts an attempt that was written completely to a cache server or the origin.
 func (c *Counters) AttemptSent() { c.upstream.Add(1) }
 
-// LookedAgain counts a final check of an attempt that had to be repeated because the process was paused after it.
-func (c *Counters) LookedAgain() { c.repeatedChecks.Add(1) }
+// CheckRepeated counts a final check of an attempt that had to be repeated because the process was paused after it.
+func (c *Counters) CheckRepeated() { c.repeatedChecks.Add(1) }
 
 // AcceptedTotal returns the number of requests accepted since the start, pending ones included.
 func (c *Counters) AcceptedTotal() int64 {
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -91,7 +91,7 @@
 		}
 		used += reply.Size
 		if reply.LoadReport != nil && p.settings.LoadReports != nil {
-			p.settings.LoadReports.Take(c.server.ID, reply.LoadReport)
+			p.settings.LoadReports.Record(c.server.ID, reply.LoadReport)
 		}
 		c.pending, c.answered = c.pending[1:], true
 		p.observe(c.server, true)
