--- a/cmd/hoplab/sockets.go
+++ b/cmd/hoplab/sockets.go
@@ -74,7 +74,7 @@
 	fmt.Println("      s  asked  within aim  refused  fetches  caches up")
 	r, err := standin.Run(ctx, &day, standin.Options{Router: c.Router, Log: log, Progress: func(now time.Duration, w *model.World,
 		t *tally.Tally) {
-		second := int((now-day.Warm.D())/time.Second) - 2 // requests sent two seconds ago have been answered
+		second := int((now-day.Warm.Std())/time.Second) - 2 // requests sent two seconds ago have been answered
 		stats, ok := t.Second(second)
 		if !ok {
 			fmt.Println("   warming up")
@@ -149,8 +149,8 @@
 		Retries: c.Retries, Value: 2}
 	day := model.Prairie()
 	for _, class := range day.Classes {
-		plan.Classes = append(plan.Classes, load.Class{Name: class.Name, Share: class.Share, Aim: class.Aim.D(),
-			Deadline: class.Deadline.D(), Worth: class.Worth, Write: class.Write})
+		plan.Classes = append(plan.Classes, load.Class{Name: class.Name, Share: class.Share, Aim: class.Aim.Std(),
+			Deadline: class.Deadline.Std(), Worth: class.Worth, Write: class.Write})
 	}
 	if isTerminal(os.Stderr) {
 		plan.Progress = func(r *load.Report) {
--- a/cmd/hoptiller/calls.go
+++ b/cmd/hoptiller/calls.go
@@ -129,10 +129,10 @@
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", name, err)
 	}
-	if d.D() < 0 || d.D() > maxValue {
+	if d.Std() < 0 || d.Std() > maxValue {
 		return 0, fmt.Errorf("%s: %v is not from 0 to %v", name, d, maxValue)
 	}
-	return d.D(), nil
+	return d.Std(), nil
 }
 
 // phaseJSON formats the phase of this process.
@@ -147,9 +147,9 @@
 	received chan struct{}
 }
 
-// Told passes on a server list.
-func (l *firstListNotifier) Told(kind hoptiller.ListKind, servers []relay.Server) {
-	l.Listener.Told(kind, servers)
+// UpdateServers passes on a server list.
+func (l *firstListNotifier) UpdateServers(kind hoptiller.ListKind, servers []relay.Server) {
+	l.Listener.UpdateServers(kind, servers)
 	if kind == hoptiller.ListFull || kind == hoptiller.ListDelta {
 		l.once.Do(func() { close(l.received) })
 	}
--- a/cmd/hoptiller/fleet_member.go
+++ b/cmd/hoptiller/fleet_member.go
@@ -46,13 +46,13 @@
 	f := &fleetMember{counts: counts, config: c, relay: r, countedAt: time.Now()}
 	reason := ""
 	switch {
-	case !c.MayTell:
+	case !c.PeerMessagesAllowed:
 		reason = "the settings don't allow datagrams between routers"
 	case c.PeerListen == "" || len(c.Peers) < 2:
 		reason = "no peers are told"
 	case operatorFleet.View == "off":
 		reason = "the operator's file turns it off"
-	case c.PeerFee > 0 && operatorFleet.View != "on":
+	case c.PeerPrice > 0 && operatorFleet.View != "on":
 		reason = "the settings put a price on datagrams, which the view does not earn; fleet { view on } turns it on"
 	}
 	if reason == "" {
@@ -84,8 +84,8 @@
 // setBounds applies the bounds of an operator's file. By default one router and one slot cache may be out of service.
 func (f *fleetMember) setBounds(operatorFleet plan.Fleet) {
 	if f.peers != nil {
-		f.peers.SetBounds(peers.Bounds{Fleet: boundOrDefault(operatorFleet.Out, 1), Zone: boundOrDefault(operatorFleet.OutZone, 0),
-			Caches: boundOrDefault(operatorFleet.Caches, 1), CacheZone: boundOrDefault(operatorFleet.CachesZone, 0)})
+		f.peers.SetBounds(peers.Bounds{Fleet: boundOrDefault(operatorFleet.RoutersOut, 1), Zone: boundOrDefault(operatorFleet.RoutersOutPerZone, 0),
+			Caches: boundOrDefault(operatorFleet.CachesOut, 1), CacheZone: boundOrDefault(operatorFleet.CachesOutPerZone, 0)})
 	}
 }
 
@@ -94,7 +94,7 @@
 	if b == (plan.Bound{}) {
 		return permit.Bound{Number: defaultNumber}
 	}
-	return permit.Bound{Number: b.Number, Fraction: b.Part}
+	return permit.Bound{Number: b.Number, Fraction: b.Fraction}
 }
 
 // details returns what this router announces about itself. It measures the request rate, per second.
--- a/cmd/hoptiller/fleet_member_test.go
+++ b/cmd/hoptiller/fleet_member_test.go
@@ -132,7 +132,7 @@
 			t.Errorf("%v: restart for %q, want %q", changes, got, c.restart)
 		}
 	}
-	if b := boundOrDefault(bounds.Fleet.Out, 1); b.Limit(10) != 2 || b.Limit(3) != 1 {
+	if b := boundOrDefault(bounds.Fleet.RoutersOut, 1); b.Limit(10) != 2 || b.Limit(3) != 1 {
 		t.Errorf("20%% of 10 and 3 are %d and %d", b.Limit(10), b.Limit(3))
 	}
 }
--- a/cmd/hoptiller/operator.go
+++ b/cmd/hoptiller/operator.go
@@ -48,7 +48,7 @@
 	if !before.Mode().IsRegular() {
 		return nil, false, errors.New("no regular file")
 	}
-	if text, err = io.ReadAll(io.LimitReader(f, opfile.MostBytes+1)); err != nil {
+	if text, err = io.ReadAll(io.LimitReader(f, opfile.MaxBytes+1)); err != nil {
 		return nil, false, err
 	}
 	after, err := f.Stat()
--- a/cmd/hoptiller/release.go
+++ b/cmd/hoptiller/release.go
@@ -78,7 +78,7 @@
 		}
 		fmt.Printf("%s: %s\n", name, strings.Trim(fmt.Sprint(w), "[]"))
 	}
-	fmt.Printf("each watched for %v and %d requests; %d routers in all\n", p.Soak, p.Requests, len(p.Routers))
+	fmt.Printf("each watched for %v and %d requests; %d routers in all\n", p.SoakDuration, p.MinRequests, len(p.RouterAddrs))
 	return nil
 }
 
--- a/cmd/hoptiller/reload.go
+++ b/cmd/hoptiller/reload.go
@@ -67,7 +67,7 @@
 	r.fleet.setBounds(p.Fleet)
 	r.log.SetOptions(options)
 	if c.Discovery != r.config.Discovery {
-		r.discoveryClient.Move(registry(c))
+		r.discoveryClient.SetSource(registry(c))
 	}
 	r.config = c
 	slog.Info("reload", "discovery", c.Discovery, "changes", len(changes))
@@ -78,13 +78,13 @@
 func restartNeededFor(changes []plan.Change) string {
 	var parts []string
 	for _, c := range changes {
-		if strings.HasPrefix(c.Thing, "listener ") {
-			parts = append(parts, c.Thing)
+		if strings.HasPrefix(c.Subject, "listener ") {
+			parts = append(parts, c.Subject)
 		}
-		if c.Thing == "fleet" && slices.ContainsFunc(c.After, func(f plan.Field) bool { return f.Name == "view" }) {
+		if c.Subject == "fleet" && slices.ContainsFunc(c.After, func(f plan.Field) bool { return f.Name == "view" }) {
 			parts = append(parts, "fleet view")
 		}
-		if c.Thing != "limits" {
+		if c.Subject != "limits" {
 			continue
 		}
 		for _, f := range c.After {
--- a/cmd/hoptiller/resource_limits.go
+++ b/cmd/hoptiller/resource_limits.go
@@ -25,7 +25,7 @@
 // then a reset, silent or corrupt connection fails only one call, and a call that is cancelled can end its connection at once,
 // since no other call uses it.
 func callsPerConn(c *config.Config) int {
-	if c.ConnFees {
+	if c.ConnsPriced {
 		return callsPerSharedConn
 	}
 	return 1
@@ -53,7 +53,7 @@
 		s.heapBytes = memory << 20 / 2
 	}
 	available := sockets - ownDescriptors
-	if c.MayTell && c.PeerListen != "" { // for the socket of the fleet view
+	if c.PeerMessagesAllowed && c.PeerListen != "" { // for the socket of the fleet view
 		available--
 	}
 	if c.Admin != "" {
@@ -63,15 +63,15 @@
 	available = max(available, 8)
 	s.clientConns, s.extraInvocations, s.longValueBytes = min(available*11/20, 8*memory), 2*memory, memory<<20/4
 	s.originConns = min(64, available/8)
-	for operatorLimit, limit := range map[*int]*int{&operatorLimits.Clients: &s.clientConns,
-		&operatorLimits.Open: &s.extraInvocations, &operatorLimits.Origin: &s.originConns} {
+	for operatorLimit, limit := range map[*int]*int{&operatorLimits.ClientConns: &s.clientConns,
+		&operatorLimits.OpenRequests: &s.extraInvocations, &operatorLimits.OriginConns: &s.originConns} {
 		if *operatorLimit > 0 {
 			*limit = *operatorLimit
 		}
 	}
 	s.cacheConns = max(1, available-s.clientConns-s.originConns)
-	if operatorLimits.Providers > 0 {
-		s.cacheConns = operatorLimits.Providers
+	if operatorLimits.CacheConns > 0 {
+		s.cacheConns = operatorLimits.CacheConns
 	}
 	s.connsPerCache = min(16, max(4, s.cacheConns/8))
 	return s
--- a/cmd/hoptiller/serve.go
+++ b/cmd/hoptiller/serve.go
@@ -138,19 +138,19 @@
 	if err != nil {
 		return err
 	}
-	if c.Doubts != "" {
-		slog.Warn("settings in doubt", "what", c.Doubts)
+	if c.Warnings != "" {
+		slog.Warn("settings in doubt", "what", c.Warnings)
 	}
-	if c.Contradicts != "" {
-		slog.Warn("settings contradict themselves", "what", c.Contradicts)
+	if c.Contradictions != "" {
+		slog.Warn("settings contradict themselves", "what", c.Contradictions)
 	}
-	for _, what := range c.Assumed {
+	for _, what := range c.Assumptions {
 		slog.Info("fleet assumed", "what", what)
 	}
-	reports := loadreport.New(c.Reports)
+	reports := loadreport.New(c.ReportColumns)
 	counts, phases := metrics.New(c.Classes), lifecycle.New()
 	reasons := newEndReasons()
-	c.Settings.ConnsPerCore = p.Limits.Places
+	c.Settings.ConnsPerCore = p.Limits.ConnsPerCore
 	limits := divideResources(c, &p.Limits)
 	if limits.heapBytes > 0 {
 		debug.SetMemoryLimit(int64(limits.heapBytes))
@@ -158,16 +158,16 @@
 	var fleet *fleetMember
 	longValueBudget := semaphore.NewWeighted(int64(max(limits.longValueBytes, meta.MaxLongValue)))
 	providers := upstream.New(upstream.Settings{
-		CallsPerConn: callsPerConn(c), MaxConnsPerServer: limits.connsPerCache, MaxConns: limits.cacheConns, MaxCallsPerConn: max(1, c.MostCalls),
-		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnectTimeout,
-		MaxIdle: connlimit.MaxIdle(c.Settings.RouterCount, p.Limits.Places), ConnsPerCore: p.Limits.Places,
+		CallsPerConn: callsPerConn(c), MaxConnsPerServer: limits.connsPerCache, MaxConns: limits.cacheConns, MaxCallsPerConn: max(1, c.MaxCallsPerConn),
+		IdleLimit: c.ConnIdleTimeout * 3 / 4, ConnectTimeout: c.Settings.ConnectTimeout,
+		MaxIdle: connlimit.MaxIdle(c.Settings.RouterCount, p.Limits.ConnsPerCore), ConnsPerCore: p.Limits.ConnsPerCore,
 		AttemptSent: counts.AttemptSent, LoadReports: reports,
 		Observed: func(id uint32, up bool) { fleet.observeCache(id, up) }, ConnClosed: reasons.serverClosed,
 		CheckRepeated: counts.CheckRepeated,
 	}, upstream.Meta{})
 	origins := upstream.New(upstream.Settings{
 		CallsPerConn: 1, MaxConnsPerServer: limits.originConns, MaxCallsPerConn: 1, MaxIdle: limits.originConns,
-		IdleLimit: c.ConnIdle * 3 / 4, ConnectTimeout: c.Settings.ConnectTimeout,
+		IdleLimit: c.ConnIdleTimeout * 3 / 4, ConnectTimeout: c.Settings.ConnectTimeout,
 		ValueMemory: longValueBudget, AttemptSent: counts.AttemptSent, Cooldown: originReuseDelay, ConnClosed: reasons.serverClosed,
 		CheckRepeated: counts.CheckRepeated,
 	}, origin.Protocol{})
@@ -188,7 +188,7 @@
 	firstList := &firstListNotifier{Listener: listener, received: make(chan struct{})}
 	discoveryClient := discovery.NewClient(registry(c), names, firstList, c.Known)
 	clientFront := &front.Front{
-		Classes: c.Classes, AnyClass: c.AnyClass, Tenants: c.Tenants, MaxConns: limits.clientConns,
+		Classes: c.Classes, AnyClass: c.DefaultClassOnly, Tenants: c.Tenants, MaxConns: limits.clientConns,
 		MaxUsedConns: limits.idleClientConns, MaxStartedConns: limits.busyClientConns,
 		MaxOpenRequests: limits.extraInvocations, ValueMemory: longValueBudget,
 		AcceptDuration: lingerTime, ServeDuration: keepServingTime(c.Settings.Classes), CommandGrace: commandGrace, FailOpenAfter: answerTimeLimit(c.Settings.Classes),
@@ -246,5 +246,5 @@
 
 // registry returns the discovery service that the configuration names.
 func registry(c *config.Config) *discovery.Registry {
-	return &discovery.Registry{Addr: c.Discovery, Times: discovery.PlatformTimes}
+	return &discovery.Registry{Addr: c.Discovery, Timeouts: discovery.PlatformTimeouts}
 }
--- a/cmd/hoptiller/server_list_test.go
+++ b/cmd/hoptiller/server_list_test.go
@@ -62,7 +62,7 @@
 			longest = max(longest, f.Tick(now).NextTick-now)
 		}
 	}
-	call := discovery.PlatformTimes.Longest()
+	call := discovery.PlatformTimeouts.FailureDetectionTime()
 	t.Logf("longest call %v, longest wait %v", call, longest)
 	if call+longest > maxListDelay-250*time.Millisecond {
 		t.Errorf("a call of %v and a wait of %v leave no time for an answer within %v", call, longest, maxListDelay)
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -78,14 +78,14 @@
 		h.instance, h.hasContext = e.Instance, true
 		return nil
 	case wire.List:
-		h.lists[e.Buffer] = e.Servers
+		h.lists[e.ListIndex] = e.Servers
 		return nil
 	}
 	if !h.hasContext {
 		return fmt.Errorf("event code %d comes before any Context", e.Code)
 	}
 	if e.Code == wire.Provision {
-		settings, _, err := config.ParseSettings(e.Conf)
+		settings, _, err := config.ParseSettings(e.Settings)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", h.instance, err)
 		}
@@ -107,15 +107,15 @@
 		delete(h.routers, h.instance)
 	case wire.Endpoints:
 		return h.deliverList(router, e)
-	case wire.Knock:
+	case wire.RequestArrived:
 		router.Request(now, e.Request)
-	case wire.ReportBack:
+	case wire.AttemptEnded:
 		router.Outcome(now, e.Outcome)
-	case wire.Flowing:
+	case wire.StreamStarted:
 		router.StreamStarted(now, e.Outcome.Request, e.Outcome.Attempt)
-	case wire.ClientGone:
+	case wire.ClientDisconnected:
 		router.ClientDisconnected(now, e.ID)
-	case wire.TimeoutFired:
+	case wire.TimerFired:
 		router.Timer(now, e.Token)
 	}
 	return nil
@@ -123,13 +123,13 @@
 
 // deliverList passes a server list that an earlier List event has filled to the router.
 func (h *routerHost) deliverList(router *hoptiller.Router, e *wire.Event) error {
-	if e.Scope == hoptiller.ListFailed {
-		router.UpdateServers(h.reader.Clock, e.Scope, nil)
+	if e.ListKind == hoptiller.ListFailed {
+		router.UpdateServers(h.reader.Clock, e.ListKind, nil)
 		return nil
 	}
-	if int(e.Buffer) >= len(h.lists) || h.lists[e.Buffer] == nil {
-		return fmt.Errorf("event Endpoints names list %d, which was never given", e.Buffer)
+	if int(e.ListIndex) >= len(h.lists) || h.lists[e.ListIndex] == nil {
+		return fmt.Errorf("event Endpoints names list %d, which was never given", e.ListIndex)
 	}
-	router.UpdateServers(h.reader.Clock, e.Scope, h.lists[e.Buffer])
+	router.UpdateServers(h.reader.Clock, e.ListKind, h.lists[e.ListIndex])
 	return nil
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -104,7 +104,7 @@
 		c.pools[name] = &pool{}
 	}
 	c.updatePools(p)
-	if p.Limits.Concurrency.Most > 0 {
+	if p.Limits.Concurrency.Max > 0 {
 		next.sharedGate = c.sharedGate(&p.Limits)
 	}
 	previous := c.limits
@@ -123,13 +123,13 @@
 	if previous := c.active.Load(); previous != nil && previous.sharedGate != nil {
 		gate = previous.sharedGate
 	}
-	gate.Reconfigure(concurrencyBounds(limits.Concurrency), limits.Queue, limits.QueueFor)
+	gate.Reconfigure(concurrencyBounds(limits.Concurrency), limits.MaxQueueLength, limits.MaxQueueTime)
 	return gate
 }
 
 // concurrencyBounds converts the bounds of a plan.
 func concurrencyBounds(c plan.Concurrency) limit.Concurrency {
-	return limit.Concurrency{Adaptive: c.Adaptive, Min: c.Least, Max: c.Most}
+	return limit.Concurrency{Adaptive: c.Adaptive, Min: c.Min, Max: c.Max}
 }
 
 // Lookup returns the constraints that the plan in force puts on a request.
--- a/internal/admission/constraints.go
+++ b/internal/admission/constraints.go
@@ -40,7 +40,7 @@
 	if entry.Pool != nil {
 		constraints.pool = c.pools[entry.Pool.Name]
 	}
-	if policy == nil || policy.Rate == 0 && policy.Concurrency.Most == 0 && !policy.BudgetSaid {
+	if policy == nil || policy.Rate == 0 && policy.Concurrency.Max == 0 && !policy.BudgetStated {
 		return constraints
 	}
 	if c.limits[entry.Route.Name] == nil {
@@ -62,12 +62,12 @@
 		}
 	}
 	limits.bucket.Rate, limits.bucket.Burst = policy.Rate, policy.Burst
-	limits.budget.Ratio, limits.budget.MinPerSecond = policy.Budget, policy.BudgetLeast
+	limits.budget.Ratio, limits.budget.MinPerSecond = policy.Budget, policy.BudgetMinRate
 	bounds := concurrencyBounds(policy.Concurrency)
 	if bounds.Max == 0 { // admitted requests are counted nevertheless, since the next plan may bound them
 		bounds = limit.Concurrency{Min: unboundedConcurrency, Max: unboundedConcurrency}
 	}
-	limits.gate.Reconfigure(bounds, policy.Queue, policy.QueueFor)
+	limits.gate.Reconfigure(bounds, policy.MaxQueueLength, policy.MaxQueueTime)
 	return limits
 }
 
@@ -105,12 +105,12 @@
 	if last == hoptiller.Cancelled || last == hoptiller.NotSent { // the router cancelled an attempt that got no answer in time
 		last = hoptiller.Timeout
 	}
-	return (policy.Attempts == 0 || attempts < policy.Attempts) && policy.Repeat.Has(last)
+	return (policy.Attempts == 0 || attempts < policy.Attempts) && policy.RetryOn.Contains(last)
 }
 
 // TakeRetry takes a retry out of the route's retry budget and reports whether the budget had one.
 func (c *Constraints) TakeRetry(now time.Duration) bool {
-	if !c.entry.Policy.BudgetSaid {
+	if !c.entry.Policy.BudgetStated {
 		return true
 	}
 	c.controller.mu.Lock()
@@ -119,7 +119,7 @@
 }
 
 // AllowsHedge reports whether the router may hedge, i.e. have two attempts of one request in flight at once.
-func (c *Constraints) AllowsHedge() bool { return c.entry.Policy.Copies != singleAttempt }
+func (c *Constraints) AllowsHedge() bool { return c.entry.Policy.MaxInFlight != singleAttempt }
 
 // Late reports whether an answer after duration misses the target latency of the request's class.
 func (c *Constraints) Late(duration time.Duration) bool {
--- a/internal/admission/middleware/middleware.go
+++ b/internal/admission/middleware/middleware.go
@@ -30,8 +30,8 @@
 
 // Listener receives the updates of the server list.
 type Listener interface {
-	// Told is called with each update of the server list.
-	Told(kind hoptiller.ListKind, servers []relay.Server)
+	// UpdateServers is called with each update of the server list.
+	UpdateServers(kind hoptiller.ListKind, servers []relay.Server)
 	// Knows reports whether the listener still knows a server.
 	Knows(id uint32) bool
 }
@@ -162,13 +162,13 @@
 	}
 }
 
-// Told applies an update of the server list. It updates the pools before it notifies the next listener.
-func (h *Handler) Told(kind hoptiller.ListKind, servers []relay.Server) {
+// UpdateServers applies an update of the server list. It updates the pools before it notifies the next listener.
+func (h *Handler) UpdateServers(kind hoptiller.ListKind, servers []relay.Server) {
 	if kind != hoptiller.ListFailed {
 		h.updateList(kind, servers)
 		h.controller.SetServers(h.cacheServers())
 	}
-	h.listener.Told(kind, servers)
+	h.listener.UpdateServers(kind, servers)
 }
 
 // updateList applies a complete server list or the changes of one.
--- a/internal/admission/middleware/middleware_test.go
+++ b/internal/admission/middleware/middleware_test.go
@@ -52,8 +52,8 @@
 	}
 	return relay.Answer{Kind: hoptiller.StepServed}
 }
-func (r *fakeRelay) Told(_ hoptiller.ListKind, s []relay.Server) { r.updates = s }
-func (r *fakeRelay) Knows(uint32) bool                           { return true }
+func (r *fakeRelay) UpdateServers(_ hoptiller.ListKind, s []relay.Server) { r.updates = s }
+func (r *fakeRelay) Knows(uint32) bool                                    { return true }
 
 func newHandler(t testing.TB, text string) (*Handler, *fakeRelay, chan string) {
 	fake := &fakeRelay{arrived: make(chan *relay.Request, 1000), proceed: make(chan bool, 1000)}
@@ -170,16 +170,16 @@
 	allowed := func(id uint32) bool {
 		return h.controller.Lookup(0, nil, nil, (&relay.Request{}).ClientAddr).ForModule().Allows(id)
 	}
-	h.Told(hoptiller.ListFull, []relay.Server{server(1, 0, hoptiller.Ready), server(2, 1, hoptiller.Ready)})
-	h.Told(hoptiller.ListFailed, nil)
+	h.UpdateServers(hoptiller.ListFull, []relay.Server{server(1, 0, hoptiller.Ready), server(2, 1, hoptiller.Ready)})
+	h.UpdateServers(hoptiller.ListFailed, nil)
 	if !allowed(1) || allowed(2) || len(fake.updates) != 0 {
 		t.Error("the pool doesn't match the complete list")
 	}
-	h.Told(hoptiller.ListDelta, []relay.Server{server(1, 0, hoptiller.Draining), server(3, 0, hoptiller.Ready)})
+	h.UpdateServers(hoptiller.ListDelta, []relay.Server{server(1, 0, hoptiller.Draining), server(3, 0, hoptiller.Ready)})
 	if allowed(1) || !allowed(3) {
 		t.Error("the pool doesn't follow the changes of the list")
 	}
-	if h.Told(hoptiller.ListFull, nil); allowed(3) || !h.Knows(1) {
+	if h.UpdateServers(hoptiller.ListFull, nil); allowed(3) || !h.Knows(1) {
 		t.Error("a server that is not in the list is in the pool")
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,33 +22,33 @@
 
 // Config is the configuration of a router.
 type Config struct {
-	Name        string
-	Listen      string
-	Discovery   string
-	Admin       string // address at which operators call; empty: none
-	SocketFD    string // file descriptor of the socket for client connections, if the platform holds it
-	Seed        uint64
-	MemoryMB    int64 // 0: no limit stated
-	Sockets     int   // 0: no limit stated
-	Known       discovery.Update
-	Peers       []string // one address for each router of the tier, including its own; none: not stated
-	PeerListen  string   // address for datagrams of other routers; empty: none
-	MayTell     bool     // routers may send each other datagrams
-	PeerFee     float64  // price of these datagrams; a datagram with a price must be worth it
-	ConnFees    bool     // connections or handshakes have a price
-	Digest      uint32   // digest of the settings without the parts that differ between routers
-	Doubts      string   // invalid parts of the text, each replaced by a safe value; empty: none
-	AnyClass    bool     // no class is stated, so all requests belong to the one default class
-	Contradicts string   // contradictions within the settings; empty: none
-	Assumed     []string // assumptions about the fleet where the text states nothing
+	Name                string
+	Listen              string
+	Discovery           string
+	Admin               string // address at which operators call; empty: none
+	SocketFD            string // file descriptor of the socket for client connections, if the platform holds it
+	Seed                uint64
+	MemoryMB            int64 // 0: no limit stated
+	Sockets             int   // 0: no limit stated
+	Known               discovery.Update
+	Peers               []string // one address for each router of the tier, including its own; none: not stated
+	PeerListen          string   // address for datagrams of other routers; empty: none
+	PeerMessagesAllowed bool     // routers may send each other datagrams
+	PeerPrice           float64  // price of these datagrams; a datagram with a price must be worth it
+	ConnsPriced         bool     // connections or handshakes have a price
+	Digest              uint32   // digest of the settings without the parts that differ between routers
+	Warnings            string   // invalid parts of the text, each replaced by a safe value; empty: none
+	DefaultClassOnly    bool     // no class is stated, so all requests belong to the one default class
+	Contradictions      string   // contradictions within the settings; empty: none
+	Assumptions         []string // assumptions about the fleet where the text states nothing
 
-	Settings     hoptiller.Settings
-	Classes      []string // names of the classes, in the order of the settings
-	Tenants      []string // names of the tenants, in the order of the settings
-	Reports      []string // columns of the load reports that answers carry; none: answers carry no load report
-	Zones, Kinds []string
-	ConnIdle     time.Duration // time after which cache servers close an idle connection
-	MostCalls    int           // number of calls that one connection carries at once
+	Settings        hoptiller.Settings
+	Classes         []string // names of the classes, in the order of the settings
+	Tenants         []string // names of the tenants, in the order of the settings
+	ReportColumns   []string // columns of the load reports that answers carry; none: answers carry no load report
+	Zones, Kinds    []string
+	ConnIdleTimeout time.Duration // time after which cache servers close an idle connection
+	MaxCallsPerConn int           // number of calls that one connection carries at once
 }
 
 // Load reads the file that RELAY_CONFIG names. The other RELAY_ variables, where they are set, take precedence over
@@ -116,16 +116,16 @@
 	limits := &reader{root: root}
 	c.MemoryMB, c.Sockets = int64(max(0, limits.integer("limits.memory_mb", maxLimit))),
 		max(0, limits.integer("limits.sockets", maxLimit))
-	c.ConnIdle, c.MostCalls = limits.time("settings.bounds.connIdle"),
+	c.ConnIdleTimeout, c.MaxCallsPerConn = limits.time("settings.bounds.connIdle"),
 		max(0, limits.integer("settings.bounds.streamsPerConn", maxLimit))
-	c.Doubts = joinWarnings(append(append(warnings, limits.warnings...), c.applySafeDefaults()...))
+	c.Warnings = joinWarnings(append(append(warnings, limits.warnings...), c.applySafeDefaults()...))
 	if settings.Get("stats.how").String() == "piggyback" {
-		c.Reports = stringList(settings.Get("stats.columns"))
+		c.ReportColumns = stringList(settings.Get("stats.columns"))
 	}
-	c.Contradicts = c.findContradictions()
+	c.Contradictions = c.findContradictions()
 	c.Peers, c.PeerListen = stringList(root.Get("peers")), root.Get("peer_listen").String()
-	c.MayTell, c.PeerFee = settings.Get("bounds.mayTell").Bool(), settings.Get("fees.peer").Float()
-	c.ConnFees = settings.Get("fees.connection").Float() > 0 || settings.Get("fees.handshake").Float() > 0
+	c.PeerMessagesAllowed, c.PeerPrice = settings.Get("bounds.mayTell").Bool(), settings.Get("fees.peer").Float()
+	c.ConnsPriced = settings.Get("fees.connection").Float() > 0 || settings.Get("fees.handshake").Float() > 0
 	c.Digest = settingsDigest(settings)
 	c.assumeFleetSize(c.PeerListen)
 	return c, nil
@@ -156,18 +156,18 @@
 	c.Settings.RouterCount = max(stated, len(c.Peers), 1)
 	switch {
 	case len(c.Peers) == 0 && stated <= 0:
-		c.Assumed = append(c.Assumed, "neither peers nor settings name other routers: assuming to be the only one")
+		c.Assumptions = append(c.Assumptions, "neither peers nor settings name other routers: assuming to be the only one")
 	case len(c.Peers) == 0:
-		c.Assumed = append(c.Assumed, fmt.Sprintf("no peers: taken for one of %d routers, as the settings say", stated))
+		c.Assumptions = append(c.Assumptions, fmt.Sprintf("no peers: taken for one of %d routers, as the settings say", stated))
 	case len(c.Peers) != stated:
-		c.Assumed = append(c.Assumed, fmt.Sprintf("%d peers, but the settings state %d routers: assuming to be one of %d",
+		c.Assumptions = append(c.Assumptions, fmt.Sprintf("%d peers, but the settings state %d routers: assuming to be one of %d",
 			len(c.Peers), stated, c.Settings.RouterCount))
 	case ownAddr != "" && !slices.Contains(c.Peers, ownAddr):
-		c.Assumed = append(c.Assumed, fmt.Sprintf("own address %s is not among the %d peers: counted as one of them", ownAddr, stated))
+		c.Assumptions = append(c.Assumptions, fmt.Sprintf("own address %s is not among the %d peers: counted as one of them", ownAddr, stated))
 	}
 	for _, e := range c.Known.Entries {
 		if e.Zone != "" && len(c.Zones) > 0 && !slices.Contains(c.Zones, e.Zone) {
-			c.Assumed = append(c.Assumed, fmt.Sprintf("zone %q is not among the %d of the settings: taken for another one",
+			c.Assumptions = append(c.Assumptions, fmt.Sprintf("zone %q is not among the %d of the settings: taken for another one",
 				e.Zone, len(c.Zones)))
 			break
 		}
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -18,7 +18,7 @@
 	warn := func(format string, args ...any) { warnings = append(warnings, fmt.Sprintf(format, args...)) }
 	s := &c.Settings
 	if len(s.Classes) == 0 {
-		c.AnyClass, c.Classes = true, []string{"any"}
+		c.DefaultClassOnly, c.Classes = true, []string{"any"}
 		s.Classes = []hoptiller.Class{{Effect: hoptiller.AtMostOnce, Deadline: defaultDeadline, Worth: 1, LateFraction: 1}}
 		warn("no classes: no request is sent twice")
 	}
--- a/internal/config/defaults_test.go
+++ b/internal/config/defaults_test.go
@@ -29,8 +29,8 @@
 			t.Errorf("%s: %v", set, err)
 			continue
 		}
-		if !strings.HasSuffix(c.Doubts, warning) || (warning == "") != (c.Doubts == "") || strings.Contains(c.Doubts, "\n") {
-			t.Errorf("%s: got the warnings %q", set, c.Doubts)
+		if !strings.HasSuffix(c.Warnings, warning) || (warning == "") != (c.Warnings == "") || strings.Contains(c.Warnings, "\n") {
+			t.Errorf("%s: got the warnings %q", set, c.Warnings)
 		}
 		if len(c.Classes) != len(c.Settings.Classes) || len(c.Tenants) != len(c.Settings.Tenants) || c.Settings.ConnectTimeout <= 0 {
 			t.Errorf("%s: classes %q of %+v", set, c.Classes, c.Settings)
@@ -48,8 +48,8 @@
 		`"limits":{"memory_mb":-1,"sockets":0}`: "",
 	} {
 		c, err := Parse([]byte(`{` + text + `,"settings":{"classes":[` + read + `]}}`))
-		if err != nil || c.Doubts != warning || c.MemoryMB < 0 || c.Sockets < 0 || len(c.Known.Entries) > 0 {
-			t.Errorf("%s: %q, %v, %+v", text, c.Doubts, err, c)
+		if err != nil || c.Warnings != warning || c.MemoryMB < 0 || c.Sockets < 0 || len(c.Known.Entries) > 0 {
+			t.Errorf("%s: %q, %v, %+v", text, c.Warnings, err, c)
 		}
 	}
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		assumed := strings.Join(got.Assumed, "\n")
+		assumed := strings.Join(got.Assumptions, "\n")
 		if got.Settings.RouterCount != c.size || !strings.Contains(assumed, c.assumption) || (c.assumption == "") != (assumed == "") ||
 			strings.Contains(assumed, "\n") {
 			t.Errorf("%s: one of %d routers, assumed %q", name, got.Settings.RouterCount, assumed)
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -116,12 +116,12 @@
 		classes + `,"kinds":["c"],"familyInfo":{"originKind":4}`:                        "the origin's kind 4 is out of range for 1 kinds",
 	} {
 		c, err := Parse([]byte(`{"listen":"a:2","discovery":"d:1","settings":{` + set + `}}`))
-		if err != nil || c.Contradicts != warning {
-			t.Errorf("%s: reported %q, %v", set, c.Contradicts, err)
+		if err != nil || c.Contradictions != warning {
+			t.Errorf("%s: reported %q, %v", set, c.Contradictions, err)
 		}
 	}
 	c, err := Parse([]byte(`{"settings":{` + classes + `,"rules":{"coldFrom":2},"balancers":1,"selfIndex":1}}`))
-	if err != nil || !strings.Contains(c.Contradicts, "; ") || strings.Contains(c.Contradicts, "\n") {
-		t.Errorf("two contradictions: %q, %v", c.Contradicts, err)
+	if err != nil || !strings.Contains(c.Contradictions, "; ") || strings.Contains(c.Contradictions, "\n") {
+		t.Errorf("two contradictions: %q, %v", c.Contradictions, err)
 	}
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -35,7 +35,7 @@
 
 // Listener receives server lists. *relay.Relay implements it.
 type Listener interface {
-	Told(kind hoptiller.ListKind, servers []relay.Server)
+	UpdateServers(kind hoptiller.ListKind, servers []relay.Server)
 	Knows(id uint32) bool
 }
 
@@ -200,9 +200,9 @@
 // List implements relay.Directory: it fetches the full list.
 func (c *Client) List() { c.enqueue(command{list: true}) }
 
-// Move makes src the source of all later calls. Updates from the present watch still count until the new source has
+// SetSource makes src the source of all later calls. Updates from the present watch still count until the new source has
 // sent its first update.
-func (c *Client) Move(src Source) { c.enqueue(command{watch: true, src: src}) }
+func (c *Client) SetSource(src Source) { c.enqueue(command{watch: true, src: src}) }
 
 // enqueue queues a command for Run. It never blocks.
 func (c *Client) enqueue(cmd command) {
@@ -322,7 +322,7 @@
 	if w.src == c.src {
 		c.version = u.Version
 	}
-	c.listener.Told(kind, c.names.Servers(u.Entries))
+	c.listener.UpdateServers(kind, c.names.Servers(u.Entries))
 	c.names.forgetUnknown(c.listener.Knows)
 	return nil
 }
@@ -342,5 +342,5 @@
 			return
 		}
 	}
-	c.listener.Told(hoptiller.ListFailed, nil)
+	c.listener.UpdateServers(hoptiller.ListFailed, nil)
 }
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -14,8 +14,8 @@
 
 // Registry is a client of the platform's discovery service. It implements Source.
 type Registry struct {
-	Addr  string
-	Times Timeouts
+	Addr     string
+	Timeouts Timeouts
 }
 
 // Timeouts bounds the durations of calls to a discovery service. The router must know a change within 6 s after the
@@ -28,12 +28,12 @@
 	Silence time.Duration // between two messages or empty lines; the service sends one every 2 s
 }
 
-// PlatformTimes holds the limits for the platform's service, which itself gives up a call after 3 s.
-var PlatformTimes = Timeouts{Connect: 1200 * time.Millisecond, Head: 3200 * time.Millisecond, First: 4200 * time.Millisecond,
+// PlatformTimeouts holds the limits for the platform's service, which itself gives up a call after 3 s.
+var PlatformTimeouts = Timeouts{Connect: 1200 * time.Millisecond, Head: 3200 * time.Millisecond, First: 4200 * time.Millisecond,
 	Silence: 3 * time.Second}
 
-// Longest returns the longest time until the failure of a call or watch is detected.
-func (t Timeouts) Longest() time.Duration { return max(t.Head, t.First, t.Silence) }
+// FailureDetectionTime returns the longest time until the failure of a call or watch is detected.
+func (t Timeouts) FailureDetectionTime() time.Duration { return max(t.Head, t.First, t.Silence) }
 
 // maxMessage is the maximum length of a message, in bytes. A server takes about 130 bytes of a list, or twice that if
 // the list is indented, so more than 10,000 servers fit.
@@ -70,14 +70,14 @@
 // lines.
 func (r *Registry) get(ctx context.Context, path string, onMessage func([]byte) error) error {
 	started := time.Now()
-	dialer := net.Dialer{Timeout: r.Times.Connect}
+	dialer := net.Dialer{Timeout: r.Timeouts.Connect}
 	conn, err := dialer.DialContext(ctx, "tcp", r.Addr)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	conn.SetDeadline(started.Add(r.Times.Head))
+	conn.SetDeadline(started.Add(r.Timeouts.Head))
 	if _, err := conn.Write(http1.AppendRequest(nil, "GET", path, r.Addr, -1)); err != nil {
 		return err
 	}
@@ -105,9 +105,9 @@
 		received = append(received[:0], received[consumed:]...)
 		switch {
 		case parser.completed > completed:
-			conn.SetReadDeadline(time.Now().Add(r.Times.Silence))
+			conn.SetReadDeadline(time.Now().Add(r.Timeouts.Silence))
 		case parser.headParsed && parser.completed == 0:
-			conn.SetReadDeadline(started.Add(r.Times.First))
+			conn.SetReadDeadline(started.Add(r.Timeouts.First))
 		}
 	}
 }
--- a/internal/discovery/watch_order_test.go
+++ b/internal/discovery/watch_order_test.go
@@ -46,7 +46,7 @@
 // recordingListener is a Listener that records each call as text.
 type recordingListener chan string
 
-func (h recordingListener) Told(kind hoptiller.ListKind, servers []relay.Server) {
+func (h recordingListener) UpdateServers(kind hoptiller.ListKind, servers []relay.Server) {
 	text := fmt.Sprint(kind)
 	for _, s := range servers {
 		text += fmt.Sprintf(" %s:%d", s.Name, s.Phase)
@@ -116,7 +116,7 @@
 	old := testprog.Await(t, a.watches, "watch of the old service")
 	c.List()
 	list := testprog.Await(t, a.lists, "call to the old service")
-	c.Move(b)
+	c.SetSource(b)
 	moved := testprog.Await(t, b.watches, "watch of the new service")
 	if err := old.onUpdate(update(8, false, "leaving")); err != nil {
 		t.Errorf("the old service before the new one has spoken: %v", err)
@@ -144,7 +144,7 @@
 	for range 100 {
 		c.Watch(true)
 	}
-	c.Move(b)
+	c.SetSource(b)
 	for range 100 {
 		testprog.Await(t, a.watches, "watch")
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -46,7 +46,7 @@
 			t.Parallel()
 			l, lastSent := testprog.Listen(t), make(chan time.Time, 1)
 			testprog.Accept(l, func(conn net.Conn) { lastSent <- sendRepeatedly(conn, c.line, c.times, limits.Silence) })
-			registry, ended := &Registry{Addr: l.Addr().String(), Times: limits}, make(chan error, 1)
+			registry, ended := &Registry{Addr: l.Addr().String(), Timeouts: limits}, make(chan error, 1)
 			go func() { ended <- registry.Watch(t.Context(), 1, func(Update) error { return nil }) }()
 			err := testprog.Await(t, ended, "end of the watch")
 			at := time.Now()
@@ -69,7 +69,7 @@
 	c, a, b, updates := startClient(t)
 	c.Watch(true)
 	old := testprog.Await(t, a.watches, "watch of the old service")
-	c.Move(b)
+	c.SetSource(b)
 	refused := testprog.Await(t, b.watches, "watch of the new service")
 	drain := func(version int64) {
 		t.Helper()
--- a/internal/fleet/drains/drains.go
+++ b/internal/fleet/drains/drains.go
@@ -19,8 +19,8 @@
 
 // Listener receives server lists.
 type Listener interface {
-	// Told handles a full list of servers, or the changed entries of one.
-	Told(kind hoptiller.ListKind, servers []relay.Server)
+	// UpdateServers handles a full list of servers, or the changed entries of one.
+	UpdateServers(kind hoptiller.ListKind, servers []relay.Server)
 	// Knows reports whether the server with this ID is known.
 	Knows(id uint32) bool
 }
@@ -72,8 +72,8 @@
 // Knows implements Listener.
 func (c *Filter) Knows(id uint32) bool { return c.next.Knows(id) }
 
-// Told implements Listener.
-func (c *Filter) Told(kind hoptiller.ListKind, servers []relay.Server) {
+// UpdateServers implements Listener.
+func (c *Filter) UpdateServers(kind hoptiller.ListKind, servers []relay.Server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if kind == hoptiller.ListFull || kind == hoptiller.ListCached {
@@ -93,7 +93,7 @@
 			changed[i] = state.apply(s)
 		}
 	}
-	c.next.Told(kind, changed)
+	c.next.UpdateServers(kind, changed)
 }
 
 // apply returns the entry of a slot cache as the decision module is to see it.
@@ -146,7 +146,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		c.next.Told(hoptiller.ListDelta, changed)
+		c.next.UpdateServers(hoptiller.ListDelta, changed)
 	}
 }
 
--- a/internal/fleet/drains/drains_test.go
+++ b/internal/fleet/drains/drains_test.go
@@ -15,7 +15,7 @@
 
 func (r *recorder) Knows(uint32) bool { return true }
 
-func (r *recorder) Told(kind hoptiller.ListKind, servers []relay.Server) {
+func (r *recorder) UpdateServers(kind hoptiller.ListKind, servers []relay.Server) {
 	for _, s := range servers {
 		r.lines = append(r.lines, fmt.Sprintf("%d: %d phase %d weight %.3g", kind, s.ID, s.Phase, s.Weight))
 	}
@@ -37,7 +37,7 @@
 func TestImmediateDrain(t *testing.T) {
 	r := &recorder{}
 	c := New(r)
-	c.Told(hoptiller.ListFull, []relay.Server{entry(1, hoptiller.Ready, 2), entry(2, hoptiller.Ready, 0),
+	c.UpdateServers(hoptiller.ListFull, []relay.Server{entry(1, hoptiller.Ready, 2), entry(2, hoptiller.Ready, 0),
 		entry(9, hoptiller.Ready, 0)})
 	r.flush()
 	drains := map[uint32]Drain{1: {}, 7: {}}
@@ -48,12 +48,12 @@
 	if c.SetDrains(time.Second, drains); r.flush() != "" || !c.IsDrained(1) || c.IsDrained(2) {
 		t.Error("a second update for the same drain, or the drain is not complete")
 	}
-	c.Told(hoptiller.ListFull, []relay.Server{entry(1, hoptiller.Ready, 3), entry(2, hoptiller.Ready, 0),
+	c.UpdateServers(hoptiller.ListFull, []relay.Server{entry(1, hoptiller.Ready, 3), entry(2, hoptiller.Ready, 0),
 		entry(7, hoptiller.Ready, 1)})
 	if got := r.flush(); got != "1: 1 phase 1 weight 3; 1: 2 phase 2 weight 0; 1: 7 phase 1 weight 1" {
 		t.Errorf("after a new list: %s", got)
 	}
-	c.Told(hoptiller.ListDelta, []relay.Server{entry(7, hoptiller.Draining, 1)})
+	c.UpdateServers(hoptiller.ListDelta, []relay.Server{entry(7, hoptiller.Draining, 1)})
 	r.flush()
 	c.SetDrains(2*time.Second, nil)
 	if got := r.flush(); got != "0: 1 phase 2 weight 3; 0: 7 phase 1 weight 1" {
@@ -75,7 +75,7 @@
 func TestGradualDrain(t *testing.T) {
 	r := &recorder{}
 	c := New(r)
-	c.Told(hoptiller.ListFull, []relay.Server{entry(1, hoptiller.Ready, 2), entry(2, hoptiller.Ready, 0)})
+	c.UpdateServers(hoptiller.ListFull, []relay.Server{entry(1, hoptiller.Ready, 2), entry(2, hoptiller.Ready, 0)})
 	r.flush()
 	drains := map[uint32]Drain{2: {Duration: 16 * time.Second}}
 	for _, step := range []struct {
--- a/internal/fleet/peers/drains_test.go
+++ b/internal/fleet/peers/drains_test.go
@@ -16,13 +16,13 @@
 // ignoringListener is a drains.Listener that ignores the lists of servers.
 type ignoringListener struct{}
 
-func (ignoringListener) Told(hoptiller.ListKind, []relay.Server) {}
-func (ignoringListener) Knows(uint32) bool                       { return true }
+func (ignoringListener) UpdateServers(hoptiller.ListKind, []relay.Server) {}
+func (ignoringListener) Knows(uint32) bool                                { return true }
 
 // newOnlyVoter returns router 0 of two, which is the only voter. It has been running for an hour and has no socket.
 func newOnlyVoter(t *testing.T) *Peers {
 	caches := drains.New(ignoringListener{})
-	caches.Told(hoptiller.ListFull, []relay.Server{{Server: hoptiller.Server{ID: 0x10, Phase: hoptiller.Ready}, Name: "s-00000010"}})
+	caches.UpdateServers(hoptiller.ListFull, []relay.Server{{Server: hoptiller.Server{ID: 0x10, Phase: hoptiller.Ready}, Name: "s-00000010"}})
 	random := uint64(0)
 	p, err := New(Settings{Listen: "127.0.0.1:1", Addrs: []string{"127.0.0.1:1", "127.0.0.1:2"},
 		Phase: func() view.Phase { return view.Serving }, Details: func() view.Details { return view.Details{} },
@@ -117,7 +117,7 @@
 	if err := p.DrainCache("s-00000010", time.Hour, 0); !errors.As(err, &taken) {
 		t.Errorf("drained twice: %v", err)
 	}
-	p.settings.Drains.Told(hoptiller.ListFull, nil) // the slot cache has left the list, and can be activated all the same
+	p.settings.Drains.UpdateServers(hoptiller.ListFull, nil) // the slot cache has left the list, and can be activated all the same
 	if err := p.ActivateCache("s-00000010"); err != nil {
 		t.Error(err)
 	}
--- a/internal/fleet/peers/many_test.go
+++ b/internal/fleet/peers/many_test.go
@@ -144,7 +144,7 @@
 	for i := range uint32(caches) {
 		list = append(list, relay.Server{Server: hoptiller.Server{ID: i + 1, Phase: hoptiller.Ready}, Name: fmt.Sprintf("s-%08x", i+1)})
 	}
-	p.settings.Drains.Told(hoptiller.ListFull, list)
+	p.settings.Drains.UpdateServers(hoptiller.ListFull, list)
 	for i := range list {
 		if err := p.DrainCache(list[i].Name, time.Hour, 0); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/rollout/driver.go
+++ b/internal/fleet/rollout/driver.go
@@ -56,8 +56,8 @@
 func New(p *plan.Release, out io.Writer) *Driver {
 	host, _ := os.Hostname()
 	host = host[:min(len(host), 16)]
-	return &Driver{plan: p, fleet: newFleet(p), out: out, folder: p.State, driverID: fmt.Sprintf("%s:%d", host, os.Getpid()),
-		startTime: time.Now(), commandResults: make(chan commandResult, len(p.Routers)),
+	return &Driver{plan: p, fleet: newFleet(p), out: out, folder: p.StateDir, driverID: fmt.Sprintf("%s:%d", host, os.Getpid()),
+		startTime: time.Now(), commandResults: make(chan commandResult, len(p.RouterAddrs)),
 		pendingReplacements: map[int]release.Action{}, pendingActivations: map[int]bool{}}
 }
 
@@ -71,9 +71,9 @@
 
 // params returns the release parameters of a plan.
 func params(p *plan.Release) release.Params {
-	return release.Params{TargetRevision: p.Program + p.Settings, CanarySize: p.Canary, SecondWaveSize: p.First,
-		GrowthFactor: float64(p.Grow), MaxWaveSize: p.Most, SoakDuration: p.Soak, ReplaceTimeout: p.Settle, PermitTimeout: p.Permit,
-		Comparison: release.Comparison{MinRequests: p.Requests, FalseHaltProbability: p.Error, Margin: p.Margin}}
+	return release.Params{TargetRevision: p.ProgramDigest + p.SettingsDigest, CanarySize: p.CanarySize, SecondWaveSize: p.SecondWaveSize,
+		GrowthFactor: float64(p.GrowthFactor), MaxWaveSize: p.MaxWaveSize, SoakDuration: p.SoakDuration, ReplaceTimeout: p.ReplaceTimeout, PermitTimeout: p.PermitTimeout,
+		Comparison: release.Comparison{MinRequests: p.MinRequests, FalseHaltProbability: p.FalseHaltProbability, Margin: p.Margin}}
 }
 
 // Drive carries out the release until it has ended or halted, or ctx is cancelled.
@@ -373,11 +373,11 @@
 // replace starts a router's command, or puts it off while the previous one runs. A command that cannot be started counts as
 // failed.
 func (d *Driver) replace(router int, action release.Action) error {
-	words := d.plan.Replace
+	words := d.plan.ReplaceCommand
 	if action.Record.Rollback {
-		words = d.plan.Back
+		words = d.plan.RollbackCommand
 	}
-	words = plan.Command(words, router, d.plan.Routers[router])
+	words = plan.ExpandCommand(words, router, d.plan.RouterAddrs[router])
 	switch err := d.startCommand(router, words); {
 	case errors.Is(err, errStillRunning):
 		d.pendingReplacements[router] = action
--- a/internal/fleet/rollout/driver_test.go
+++ b/internal/fleet/rollout/driver_test.go
@@ -82,7 +82,7 @@
 
 // testDriver returns a driver of two routers that do not answer.
 func testDriver(t *testing.T) *Driver {
-	return New(&plan.Release{Name: "x", State: t.TempDir(), Routers: map[int]string{0: "127.0.0.1:1", 1: "127.0.0.1:2"}}, io.Discard)
+	return New(&plan.Release{Name: "x", StateDir: t.TempDir(), RouterAddrs: map[int]string{0: "127.0.0.1:1", 1: "127.0.0.1:2"}}, io.Discard)
 }
 
 // TestCommand checks that this driver and the next one see that a command has begun, and whether it still runs. The command is a
@@ -168,14 +168,14 @@
 	}{"the second knows": {[]int{404, 200, 404}, 2, true}, "nobody knows": {[]int{404, 404, 404}, 3, true},
 		"refused": {[]int{404, 400, 404}, 2, false}} {
 		calls := 0
-		p := &plan.Release{Name: "x", Routers: map[int]string{}}
+		p := &plan.Release{Name: "x", RouterAddrs: map[int]string{}}
 		for i, status := range c.statuses {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls++
 				w.WriteHeader(status)
 			}))
 			defer s.Close()
-			p.Routers[i] = strings.TrimPrefix(s.URL, "http://")
+			p.RouterAddrs[i] = strings.TrimPrefix(s.URL, "http://")
 		}
 		if err := EndRelease(t.Context(), p); (err == nil) != c.ok || calls != c.calls {
 			t.Errorf("%s: error %v after %d calls", name, err, calls)
@@ -186,9 +186,9 @@
 // TestManyCommandsFail checks that the driver reports every command that cannot be started, and that none of them blocks it.
 func TestManyCommandsFail(t *testing.T) {
 	const routers = 1024
-	p := &plan.Release{Name: "x", State: filepath.Join(t.TempDir(), "none"), Replace: []string{"true"}, Routers: map[int]string{}}
+	p := &plan.Release{Name: "x", StateDir: filepath.Join(t.TempDir(), "none"), ReplaceCommand: []string{"true"}, RouterAddrs: map[int]string{}}
 	for n := range routers {
-		p.Routers[n] = "127.0.0.1:1"
+		p.RouterAddrs[n] = "127.0.0.1:1"
 	}
 	d := New(p, io.Discard)
 	done := make(chan error, 1)
@@ -220,7 +220,7 @@
 	s := httptest.NewServer(http.HandlerFunc(
 		func(w http.ResponseWriter, r *http.Request) { json.NewEncoder(w).Encode(fleetLeases) }))
 	defer s.Close()
-	d := New(&plan.Release{Name: "x", Routers: map[int]string{0: strings.TrimPrefix(s.URL, "http://")}}, io.Discard)
+	d := New(&plan.Release{Name: "x", RouterAddrs: map[int]string{0: strings.TrimPrefix(s.URL, "http://")}}, io.Discard)
 	if leaseHeld, holder, _ := d.holdLease(t.Context(), "begins"); !leaseHeld {
 		t.Errorf("the lease is not held: %.80s", holder)
 	}
@@ -238,7 +238,7 @@
 		r.Members[3].State = "dead"
 		return r
 	}
-	f := newFleet(&plan.Release{Settings: "aa", Routers: map[int]string{0: "a", 1: "b", 2: "c", 3: "d"}})
+	f := newFleet(&plan.Release{SettingsDigest: "aa", RouterAddrs: map[int]string{0: "a", 1: "b", 2: "c", 3: "d"}})
 	fleetState := f.state(map[int]answer{0: {view: newReport(0, "starting", "1")}, 1: {view: newReport(1, "starting", "1")},
 		2: {view: newReport(2, "serving", "2")}, 3: {err: "no answer"}})
 	if !fleetState.Routers[0].Serving || fleetState.Routers[2].Serving || fleetState.Routers[2].Incarnation != "2" ||
--- a/internal/fleet/rollout/fleet.go
+++ b/internal/fleet/rollout/fleet.go
@@ -42,7 +42,7 @@
 
 // newFleet returns a fleet whose calls each use a new connection.
 func newFleet(p *plan.Release) *fleet {
-	return &fleet{plan: p, numbers: slices.Sorted(maps.Keys(p.Routers)),
+	return &fleet{plan: p, numbers: slices.Sorted(maps.Keys(p.RouterAddrs)),
 		client: http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
@@ -62,9 +62,9 @@
 	for _, n := range f.numbers {
 		g.Go(func() error {
 			a := answer{}
-			reply := peers.FetchReport(ctx, f.plan.Routers[n])
+			reply := peers.FetchReport(ctx, f.plan.RouterAddrs[n])
 			if a.view, a.err = reply.Report, reply.Err; a.view != nil {
-				a.metrics, _ = f.metrics(ctx, f.plan.Routers[n])
+				a.metrics, _ = f.metrics(ctx, f.plan.RouterAddrs[n])
 			}
 			if a.view != nil && a.view.Self != n {
 				a = answer{err: fmt.Sprintf("router %d answers at its address", a.view.Self)}
@@ -97,7 +97,7 @@
 
 // post makes a call to the operators' interface of a router, and returns the HTTP status and the body.
 func (f *fleet) post(ctx context.Context, router int, path string, query url.Values) (status int, text string, err error) {
-	target := "http://" + f.plan.Routers[router] + path
+	target := "http://" + f.plan.RouterAddrs[router] + path
 	if len(query) > 0 {
 		target += "?" + query.Encode()
 	}
@@ -117,14 +117,14 @@
 // revision returns the property of a router that the release changes: the version of its program, or the checksum of its
 // settings.
 func (f *fleet) revision(member *peers.Member) string {
-	if f.plan.Program != "" {
+	if f.plan.ProgramDigest != "" {
 		return member.VersionHash
 	}
 	return member.SettingsHash
 }
 
 // targetRevision returns the revision of a changed router. The plan states either a program or settings.
-func (f *fleet) targetRevision() string { return f.plan.Program + f.plan.Settings }
+func (f *fleet) targetRevision() string { return f.plan.ProgramDigest + f.plan.SettingsDigest }
 
 // state combines the answers of the routers into the state of the fleet. A router serves if it reports so and most of the others
 // that answered report the same of it. The state of a router that does not answer is what most others report.
@@ -225,7 +225,7 @@
 	candidates := append([]int{d.leaseRouter}, d.fleet.numbers...)
 	for i := 0; i < len(candidates) && len(tried) < maxLeaseCalls; i++ {
 		router := candidates[i]
-		if tried[router] || d.plan.Routers[router] == "" {
+		if tried[router] || d.plan.RouterAddrs[router] == "" {
 			continue
 		}
 		tried[router] = true
--- a/internal/fleet/rollout/plan.go
+++ b/internal/fleet/rollout/plan.go
@@ -15,9 +15,9 @@
 // does not fit the fleet.
 func CheckPlan(ctx context.Context, p *plan.Release) (waves [][]int, report *plan.Report) {
 	f, report := newFleet(p), &plan.Report{}
-	for name, words := range map[string][]string{"replace": p.Replace, "back": p.Back} {
+	for name, words := range map[string][]string{"replace": p.ReplaceCommand, "back": p.RollbackCommand} {
 		if err := CheckCommand(words); err != nil {
-			p.Find(report, name, 0, "command", err.Error())
+			p.AddFinding(report, name, 0, "command", err.Error())
 		}
 	}
 	answers := f.queryAll(ctx)
@@ -26,30 +26,30 @@
 	for _, n := range f.numbers {
 		switch a := answers[n]; {
 		case a.view == nil:
-			p.Find(report, "", n, "router", fmt.Sprintf("cannot query router %d: %s", n, a.err))
+			p.AddFinding(report, "", n, "router", fmt.Sprintf("cannot query router %d: %s", n, a.err))
 		case a.view.Permit != nil:
 			maxOut = a.view.Permit.MaxOutOfService
 			fleetSize = max(fleetSize, len(a.view.Members))
 		default:
-			p.Find(report, "", n, "router", fmt.Sprintf("router %d does not use permits to go out of service", n))
+			p.AddFinding(report, "", n, "router", fmt.Sprintf("router %d does not use permits to go out of service", n))
 		}
 	}
 	if fleetSize > len(f.numbers) {
-		p.Find(report, "release", 0, "routers", fmt.Sprintf("the fleet has %d routers, and %d are named", fleetSize, len(f.numbers)))
+		p.AddFinding(report, "release", 0, "routers", fmt.Sprintf("the fleet has %d routers, and %d are named", fleetSize, len(f.numbers)))
 	}
 	if maxOut > 0 {
-		for name, size := range map[string]int{"canary": p.Canary, "wave": p.First} {
+		for name, size := range map[string]int{"canary": p.CanarySize, "wave": p.SecondWaveSize} {
 			if size > len(f.numbers) {
-				p.Find(report, name, 0, "bounds", fmt.Sprintf("%d routers are more than the fleet has", size))
+				p.AddFinding(report, name, 0, "bounds", fmt.Sprintf("%d routers are more than the fleet has", size))
 			}
 		}
-		if p.Canary > maxOut {
-			p.Find(report, "canary", 0, "bounds",
-				fmt.Sprintf("the first wave has %d routers, but the fleet lets only %d be out of service", p.Canary, maxOut))
+		if p.CanarySize > maxOut {
+			p.AddFinding(report, "canary", 0, "bounds",
+				fmt.Sprintf("the first wave has %d routers, but the fleet lets only %d be out of service", p.CanarySize, maxOut))
 		}
 	}
 	if !fleetState.ViewsAgree {
-		p.Find(report, "release", 0, "views", "the routers' views of the fleet disagree")
+		p.AddFinding(report, "release", 0, "views", "the routers' views of the fleet disagree")
 	}
 	order, params := f.order(answers), params(p)
 	for run := release.New(0, params, order, nil); ; {
@@ -69,9 +69,9 @@
 
 // WriteStatus writes the state of a release, first by this machine's journal and then as the routers report it.
 func WriteStatus(ctx context.Context, w io.Writer, p *plan.Release) error {
-	records, err := ReadRecords(p.State)
+	records, err := ReadRecords(p.StateDir)
 	if err != nil {
-		return fmt.Errorf("%s: %w", filepath.Join(p.State, "journal"), err)
+		return fmt.Errorf("%s: %w", filepath.Join(p.StateDir, "journal"), err)
 	}
 	f := newFleet(p)
 	answers := f.queryAll(ctx)
--- a/internal/lab/drill/check.go
+++ b/internal/lab/drill/check.go
@@ -223,7 +223,7 @@
 // before the first step or fault don't count.
 func checkEachReported(f *File, c Claim, source string, events []Event) (bool, string) {
 	pattern := regexp.MustCompile(c.Pattern)
-	from, to := f.firstFaultStart().Seconds(), (f.lastFaultEnd() + c.Within.D()).Seconds()
+	from, to := f.firstFaultStart().Seconds(), (f.lastFaultEnd() + c.Within.Std()).Seconds()
 	last := 0.0
 	for i := range f.Day.Routers {
 		if !c.appliesTo(i+1) || len(c.Routers) == 0 && !f.expectedAlive(i) {
@@ -244,7 +244,7 @@
 // became ready, so the check uses the earliest time that fits the observation. It ignores events after the end of the day,
 // when the drill itself ends the processes.
 func checkReady(f *File, c Claim, events []Event) (bool, string) {
-	to, last := (f.lastFaultEnd() + c.Within.D()).Seconds(), 0.0
+	to, last := (f.lastFaultEnd() + c.Within.Std()).Seconds(), 0.0
 	for i := range f.Day.Routers {
 		if !c.appliesTo(i + 1) {
 			continue
@@ -277,7 +277,7 @@
 		states = append(states, "unknown")
 	}
 	want := strings.Join(states, " ")
-	to, last := (f.lastFaultEnd() + c.Within.D()).Seconds(), 0.0
+	to, last := (f.lastFaultEnd() + c.Within.Std()).Seconds(), 0.0
 	commonSum := ""
 	for i := range f.Day.Routers {
 		if !c.appliesTo(i+1) || !f.expectedAlive(i) {
@@ -355,7 +355,7 @@
 
 // checkReleaseOutput checks that a process that drives the release has written a matching line within the time limit.
 func checkReleaseOutput(f *File, c Claim, events []Event) (bool, string) {
-	pattern, to := regexp.MustCompile(c.Pattern), (f.lastFaultEnd() + c.Within.D()).Seconds()
+	pattern, to := regexp.MustCompile(c.Pattern), (f.lastFaultEnd() + c.Within.Std()).Seconds()
 	last := ""
 	for _, e := range events {
 		if e.From != "release" {
--- a/internal/lab/drill/file.go
+++ b/internal/lab/drill/file.go
@@ -203,8 +203,8 @@
 	switch {
 	case !containsKind(stepKinds, s.Kind):
 		return "kind", fmt.Sprintf("kind is %q: must be one of %s", s.Kind, kindNames(stepKinds))
-	case s.At.D()+s.Duration.D() > day.Length.D():
-		return "at", fmt.Sprintf("it ends %v after the warm-up, but the day ends after %v", s.At.D()+s.Duration.D(), day.Length.D())
+	case s.At.Std()+s.Duration.Std() > day.Length.Std():
+		return "at", fmt.Sprintf("it ends %v after the warm-up, but the day ends after %v", s.At.Std()+s.Duration.Std(), day.Length.Std())
 	case !datagrams && (len(s.Receivers) > 0 || s.BothDirections || s.Loss+s.Duplicate+s.Corrupt+s.Reorder > 0 ||
 		s.Jitter > 0 || s.Blocked):
 		return "kind", "to, both, drop, double, spoil, late, jitter and cut are for datagrams only"
@@ -280,10 +280,10 @@
 // lastFaultEnd returns when the last step or fault ends, counted from the end of the warm-up.
 func (f *File) lastFaultEnd() (at time.Duration) {
 	for _, s := range f.Steps {
-		at = max(at, s.At.D()+s.Duration.D())
+		at = max(at, s.At.Std()+s.Duration.Std())
 	}
 	for _, x := range f.Day.Faults {
-		at = max(at, x.At.D()+x.For.D())
+		at = max(at, x.At.Std()+x.For.Std())
 	}
 	return at
 }
@@ -320,12 +320,12 @@
 
 // firstFaultStart returns when the first step or fault begins, counted from the end of the warm-up.
 func (f *File) firstFaultStart() time.Duration {
-	at := f.Day.Length.D()
+	at := f.Day.Length.Std()
 	for _, s := range f.Steps {
-		at = min(at, s.At.D())
+		at = min(at, s.At.Std())
 	}
 	for _, x := range f.Day.Faults {
-		at = min(at, x.At.D())
+		at = min(at, x.At.Std())
 	}
 	return at
 }
--- a/internal/lab/drill/play.go
+++ b/internal/lab/drill/play.go
@@ -129,9 +129,9 @@
 	}
 	for i := range f.Steps {
 		s := &f.Steps[i]
-		o.Steps = append(o.Steps, standin.Step{At: day.Warm.D() + s.At.D(), Do: func() { p.beginStep(i, s) }})
+		o.Steps = append(o.Steps, standin.Step{At: day.Warm.Std() + s.At.Std(), Do: func() { p.beginStep(i, s) }})
 		if s.Duration > 0 {
-			o.Steps = append(o.Steps, standin.Step{At: day.Warm.D() + s.At.D() + s.Duration.D(), Do: func() { p.endStep(i, s) }})
+			o.Steps = append(o.Steps, standin.Step{At: day.Warm.Std() + s.At.Std() + s.Duration.Std(), Do: func() { p.endStep(i, s) }})
 		}
 	}
 	var polls sync.WaitGroup
@@ -140,7 +140,7 @@
 		p.mu.Lock()
 		p.control = c
 		p.mu.Unlock()
-		p.timeline.setWarmUpEnd(at.Add(day.Warm.D()))
+		p.timeline.setWarmUpEnd(at.Add(day.Warm.Std()))
 		if opt.onBegin != nil {
 			opt.onBegin()
 		}
@@ -159,7 +159,7 @@
 		return nil, err
 	}
 	for _, v := range slices.Concat(result.Violations, result.Courses) {
-		p.timeline.add(p.timeline.warmUpEnd.Add(v.At-day.Warm.D()), 50*time.Millisecond, "rules", v.Router, v.String())
+		p.timeline.add(p.timeline.warmUpEnd.Add(v.At-day.Warm.Std()), 50*time.Millisecond, "rules", v.Router, v.String())
 	}
 	r := &Report{Events: p.timeline.Events(), Lag: lag, Result: result}
 	r.Verdicts = checkClaims(f, r.Events, result)
@@ -322,7 +322,7 @@
 			var d faultproxy.DatagramFaults
 			if on {
 				d = faultproxy.DatagramFaults{Loss: s.Loss, Duplicate: s.Duplicate, Corrupt: s.Corrupt, Reorder: s.Reorder,
-					Delay: s.Delay.D(), Jitter: s.Jitter.D(), Blocked: s.Blocked}
+					Delay: s.Delay.Std(), Jitter: s.Jitter.Std(), Blocked: s.Blocked}
 			}
 			if p.mesh.SetFaults(i, j, d); s.BothDirections {
 				p.mesh.SetFaults(j, i, d)
@@ -331,7 +331,7 @@
 	default:
 		var x faultproxy.StreamFaults
 		if on {
-			x = faultproxy.StreamFaults{Stall: s.Stall, Reset: s.Reset, ResetAfter: s.ResetAfter, Delay: s.Delay.D(),
+			x = faultproxy.StreamFaults{Stall: s.Stall, Reset: s.Reset, ResetAfter: s.ResetAfter, Delay: s.Delay.Std(),
 				BytesPerSecond: s.BytesPerSecond}
 		}
 		p.mu.Lock()
--- a/internal/lab/drill/process.go
+++ b/internal/lab/drill/process.go
@@ -20,7 +20,7 @@
 func (f *File) killDelay() time.Duration {
 	var longest time.Duration
 	for _, c := range f.Day.Classes {
-		longest = max(longest, c.Deadline.D())
+		longest = max(longest, c.Deadline.Std())
 	}
 	return min(longest, maxKillDeadline) + killMargin
 }
@@ -50,7 +50,7 @@
 // pauseRepeatedly pauses a process again and again while the step lasts, at random times that derive from the day's seed.
 func (p *player) pauseRepeatedly(router int, s *Step, control standin.Control) {
 	r := rand.New(rand.NewPCG(p.drill.Day.Seed, uint64(router)))
-	end := time.Now().Add(s.Duration.D())
+	end := time.Now().Add(s.Duration.Std())
 	var next func()
 	next = func() {
 		if time.Now().After(end) {
--- a/internal/lab/drill/release.go
+++ b/internal/lab/drill/release.go
@@ -89,7 +89,7 @@
 	}
 	for name, d := range map[string]unit.Duration{"soak": r.SoakDuration, "settle": r.ReplaceTimeout, "permit": r.PermitTimeout} {
 		if d > 0 {
-			fmt.Fprintf(&b, "\t%s %dms\n", name, d.D().Milliseconds())
+			fmt.Fprintf(&b, "\t%s %dms\n", name, d.Std().Milliseconds())
 		}
 	}
 	b.WriteString("}\n")
--- a/internal/lab/drill/soak.go
+++ b/internal/lab/drill/soak.go
@@ -124,8 +124,8 @@
 func withoutOverlaps(steps []Step) (kept []Step) {
 	for _, s := range steps {
 		overlaps := stopsProcess(s) && slices.ContainsFunc(kept, func(o Step) bool {
-			return stopsProcess(o) && slices.Equal(o.Routers, s.Routers) && s.At.D() < o.At.D()+o.Duration.D()+time.Second &&
-				o.At.D() < s.At.D()+s.Duration.D()+time.Second
+			return stopsProcess(o) && slices.Equal(o.Routers, s.Routers) && s.At.Std() < o.At.Std()+o.Duration.Std()+time.Second &&
+				o.At.Std() < s.At.Std()+s.Duration.Std()+time.Second
 		})
 		if !overlaps {
 			kept = append(kept, s)
--- a/internal/lab/drill/soak_test.go
+++ b/internal/lab/drill/soak_test.go
@@ -23,8 +23,8 @@
 		}
 		for i, s := range f.Steps {
 			for _, o := range f.Steps[:i] {
-				if stopsProcess(s) && stopsProcess(o) && s.Routers[0] == o.Routers[0] && s.At.D() < o.At.D()+o.Duration.D() &&
-					o.At.D() < s.At.D()+s.Duration.D() {
+				if stopsProcess(s) && stopsProcess(o) && s.Routers[0] == o.Routers[0] && s.At.Std() < o.At.Std()+o.Duration.Std() &&
+					o.At.Std() < s.At.Std()+s.Duration.Std() {
 					t.Errorf("seed %d: router %d is stopped at %v and at %v", seed, s.Routers[0], o.At, s.At)
 				}
 			}
--- a/internal/lab/model/cache.go
+++ b/internal/lab/model/cache.go
@@ -50,7 +50,7 @@
 // Warmth returns the share of its full capacity that a cache has at the given time.
 func (c *Cache) Warmth(now time.Duration) float64 {
 	age := now - c.Started
-	if !c.StartedInRun || age >= c.Kind.ColdFor.D() {
+	if !c.StartedInRun || age >= c.Kind.ColdFor.Std() {
 		return 1
 	}
 	return c.Kind.ColdFrom + (1-c.Kind.ColdFrom)*float64(age)/float64(c.Kind.ColdFor)
@@ -190,7 +190,7 @@
 	}
 	c.recentColdWork = append(c.recentColdWork, arrival)
 	c.recentColdSum += arrival.Work
-	for now-c.recentColdWork[0].At > rules.Fall.D() {
+	for now-c.recentColdWork[0].At > rules.Fall.Std() {
 		c.recentColdSum -= c.recentColdWork[0].Work
 		c.recentColdWork = c.recentColdWork[1:]
 	}
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -193,9 +193,9 @@
 func (c *clients) send(op *Operation, number int) {
 	class := &c.w.day.Classes[op.Class]
 	now := c.w.Now()
-	remaining := class.Deadline.D() - (now - op.CreatedAt)
+	remaining := class.Deadline.Std() - (now - op.CreatedAt)
 	t := &Try{Op: op, N: number, At: now, Router: c.pickRouter(op),
-		Remaining: min(remaining, time.Duration(op.tryShare*float64(class.Deadline.D())))}
+		Remaining: min(remaining, time.Duration(op.tryShare*float64(class.Deadline.Std())))}
 	if t.Remaining <= 0 {
 		c.finishOperation(op)
 		return
@@ -267,13 +267,13 @@
 	case "unsafe":
 		retry = retry && (answer == Refused || answer == FinalNoRouter)
 	case "keyed":
-		retry = retry && (answer == Refused || answer == FinalNoRouter || now-op.CreatedAt < class.Window.D())
+		retry = retry && (answer == Refused || answer == FinalNoRouter || now-op.CreatedAt < class.Window.Std())
 	}
-	wait := time.Duration(float64(c.w.day.Clients.Backoff.D()) * float64(int(1)<<t.N) * (0.5 + op.jitter))
+	wait := time.Duration(float64(c.w.day.Clients.Backoff.Std()) * float64(int(1)<<t.N) * (0.5 + op.jitter))
 	if answer == Refused && op.honoursRetryAfter {
-		wait = max(wait, min(retryAfter, c.w.day.Clients.MostWait.D()))
+		wait = max(wait, min(retryAfter, c.w.day.Clients.MostWait.Std()))
 	}
-	if !retry || now+wait-op.CreatedAt >= class.Deadline.D() {
+	if !retry || now+wait-op.CreatedAt >= class.Deadline.Std() {
 		c.finishOperation(op)
 		return
 	}
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -105,12 +105,12 @@
 	cost := 1 / d.settings.Capacity
 	d.busyUntil = max(d.busyUntil, now) + seconds(cost)
 	wait := d.busyUntil - now
-	delay := 2 * d.w.day.Net.Cross.D()
-	if d.down || wait > d.settings.Timeout.D() {
-		if wait > d.settings.Timeout.D() {
+	delay := 2 * d.w.day.Net.Cross.Std()
+	if d.down || wait > d.settings.Timeout.Std() {
+		if wait > d.settings.Timeout.Std() {
 			d.busyUntil -= seconds(cost)
 		}
-		d.w.After(min(wait, d.settings.Timeout.D())+delay, func() { callback(Update{Failed: true}) })
+		d.w.After(min(wait, d.settings.Timeout.Std())+delay, func() { callback(Update{Failed: true}) })
 		return
 	}
 	d.w.After(wait+delay, func() {
@@ -179,7 +179,7 @@
 		return
 	}
 	watch.pushPending = true
-	d.w.After(seconds(d.random.Float64()*d.settings.Spread.Seconds())+d.w.day.Net.Cross.D(), func() {
+	d.w.After(seconds(d.random.Float64()*d.settings.Spread.Seconds())+d.w.day.Net.Cross.Std(), func() {
 		watch.pushPending = false
 		if !watch.active || d.down || watch.version == d.version {
 			return
@@ -196,7 +196,7 @@
 	for _, watch := range d.watchers {
 		if down && watch.active {
 			watch.active = false
-			d.w.After(d.w.day.Net.Cross.D(), func() { watch.notify(Update{Failed: true}) })
+			d.w.After(d.w.day.Net.Cross.Std(), func() { watch.notify(Update{Failed: true}) })
 		}
 	}
 }
@@ -207,9 +207,9 @@
 }
 
 func (d *Discovery) noticeDelay() time.Duration {
-	return d.drawDelay([2]time.Duration{d.settings.Notice[0].D(), d.settings.Notice[1].D()})
+	return d.drawDelay([2]time.Duration{d.settings.Notice[0].Std(), d.settings.Notice[1].Std()})
 }
 
 func (d *Discovery) deathDelay() time.Duration {
-	return d.drawDelay([2]time.Duration{d.settings.Silent[0].D(), d.settings.Silent[1].D()})
+	return d.drawDelay([2]time.Duration{d.settings.Silent[0].Std(), d.settings.Silent[1].Std()})
 }
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -93,11 +93,11 @@
 }
 
 func (w *World) scheduleFault(i int, f *Fault) {
-	w.At(w.day.Warm.D()+f.At.D(), func() {
+	w.At(w.day.Warm.Std()+f.At.Std(), func() {
 		w.observer.Fault(f.Kind)
 		end := faultKinds[f.Kind].start(w, f, Stream(w.day.Seed, "fault", i))
 		if end != nil {
-			w.After(f.For.D(), func() {
+			w.After(f.For.Std(), func() {
 				w.observer.Fault(f.Kind + " ends")
 				end()
 			})
@@ -307,7 +307,7 @@
 
 func addCaches(w *World, f *Fault, r *rand.Rand) func() {
 	for i := range max(1, f.Count) {
-		w.After(time.Duration(i)*f.Gap.D(), func() { w.addCache(r, false) })
+		w.After(time.Duration(i)*f.Gap.Std(), func() { w.addCache(r, false) })
 	}
 	return nil
 }
@@ -338,7 +338,7 @@
 func drainCaches(w *World, f *Fault, r *rand.Rand) func() {
 	var chosen []*Cache
 	for i := range max(1, f.Count) {
-		w.After(time.Duration(i)*f.Gap.D(), func() {
+		w.After(time.Duration(i)*f.Gap.Std(), func() {
 			list := slices.DeleteFunc(w.drawCaches(r, 1), func(c *Cache) bool { return slices.Contains(chosen, c) })
 			if len(list) > 1 {
 				chosen = append(chosen, list[0])
@@ -350,7 +350,7 @@
 }
 
 func replaceCaches(w *World, f *Fault, r *rand.Rand) func() {
-	return repeatEvery(w, f.Gap.D(), func() {
+	return repeatEvery(w, f.Gap.Std(), func() {
 		if list := w.drawCaches(r, 0); len(list) > 0 {
 			w.addCache(r, true)
 			w.retireCache(list[0])
@@ -371,7 +371,7 @@
 	affected := r.Perm(w.day.Routers)[:min(max(1, f.Count), w.day.Routers)]
 	for _, i := range affected {
 		w.routerControl.Kill(i)
-		w.setBelievedDead(i, w.Now()+w.day.Clients.Notice.D())
+		w.setBelievedDead(i, w.Now()+w.day.Clients.Notice.Std())
 	}
 	return func() {
 		for _, i := range affected {
@@ -386,7 +386,7 @@
 func restartRouters(w *World, f *Fault, r *rand.Rand) func() {
 	const notice, killed, restarted = 300 * time.Millisecond, 4 * time.Second, 4500 * time.Millisecond
 	for n, i := range r.Perm(w.day.Routers)[:min(max(1, f.Count), w.day.Routers)] {
-		w.After(time.Duration(n)*f.Gap.D(), func() {
+		w.After(time.Duration(n)*f.Gap.Std(), func() {
 			w.routerControl.Stop(i)
 			w.setBelievedDead(i, w.Now()+notice)
 			w.After(killed, func() { w.routerControl.Kill(i) })
@@ -407,7 +407,7 @@
 func cutZone(w *World, f *Fault, _ *rand.Rand) func() {
 	for z := range w.day.Zones {
 		if z != f.Zone {
-			w.cuts = append(w.cuts, zoneCut{f.Zone, z, w.Now() + f.For.D()})
+			w.cuts = append(w.cuts, zoneCut{f.Zone, z, w.Now() + f.For.Std()})
 		}
 	}
 	return func() { w.cuts = slices.DeleteFunc(w.cuts, func(c zoneCut) bool { return c.until <= w.Now() }) }
@@ -429,7 +429,7 @@
 }
 
 func stopOrigin(w *World, f *Fault, _ *rand.Rand) func() {
-	w.Origin.halt(f.For.D())
+	w.Origin.halt(f.For.Std())
 	return nil
 }
 
--- a/internal/lab/model/net.go
+++ b/internal/lab/model/net.go
@@ -12,16 +12,16 @@
 // because TCP sends the segment again.
 func (w *World) arrivalTime(from, to, router int) time.Duration {
 	settings := &w.day.Net
-	delay := settings.Same.D()
+	delay := settings.Same.Std()
 	if from != to {
-		delay = settings.Cross.D()
+		delay = settings.Cross.Std()
 	}
 	delay = time.Duration(float64(delay) * (1 + settings.Jitter*(2*w.netRandom.Float64()-1)))
 	loss := settings.Loss
 	if w.lossyRouters[router] {
 		loss = max(loss, w.lossRate)
 	}
-	for resendAfter := settings.Resend.D(); loss > 0 && w.netRandom.Float64() < loss && resendAfter < time.Minute; resendAfter *= 2 {
+	for resendAfter := settings.Resend.Std(); loss > 0 && w.netRandom.Float64() < loss && resendAfter < time.Minute; resendAfter *= 2 {
 		delay += resendAfter
 	}
 	arrives := w.Now() + delay
@@ -38,7 +38,7 @@
 // ClientDelay draws the one-way delay between a client and its router.
 func (w *World) ClientDelay() time.Duration {
 	settings := &w.day.Net
-	return time.Duration(float64(settings.Client.D()) * (1 + settings.Jitter*(2*w.netRandom.Float64()-1)))
+	return time.Duration(float64(settings.Client.Std()) * (1 + settings.Jitter*(2*w.netRandom.Float64()-1)))
 }
 
 // Tell sends a message between routers. The message may be lost.
@@ -51,7 +51,7 @@
 	if w.netRandom.Float64() < lossRate {
 		return
 	}
-	arrives := w.Now() + time.Duration(float64(settings.Peer.D())*(1+settings.Jitter*(2*w.netRandom.Float64()-1)))
+	arrives := w.Now() + time.Duration(float64(settings.Peer.Std())*(1+settings.Jitter*(2*w.netRandom.Float64()-1)))
 	for _, c := range w.cuts {
 		fromZone, toZone := w.routerZone(from), w.routerZone(to)
 		if c.zoneA == fromZone && c.zoneB == toZone || c.zoneA == toZone && c.zoneB == fromZone {
--- a/internal/lab/model/origin.go
+++ b/internal/lab/model/origin.go
@@ -83,7 +83,7 @@
 	o.w.observer.Fetched(call)
 	call.job = job{call: call}
 	if o.warmingUp {
-		o.w.After(o.settings.Time.D(), func() { o.finish(&call.job) })
+		o.w.After(o.settings.Time.Std(), func() { o.finish(&call.job) })
 		return
 	}
 	waiting, fetching := o.waitingReads[op.Key]
@@ -113,7 +113,7 @@
 
 // dropExpired rejects a job that has waited longer than the limit of the queue, and reports whether it did.
 func (o *Origin) dropExpired(j *job) bool {
-	expired := o.w.Now()-j.enteredAt > o.settings.Queue.D()
+	expired := o.w.Now()-j.enteredAt > o.settings.Queue.Std()
 	if expired {
 		j.call.Conn.finish(j.call, Stale)
 		for _, call := range o.removeWaiting(j.call.Try.Op) {
@@ -145,7 +145,7 @@
 	if op.Write {
 		if class := &o.w.day.Classes[op.Class]; class.Effect == "keyed" {
 			at, seen := o.doneAt[op.ID]
-			if seen && o.w.Now()-at < class.Window.D() {
+			if seen && o.w.Now()-at < class.Window.Std() {
 				call.Conn.finish(call, Served) // a repeated write, deduplicated
 				return
 			}
@@ -190,7 +190,7 @@
 	if added.fromCold {
 		o.recentFromCold++
 	}
-	for added.at-o.recent[0].at > o.settings.FallFor.D() {
+	for added.at-o.recent[0].at > o.settings.FallFor.Std() {
 		if o.recent[0].fromCold {
 			o.recentFromCold--
 		}
@@ -199,7 +199,7 @@
 	if limit := o.settings.Fall * o.Capacity * o.settings.FallFor.Seconds(); float64(len(o.recent)) > limit {
 		coldShare := float64(o.recentFromCold) / float64(len(o.recent))
 		coldRatio := float64(o.recentFromCold) / max(1, o.w.coldReadRate()*o.settings.FallFor.Seconds())
-		o.halt(o.settings.DownFor.D())
+		o.halt(o.settings.DownFor.Std())
 		o.w.observer.OriginStopped(coldShare, coldRatio)
 	}
 }
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -86,7 +86,7 @@
 	w.clients = w.newClients()
 
 	w.Origin.running, w.Origin.warmingUp = true, day.Warm > 0
-	w.After(day.Warm.D(), func() { w.Origin.warmingUp = false })
+	w.After(day.Warm.Std(), func() { w.Origin.warmingUp = false })
 	w.Directory.setMember(Member{ID: 0, Index: 0, Kind: len(day.Kinds), Phase: Ready, Weight: 1, Origin: true})
 	for _, c := range w.Caches {
 		c.start(true)
@@ -97,7 +97,7 @@
 	}
 	w.clients.scheduleDrift(Stream(day.Seed, "drift", 0))
 	if day.Load.Level > 0 {
-		w.clients.scheduleArrival(day.Warm.D() + day.Length.D())
+		w.clients.scheduleArrival(day.Warm.Std() + day.Length.Std())
 	}
 	return w
 }
@@ -120,7 +120,7 @@
 func (w *World) Day() *Day { return w.day }
 
 // End returns the time of the last new request. Open requests continue after it.
-func (w *World) End() time.Duration { return w.day.Warm.D() + w.day.Length.D() }
+func (w *World) End() time.Duration { return w.day.Warm.Std() + w.day.Length.Std() }
 
 // assignKinds assigns kinds of machine to n caches, in proportion to the shares of the kinds.
 func (w *World) assignKinds(n int) []int {
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -141,7 +141,7 @@
 		case !attempt.mayHaveRun:
 		case class.Effect == "unsafe":
 			c.addViolation(Effects, now, router, id, "%s is sent again though call %d may have run", class.Name, i)
-		case class.Effect == "keyed" && now-attempt.sentAt > class.Window.D():
+		case class.Effect == "keyed" && now-attempt.sentAt > class.Window.Std():
 			c.addViolation(Effects, now, router, id, "%s is repeated %v after call %d, repeats are dropped for %v",
 				class.Name, now-attempt.sentAt, i, class.Window)
 		}
@@ -152,11 +152,11 @@
 	if !state.everListed[server] {
 		c.addViolation(Listed, now, router, id, "server %d was never listed", server)
 	}
-	if since, known := c.leavingSinceFor(router, server); known && now-since > c.day.Rules.Drain.D() {
+	if since, known := c.leavingSinceFor(router, server); known && now-since > c.day.Rules.Drain.Std() {
 		c.addViolation(Drain, now, router, id, "a call to server %d, %v after the router was told that it drains or is gone",
 			server, now-since)
 	}
-	if since, known := state.drainedSince[server]; known && now-since > c.day.Rules.Drain.D() {
+	if since, known := state.drainedSince[server]; known && now-since > c.day.Rules.Drain.Std() {
 		c.addViolation(Drain, now, router, id, "a call to server %d, %v after the router had said that it gets nothing new", server,
 			now-since)
 	}
@@ -183,7 +183,7 @@
 	if !ok || state.watching {
 		return 0, false
 	}
-	allowed := c.day.Rules.AskWithin.D()
+	allowed := c.day.Rules.AskWithin.Std()
 	if state.lastFailed {
 		allowed *= 4
 	}
@@ -243,7 +243,7 @@
 		c.addViolation(OneAnswer, now, router, id, "a second final answer")
 		return
 	}
-	if now > request.deadline+c.day.Rules.Grace.D() {
+	if now > request.deadline+c.day.Rules.Grace.Std() {
 		c.addViolation(OneAnswer, now, router, id, "the final answer comes %v late", now-request.deadline)
 	}
 	if class := &c.day.Classes[request.class]; kind == hoptiller.StepReject && class.Effect == "unsafe" {
@@ -347,7 +347,7 @@
 	for i := range c.routers {
 		open := c.routers[i].requests
 		for _, id := range slices.Sorted(maps.Keys(open)) { // violations must not depend on the order of the map
-			if request := open[id]; request.answered || now <= request.deadline+c.day.Rules.Grace.D() {
+			if request := open[id]; request.answered || now <= request.deadline+c.day.Rules.Grace.Std() {
 				continue
 			}
 			c.addViolation(OneAnswer, now, i, id, "no final answer")
--- a/internal/lab/rules/timeleft.go
+++ b/internal/lab/rules/timeleft.go
@@ -85,7 +85,7 @@
 		return
 	}
 	excess := sent - (request.deadline - now) - c.excusedDelayOf(now, router, request) - request.writtenLate
-	if excess > request.firstExcess+c.day.Rules.TimeSlack.D()+c.Lag {
+	if excess > request.firstExcess+c.day.Rules.TimeSlack.Std()+c.Lag {
 		c.addViolation(TimeLeft, now, router, id, "an attempt tells its server that %v are left, and %v are", sent,
 			request.deadline-now)
 	}
--- a/internal/lab/scale/bounds.go
+++ b/internal/lab/scale/bounds.go
@@ -116,7 +116,7 @@
 // estimateDuration estimates how long a run takes.
 func (r Run) estimateDuration() time.Duration {
 	agreeTime := time.Duration(r.Size) * agreeTimePer100Routers / 100
-	total := startDuration + agreeTime + r.File.Settle.D() + r.File.Calm.D()
+	total := startDuration + agreeTime + r.File.Settle.Std() + r.File.Calm.Std()
 	for _, name := range r.File.Faults {
 		total += time.Duration(r.File.Repetitions) * (faultNamed(name).duration(r.File) + agreeTime)
 	}
--- a/internal/lab/scale/fault.go
+++ b/internal/lab/scale/fault.go
@@ -30,7 +30,7 @@
 	return func(*File) time.Duration { return d }
 }
 
-func durationWithCut(f *File) time.Duration { return f.Cut.D() + endAndReturnTime }
+func durationWithCut(f *File) time.Duration { return f.Cut.Std() + endAndReturnTime }
 
 // faults returns all faults. This is a function and not a variable, because the faults and the validation of scenarios refer to
 // each other.
@@ -109,13 +109,13 @@
 }
 
 func playLoss(ctx context.Context, p *player) error {
-	err := p.measureFor(ctx, "loss", p.fleet.run.File.Cut.D(), func() { p.fleet.setLoss(p.fleet.run.File.Loss) })
+	err := p.measureFor(ctx, "loss", p.fleet.run.File.Cut.Std(), func() { p.fleet.setLoss(p.fleet.run.File.Loss) })
 	p.fleet.setLoss(0)
 	return err
 }
 
 func playCut(ctx context.Context, p *player) error {
-	err := p.measureFor(ctx, "cut", p.fleet.run.File.Cut.D(), func() { p.fleet.setCut(true) })
+	err := p.measureFor(ctx, "cut", p.fleet.run.File.Cut.Std(), func() { p.fleet.setCut(true) })
 	heal := func() error { p.fleet.setCut(false); return nil }
 	if err != nil {
 		heal()
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -109,16 +109,16 @@
 			return b.name, fmt.Sprintf("%s is %g: %g to %g is possible", b.name, b.value, b.minimum, b.maximum)
 		}
 	}
-	if f.Settle.D() > maxSettle {
+	if f.Settle.Std() > maxSettle {
 		return "settle", fmt.Sprintf("settle is %v: up to %v is possible", f.Settle, maxSettle)
 	}
-	if slices.Contains(f.Faults, faultDrain) && f.Settle.D() < voterStartDelay {
+	if slices.Contains(f.Faults, faultDrain) && f.Settle.Std() < voterStartDelay {
 		return "settle", fmt.Sprintf("settle is %v: voters grant no drain for %v after their start", f.Settle, voterStartDelay)
 	}
-	if f.Calm.D() < minCalm || f.Calm.D() > maxCalm {
+	if f.Calm.Std() < minCalm || f.Calm.Std() > maxCalm {
 		return "calm", fmt.Sprintf("calm is %v: %v to %v is possible", f.Calm, minCalm, maxCalm)
 	}
-	if f.Cut.D() < minCalm || f.Cut.D() > maxCut {
+	if f.Cut.Std() < minCalm || f.Cut.Std() > maxCut {
 		return "cut", fmt.Sprintf("cut is %v: %v to %v is possible", f.Cut, minCalm, maxCut)
 	}
 	if i := slices.IndexFunc(f.Sizes, func(n int) bool { return n < f.Processes }); i >= 0 {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -81,7 +81,7 @@
 	}
 	inc.peers.SetBounds(peers.Bounds{Fleet: permit.Bound{Number: 1}, Caches: permit.Bound{Number: 1}})
 	mapping := &discovery.Names{Zones: c.Zones, Kinds: c.Kinds, OriginKind: c.Settings.OriginKind}
-	client := discovery.NewClient(&discovery.Registry{Addr: c.Discovery, Times: discovery.PlatformTimes}, mapping, listed, c.Known)
+	client := discovery.NewClient(&discovery.Registry{Addr: c.Discovery, Timeouts: discovery.PlatformTimeouts}, mapping, listed, c.Known)
 	var ctx context.Context
 	ctx, inc.cancel = context.WithCancel(context.Background())
 	inc.group, ctx = errgroup.WithContext(ctx)
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -79,10 +79,10 @@
 	if err := p.recordFailure("start", err); err != nil {
 		return err
 	}
-	if err := sleep(ctx, p.fleet.run.File.Settle.D()); err != nil {
+	if err := sleep(ctx, p.fleet.run.File.Settle.Std()); err != nil {
 		return err
 	}
-	if err := p.measureFor(ctx, "calm", p.fleet.run.File.Calm.D(), func() {}); err != nil {
+	if err := p.measureFor(ctx, "calm", p.fleet.run.File.Calm.Std(), func() {}); err != nil {
 		return err
 	}
 	for _, name := range p.fleet.run.File.Faults {
--- a/internal/lab/sim/actions.go
+++ b/internal/lab/sim/actions.go
@@ -91,7 +91,7 @@
 // SetTimer implements hoptiller.Actions.
 func (r *router) SetTimer(token uint64, delay time.Duration) {
 	due := r.tier.World.Now() + delay
-	if round := r.tier.day.Round.D(); round > 0 {
+	if round := r.tier.day.Round.Std(); round > 0 {
 		due = max((due+round-1)/round, r.tier.World.Now()/round+1) * round
 	}
 	r.tier.World.At(due, func() {
--- a/internal/lab/sim/homes.go
+++ b/internal/lab/sim/homes.go
@@ -48,7 +48,7 @@
 		id++
 		now += time.Millisecond
 		actions.server = 0
-		router.Request(now, hoptiller.Request{ID: id, Class: class, Key: key, Remaining: day.Classes[class].Deadline.D()})
+		router.Request(now, hoptiller.Request{ID: id, Class: class, Key: key, Remaining: day.Classes[class].Deadline.Std()})
 		if actions.server != 0 {
 			router.Outcome(now, hoptiller.Outcome{Request: id, Server: actions.server, Status: hoptiller.OK,
 				Latency: time.Millisecond, Closed: true})
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -66,7 +66,7 @@
 func (p *pool) assign(c *call) {
 	share, maxConns := p.connLimits()
 	now, world := p.router.tier.World.Now(), p.router.tier.World
-	idle := p.router.tier.day.Fleet.IdleFor.D() * 3 / 4
+	idle := p.router.tier.day.Fleet.IdleFor.Std() * 3 / 4
 	for i := len(p.conns) - 1; i >= 0; i-- {
 		if cn := p.conns[i]; len(cn.calls) == 0 && !cn.closing {
 			if now-cn.idleSince >= idle {
@@ -95,7 +95,7 @@
 		c.dialing = cn
 		p.dialing = append(p.dialing, cn)
 		cn.modelConn = world.Dial(p.router.index, p.server, cn)
-		world.After(p.router.tier.day.Fleet.ConnectFor.D(), func() {
+		world.After(p.router.tier.day.Fleet.ConnectFor.Std(), func() {
 			if slices.Contains(p.dialing, cn) && !p.router.killed {
 				cn.modelConn.Close()
 				cn.Refused(cn.modelConn)
@@ -166,7 +166,7 @@
 	if !day.Fleet.Reap || p.server == 0 || len(p.conns) <= maxIdle {
 		return
 	}
-	world.After(max(p.router.callStats.IdleTimeout(0), day.Fleet.ConnectFor.D()), func() {
+	world.After(max(p.router.callStats.IdleTimeout(0), day.Fleet.ConnectFor.Std()), func() {
 		if !p.router.killed && !cn.closed && len(cn.calls) == 0 && cn.idleSince == now && len(p.conns) > maxIdle {
 			p.router.closeConn(cn, hoptiller.Cancelled)
 		}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -77,7 +77,7 @@
 
 // deliver passes an event to the policy: at once, or at the start of the next round if the day has rounds.
 func (r *router) deliver(run func()) {
-	round := r.tier.day.Round.D()
+	round := r.tier.day.Round.Std()
 	if round <= 0 {
 		run()
 		return
@@ -127,7 +127,7 @@
 	if now := r.tier.World.Now(); now >= inv.deadline {
 		// The client waited until the deadline. The router may still answer within the grace time, and violates an
 		// invariant if it does not.
-		r.tier.World.At(inv.deadline+r.tier.day.Rules.Grace.D()+1, func() {
+		r.tier.World.At(inv.deadline+r.tier.day.Rules.Grace.Std()+1, func() {
 			if !r.killed && !inv.closed {
 				r.disconnectClient(inv)
 			}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -73,7 +73,7 @@
 	}
 	longest := time.Duration(0)
 	for _, c := range day.Classes {
-		longest = max(longest, c.Deadline.D())
+		longest = max(longest, c.Deadline.Std())
 	}
 	t.World.RunUntil(end + longest + time.Second)
 	t.Check.Finish(t.World.Now())
--- a/internal/lab/standin/cause.go
+++ b/internal/lab/standin/cause.go
@@ -93,7 +93,7 @@
 	class := &e.day.Classes[request.try.Op.Class]
 	for call, arrivedAt := range request.callArrivedAt { // calls still in flight
 		if _, ended := request.callEndedAt[call]; !ended {
-			request.callSummary.callEnded(hoptiller.OK, now-arrivedAt, class.Aim.D())
+			request.callSummary.callEnded(hoptiller.OK, now-arrivedAt, class.Aim.Std())
 		}
 	}
 	switch {
@@ -123,7 +123,7 @@
 		return
 	}
 	duration := e.World.Now() - request.try.At
-	late := duration > e.day.Classes[request.try.Op.Class].Aim.D()
+	late := duration > e.day.Classes[request.try.Op.Class].Aim.Std()
 	if answer == model.Value && (!late || duration-request.callSummary.totalTime <= routerTimeAllowance) {
 		return
 	}
--- a/internal/lab/standin/client.go
+++ b/internal/lab/standin/client.go
@@ -54,7 +54,7 @@
 }
 
 // grace returns how long after its deadline a request may be answered.
-func (e *Engine) grace() time.Duration { return e.day.Rules.Grace.D() + slack }
+func (e *Engine) grace() time.Duration { return e.day.Rules.Grace.Std() + slack }
 
 // expire ends a request without an answer. It waits longer if the machine lags or the request's router was
 // paused. Engine.mu must be held.
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -219,7 +219,7 @@
 	}
 	longestDeadline := time.Duration(0)
 	for _, c := range e.day.Classes {
-		longestDeadline = max(longestDeadline, c.Deadline.D())
+		longestDeadline = max(longestDeadline, c.Deadline.Std())
 	}
 	end := e.World.End() + longestDeadline + time.Second
 	timer := time.NewTimer(0)
@@ -366,7 +366,7 @@
 	request := &clientRequest{callArrivedAt: map[*model.Call]time.Duration{}, callEndedAt: map[*model.Call]time.Time{},
 		try: &model.Try{Op: op, At: e.World.Now()}, id: id, number: uint32(e.nextID)}
 	e.requests[id] = request
-	e.World.After(e.day.Classes[class].Deadline.D(), func() { delete(e.requests, id) })
+	e.World.After(e.day.Classes[class].Deadline.Std(), func() { delete(e.requests, id) })
 	return request
 }
 
--- a/internal/lab/standin/node.go
+++ b/internal/lab/standin/node.go
@@ -255,7 +255,7 @@
 	if previous != nil {
 		longestDeadline := 3 * time.Second
 		for _, c := range n.engine.day.Classes {
-			longestDeadline = max(longestDeadline, c.Deadline.D())
+			longestDeadline = max(longestDeadline, c.Deadline.Std())
 		}
 		select {
 		case <-previous:
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -298,7 +298,7 @@
 	delete(l.calls, call)
 	e := l.node.engine
 	request.callEndedAt[call] = time.Now()
-	request.callSummary.callEnded(status, e.World.Now()-request.callArrivedAt[call], e.day.Classes[request.try.Op.Class].Aim.D())
+	request.callSummary.callEnded(status, e.World.Now()-request.callArrivedAt[call], e.day.Classes[request.try.Op.Class].Aim.Std())
 	e.Check.Ended(e.World.Now(), l.node.index, request.number, call.Attempt, status)
 	e.Tally.Closed(e.World.Now(), status, e.World.Now()-request.callArrivedAt[call])
 	return request
--- a/internal/lab/tally/tally.go
+++ b/internal/lab/tally/tally.go
@@ -135,7 +135,7 @@
 
 // New returns a Tally of a day; series says whether to keep values for each second.
 func New(day *model.Day, series bool) *Tally {
-	t := &Tally{day: day, measuredFrom: day.Warm.D(), sampledAt: day.Warm.D(), callTimes: hdrhistogram.New(1, 600e6, 3)}
+	t := &Tally{day: day, measuredFrom: day.Warm.Std(), sampledAt: day.Warm.Std(), callTimes: hdrhistogram.New(1, 600e6, 3)}
 	t.seconds = make([]secondCounts, int(day.Length.Seconds())+1)
 	for range day.Classes {
 		t.classes = append(t.classes, classCounts{times: hdrhistogram.New(1, 600e6, 3)})
@@ -171,7 +171,7 @@
 	counts.worthAsked += worth
 	class.worthAsked += worth
 	took := op.AnsweredAt - op.CreatedAt
-	if op.AnsweredAt == 0 || took > settings.Aim.D() {
+	if op.AnsweredAt == 0 || took > settings.Aim.Std() {
 		t.unserved.add(op, worth)
 	}
 	if op.AnsweredAt == 0 {
@@ -179,7 +179,7 @@
 	}
 	class.answered++
 	class.times.RecordValue(max(1, took.Microseconds()))
-	if took > settings.Aim.D() {
+	if took > settings.Aim.Std() {
 		worth *= settings.Late
 	}
 	counts.worthServed += worth
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// MostBytes is the maximum size of a file, in bytes.
-	MostBytes = 1 << 20
+	// MaxBytes is the maximum size of a file, in bytes.
+	MaxBytes = 1 << 20
 	// MaxDepth is the maximum nesting depth of blocks. The language needs two levels, and the parser recurses once
 	// for each level.
 	MaxDepth = 8
@@ -164,8 +164,8 @@
 // the rest.
 func Parse(name string, b []byte) (*File, []*Finding) {
 	f := &File{Name: name}
-	if len(b) > MostBytes {
-		return f, []*Finding{{Pos: Pos{name, 1, 1}, Rule: "file-size", Accept: fmt.Sprintf("%d bytes at the most", MostBytes),
+	if len(b) > MaxBytes {
+		return f, []*Finding{{Pos: Pos{name, 1, 1}, Rule: "file-size", Accept: fmt.Sprintf("%d bytes at the most", MaxBytes),
 			Text: fmt.Sprintf("the file has %d bytes", len(b))}}
 	}
 	if offset := invalidUTF8(b); offset >= 0 {
--- a/internal/plan/check.go
+++ b/internal/plan/check.go
@@ -227,14 +227,14 @@
 		"timeout":  func(s *statement) { p.Timeout = c.parseTime(s, time.Millisecond, time.Hour) },
 		"attempts": func(s *statement) { p.Attempts = c.parseCount(s, 1, 100) },
 		"repeat":   func(s *statement) { c.parseRepeat(s, p) },
-		"copies":   func(s *statement) { p.Copies = c.parseCount(s, 1, 2) },
+		"copies":   func(s *statement) { p.MaxInFlight = c.parseCount(s, 1, 2) },
 		"budget": func(s *statement) {
 			c.valueWithOption(s, "least", func(v value) { p.Budget = c.parseQuantity(v, "budget", unit.Fraction, 0, 1) },
-				func(v value) { p.BudgetLeast = c.parseQuantity(v, "least", unit.Rate, 0, 1e6) })
-			p.BudgetSaid = true
+				func(v value) { p.BudgetMinRate = c.parseQuantity(v, "least", unit.Rate, 0, 1e6) })
+			p.BudgetStated = true
 		},
 		"concurrency": func(s *statement) { c.parseConcurrency(s, &p.Concurrency) },
-		"queue":       func(s *statement) { c.parseQueue(s, &p.Queue, &p.QueueFor) },
+		"queue":       func(s *statement) { c.parseQueue(s, &p.MaxQueueLength, &p.MaxQueueTime) },
 		"rate": func(s *statement) {
 			c.valueWithOption(s, "burst", func(v value) { p.Rate = c.parseQuantity(v, "rate", unit.Rate, 1.0/3600, 1e6) },
 				func(v value) { p.Burst = c.parseQuantity(v, "burst", unit.Count, 1, 1e6) })
@@ -277,7 +277,7 @@
 		known := false
 		for _, o := range outcomeNames {
 			if o.name == v.text {
-				p.Repeat |= OutcomeSet(o.status)
+				p.RetryOn |= OutcomeSet(o.status)
 				known = true
 			}
 		}
@@ -291,7 +291,7 @@
 func outcomeList(set Outcomes) string {
 	var names []string
 	for _, o := range outcomeNames {
-		if set.Has(o.status) {
+		if set.Contains(o.status) {
 			names = append(names, o.name)
 		}
 	}
@@ -312,14 +312,14 @@
 	c.rejectBlock(s)
 	switch v := s.values; {
 	case len(v) == 1:
-		k.Most = int(c.parseQuantity(v[0], "concurrency", unit.Count, 1, 1e5))
-		k.Least = k.Most
+		k.Max = int(c.parseQuantity(v[0], "concurrency", unit.Count, 1, 1e5))
+		k.Min = k.Max
 	case len(v) == 3 && v[0].text == "adaptive":
 		k.Adaptive = true
-		k.Least = int(c.parseQuantity(v[1], "concurrency", unit.Count, 1, 1e5))
-		k.Most = int(c.parseQuantity(v[2], "concurrency", unit.Count, 1, 1e5))
-		if k.Most < k.Least {
-			c.addFinding(v[2].loc, "range", fmt.Sprintf("the maximum %d is less than the minimum %d", k.Most, k.Least),
+		k.Min = int(c.parseQuantity(v[1], "concurrency", unit.Count, 1, 1e5))
+		k.Max = int(c.parseQuantity(v[2], "concurrency", unit.Count, 1, 1e5))
+		if k.Max < k.Min {
+			c.addFinding(v[2].loc, "range", fmt.Sprintf("the maximum %d is less than the minimum %d", k.Max, k.Min),
 				"adaptive LEAST MOST")
 		}
 	default:
@@ -412,14 +412,14 @@
 	l := &c.plan.Limits
 	l.locations = locationMap{}
 	c.parseBlock(s, l.locations, map[string]func(*statement){
-		"clients":   func(s *statement) { l.Clients = c.parseCount(s, 1, 1e6) },
-		"open":      func(s *statement) { l.Open = c.parseCount(s, 1, 1e6) },
-		"providers": func(s *statement) { l.Providers = c.parseCount(s, 1, 1e6) },
-		"origin":    func(s *statement) { l.Origin = c.parseCount(s, 1, 1e6) },
-		"places":    func(s *statement) { l.Places = c.parseCount(s, 3, 1e5) },
+		"clients":   func(s *statement) { l.ClientConns = c.parseCount(s, 1, 1e6) },
+		"open":      func(s *statement) { l.OpenRequests = c.parseCount(s, 1, 1e6) },
+		"providers": func(s *statement) { l.CacheConns = c.parseCount(s, 1, 1e6) },
+		"origin":    func(s *statement) { l.OriginConns = c.parseCount(s, 1, 1e6) },
+		"places":    func(s *statement) { l.ConnsPerCore = c.parseCount(s, 3, 1e5) },
 
 		"concurrency": func(s *statement) { c.parseConcurrency(s, &l.Concurrency) },
-		"queue":       func(s *statement) { c.parseQueue(s, &l.Queue, &l.QueueFor) },
+		"queue":       func(s *statement) { c.parseQueue(s, &l.MaxQueueLength, &l.MaxQueueTime) },
 	})
 }
 
@@ -429,19 +429,19 @@
 	f.locations = locationMap{}
 	c.parseBlock(s, f.locations, map[string]func(*statement){
 		"view":     c.parseWord(&f.View, "on", "off"),
-		"out":      func(s *statement) { f.Out = c.parseBound(s) },
-		"out-zone": func(s *statement) { f.OutZone = c.parseBound(s) },
+		"out":      func(s *statement) { f.RoutersOut = c.parseBound(s) },
+		"out-zone": func(s *statement) { f.RoutersOutPerZone = c.parseBound(s) },
 
-		"caches":      func(s *statement) { f.Caches = c.parseBound(s) },
-		"caches-zone": func(s *statement) { f.CachesZone = c.parseBound(s) },
+		"caches":      func(s *statement) { f.CachesOut = c.parseBound(s) },
+		"caches-zone": func(s *statement) { f.CachesOutPerZone = c.parseBound(s) },
 	})
-	for name, b := range map[string][2]Bound{"out-zone": {f.OutZone, f.Out}, "caches-zone": {f.CachesZone, f.Caches}} {
-		if zone, all := b[0], b[1]; zone.Number > max(1, all.Number) && all.Part == 0 {
+	for name, b := range map[string][2]Bound{"out-zone": {f.RoutersOutPerZone, f.RoutersOut}, "caches-zone": {f.CachesOutPerZone, f.CachesOut}} {
+		if zone, all := b[0], b[1]; zone.Number > max(1, all.Number) && all.Fraction == 0 {
 			c.addFinding(f.locations.lookup(name), "bounds",
 				fmt.Sprintf("more may be out of one zone (%v) than of the whole fleet (%v)", zone, all), "")
 		}
 	}
-	if f.View == "off" && (f.Out != Bound{} || f.OutZone != Bound{} || f.Caches != Bound{} || f.CachesZone != Bound{}) {
+	if f.View == "off" && (f.RoutersOut != Bound{} || f.RoutersOutPerZone != Bound{} || f.CachesOut != Bound{} || f.CachesOutPerZone != Bound{}) {
 		c.addFinding(f.locations.lookup("view"), "bounds", "these bounds need the fleet view, which is off", "on")
 	}
 }
@@ -449,7 +449,7 @@
 // parseBound parses a number of routers or servers, or a percentage.
 func (c *checker) parseBound(s *statement) (b Bound) {
 	if len(s.values) == 1 && strings.HasSuffix(s.values[0].text, "%") {
-		b.Part = c.singleQuantity(s, unit.Fraction, 0.001, 1)
+		b.Fraction = c.singleQuantity(s, unit.Fraction, 0.001, 1)
 		return b
 	}
 	b.Number = c.parseCount(s, 1, permit.MaxSlots)
--- a/internal/plan/check_platform.go
+++ b/internal/plan/check_platform.go
@@ -84,16 +84,16 @@
 			fmt.Sprintf("%d attempts, and the settings allow %d", p.Attempts, set.MaxAttempts),
 			fmt.Sprintf("1 to %d", set.MaxAttempts))
 	}
-	if p.Copies > 1 && !set.Hedging {
+	if p.MaxInFlight > 1 && !set.Hedging {
 		c.addFinding(p.locations.lookup("copies"), "second-copies", "the settings allow no second copies", "copies 1")
 	}
-	if never := p.RetryStated && p.Repeat == 0; p.Attempts > 1 && never {
+	if never := p.RetryStated && p.RetryOn == 0; p.Attempts > 1 && never {
 		c.addFinding(p.locations.lookup("attempts"), "contradiction",
 			fmt.Sprintf("%d attempts, but a call is never repeated", p.Attempts), "attempts 1")
-	} else if p.BudgetSaid && (never || p.Attempts == 1) {
+	} else if p.BudgetStated && (never || p.Attempts == 1) {
 		c.addFinding(p.locations.lookup("budget"), "contradiction", "a budget for repeats that are never made", "")
 	}
-	if p.Queue > 0 && p.Concurrency.Most == 0 {
+	if p.MaxQueueLength > 0 && p.Concurrency.Max == 0 {
 		c.addFinding(p.locations.lookup("queue"), "queue", "a queue without a limit to wait for", "concurrency beside it")
 	}
 }
@@ -112,13 +112,13 @@
 			fmt.Sprintf("a call may take %s, and a client waits %s %s", formatTime(p.Timeout), formatTime(deadline), where),
 			"up to "+formatTime(deadline))
 	}
-	if aim := class.Aim; aim > 0 && p.QueueFor >= aim {
+	if aim := class.Aim; aim > 0 && p.MaxQueueTime >= aim {
 		addFinding(p.locations.lookup("queue"), "queue-time",
 			fmt.Sprintf("a request may wait %s in the queue, and an answer is due within %s %s",
-				formatTime(p.QueueFor), formatTime(aim), where),
+				formatTime(p.MaxQueueTime), formatTime(aim), where),
 			"less than "+formatTime(aim))
 	}
-	afterRun := p.Repeat &^ NeverRan // outcomes after which a call is retried although it may have run
+	afterRun := p.RetryOn &^ NeverRan // outcomes after which a call is retried although it may have run
 	attempts := p.Attempts
 	if attempts == 0 {
 		attempts = c.platform.Settings.MaxAttempts
@@ -130,26 +130,26 @@
 				fmt.Sprintf("%s must never run twice, and may have run after: %s (route %s)", name, outcomeList(afterRun), r.Name),
 				"repeat on "+outcomeList(NeverRan)+", or never")
 		}
-		if p.Copies > 1 {
+		if p.MaxInFlight > 1 {
 			addFinding(p.locations.lookup("copies"), "run-once",
 				fmt.Sprintf("%s must never run twice (route %s)", name, r.Name), "copies 1")
 		}
 	case hoptiller.Deduplicated:
 		last := time.Duration(attempts-1) * p.Timeout // latest start of the last attempt, after that of the first
-		if (afterRun != 0 || p.Copies > 1) && class.DedupTTL > 0 && last >= class.DedupTTL {
+		if (afterRun != 0 || p.MaxInFlight > 1) && class.DedupTTL > 0 && last >= class.DedupTTL {
 			addFinding(p.locations.lookup("timeout"), "repeat-window",
 				fmt.Sprintf("attempt %d may begin %s after the first, and repeats are dropped for %s only %s",
 					attempts, formatTime(last), formatTime(class.DedupTTL), where),
 				fmt.Sprintf("less than %s for %d attempts", formatTime(class.DedupTTL/time.Duration(max(1, attempts-1))), attempts))
 		}
-		if (afterRun != 0 || p.Copies > 1) && r.Pool != nil && c.spansGroups(r.Pool, class.Group) {
+		if (afterRun != 0 || p.MaxInFlight > 1) && r.Pool != nil && c.spansGroups(r.Pool, class.Group) {
 			addFinding(r.locations.lookup("pool"), "repeat-group",
 				fmt.Sprintf("pool %s goes beyond the one %s within which repeats are dropped %s",
 					r.Pool.Name, map[hoptiller.Group]string{hoptiller.GroupZone: "zone", hoptiller.GroupCell: "cell"}[class.Group], where),
 				"a pool of one such group, or no repeat after a call that may have run")
 		}
 	}
-	if afterRun.Has(hoptiller.Timeout) && deadline > 0 && p.Attempts > 1 && time.Duration(p.Attempts)*p.Timeout > deadline {
+	if afterRun.Contains(hoptiller.Timeout) && deadline > 0 && p.Attempts > 1 && time.Duration(p.Attempts)*p.Timeout > deadline {
 		addFinding(p.locations.lookup("timeout"), "total-time",
 			fmt.Sprintf("%d attempts of %s are more than the %s that a client waits %s",
 				p.Attempts, formatTime(p.Timeout), formatTime(deadline), where), "up to "+formatTime(deadline/time.Duration(p.Attempts)))
@@ -235,12 +235,12 @@
 // checkLimits checks the limits against the available descriptors and memory.
 func (c *checker) checkLimits() {
 	l, p := &c.plan.Limits, c.platform
-	if spare, total := p.Sockets-24, l.Clients+l.Providers+l.Origin; p.Sockets > 0 && total > spare {
+	if spare, total := p.Sockets-24, l.ClientConns+l.CacheConns+l.OriginConns; p.Sockets > 0 && total > spare {
 		maximum, name := 0, ""
 		for _, x := range []struct {
 			name string
 			n    int
-		}{{"clients", l.Clients}, {"providers", l.Providers}, {"origin", l.Origin}} {
+		}{{"clients", l.ClientConns}, {"providers", l.CacheConns}, {"origin", l.OriginConns}} {
 			if x.n > maximum {
 				maximum, name = x.n, x.name
 			}
@@ -249,22 +249,22 @@
 			fmt.Sprintf("the connections are %d, and of %d descriptors 24 are for the program itself", total, p.Sockets),
 			fmt.Sprintf("up to %d in all", spare))
 	}
-	if maximum := 8 * int(p.MemoryMB); maximum > 0 && l.Clients > maximum {
+	if maximum := 8 * int(p.MemoryMB); maximum > 0 && l.ClientConns > maximum {
 		c.addFinding(l.locations.lookup("clients"), "memory",
-			fmt.Sprintf("%d client connections do not fit %d MB", l.Clients, p.MemoryMB), fmt.Sprintf("up to %d", maximum))
+			fmt.Sprintf("%d client connections do not fit %d MB", l.ClientConns, p.MemoryMB), fmt.Sprintf("up to %d", maximum))
 	}
-	if maximum := 2 * int(p.MemoryMB); maximum > 0 && l.Open > maximum {
+	if maximum := 2 * int(p.MemoryMB); maximum > 0 && l.OpenRequests > maximum {
 		c.addFinding(l.locations.lookup("open"), "memory",
-			fmt.Sprintf("%d open invocations do not fit %d MB", l.Open, p.MemoryMB), fmt.Sprintf("up to %d", maximum))
+			fmt.Sprintf("%d open invocations do not fit %d MB", l.OpenRequests, p.MemoryMB), fmt.Sprintf("up to %d", maximum))
 	}
-	if l.Queue > 0 && l.Concurrency.Most == 0 {
+	if l.MaxQueueLength > 0 && l.Concurrency.Max == 0 {
 		c.addFinding(l.locations.lookup("queue"), "queue", "a queue without a limit to wait for", "concurrency beside it")
 	}
 	for i := range p.Settings.Classes {
-		if aim := p.Settings.Classes[i].Aim; aim > 0 && l.QueueFor >= aim {
+		if aim := p.Settings.Classes[i].Aim; aim > 0 && l.MaxQueueTime >= aim {
 			c.addFinding(l.locations.lookup("queue"), "queue-time",
 				fmt.Sprintf("a request may wait %s in the queue, and an answer to %s is due within %s",
-					formatTime(l.QueueFor), p.Classes[i], formatTime(aim)), "less than "+formatTime(aim))
+					formatTime(l.MaxQueueTime), p.Classes[i], formatTime(aim)), "less than "+formatTime(aim))
 			break
 		}
 	}
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -17,9 +17,9 @@
 
 // Change describes a route, pool, policy, listener or section whose meaning differs between two plans.
 type Change struct {
-	Thing  string  // kind and name, such as "route desk"
-	Before []Field // the fields that differ; none if the first plan lacks the thing
-	After  []Field // the same fields of the second plan; none if it lacks the thing
+	Subject string  // kind and name, such as "route desk"
+	Before  []Field // the fields that differ; none if the first plan lacks the thing
+	After   []Field // the same fields of the second plan; none if it lacks the thing
 }
 
 // String returns a change with a line for each field.
@@ -27,11 +27,11 @@
 	var b strings.Builder
 	switch {
 	case len(c.Before) == 0:
-		fmt.Fprintf(&b, "+ %s\n", c.Thing)
+		fmt.Fprintf(&b, "+ %s\n", c.Subject)
 	case len(c.After) == 0:
-		fmt.Fprintf(&b, "- %s\n", c.Thing)
+		fmt.Fprintf(&b, "- %s\n", c.Subject)
 	default:
-		fmt.Fprintf(&b, "~ %s\n", c.Thing)
+		fmt.Fprintf(&b, "~ %s\n", c.Subject)
 	}
 	for i := range max(len(c.Before), len(c.After)) {
 		switch {
@@ -53,7 +53,7 @@
 func Diff(a, b *Plan) []Change {
 	changes := map[string]Change{}
 	compare := func(thing string, x, y []Field) (differs bool) {
-		c := Change{Thing: thing}
+		c := Change{Subject: thing}
 		for i := range x {
 			if x[i] != y[i] {
 				c.Before, c.After = append(c.Before, x[i]), append(c.After, y[i])
@@ -152,16 +152,16 @@
 // every plan.
 func (p *Plan) sections() map[string][]Field {
 	all := map[string][]Field{
-		"limits": {{"clients", countText(p.Limits.Clients)}, {"open", countText(p.Limits.Open)},
-			{"providers", countText(p.Limits.Providers)}, {"origin", countText(p.Limits.Origin)},
-			{"places", strconv.Itoa(cmp.Or(p.Limits.Places, 14))},
-			{"concurrency", concurrencyText(p.Limits.Concurrency)}, {"queue", queueText(p.Limits.Queue, p.Limits.QueueFor)}},
+		"limits": {{"clients", countText(p.Limits.ClientConns)}, {"open", countText(p.Limits.OpenRequests)},
+			{"providers", countText(p.Limits.CacheConns)}, {"origin", countText(p.Limits.OriginConns)},
+			{"places", strconv.Itoa(cmp.Or(p.Limits.ConnsPerCore, 14))},
+			{"concurrency", concurrencyText(p.Limits.Concurrency)}, {"queue", queueText(p.Limits.MaxQueueLength, p.Limits.MaxQueueTime)}},
 		"log": {{"level", p.Log.Level}, {"format", p.Log.Format}, {"rate", unit.Format(p.Log.Rate, unit.Rate)}},
 	}
 	f := p.Fleet
-	all["fleet"] = []Field{{"view", cmp.Or(f.View, "as the settings have it")}, {"out", f.Out.text("1")},
-		{"out-zone", f.OutZone.text("any")},
-		{"caches", f.Caches.text("1")}, {"caches-zone", f.CachesZone.text("any")}}
+	all["fleet"] = []Field{{"view", cmp.Or(f.View, "as the settings have it")}, {"out", f.RoutersOut.text("1")},
+		{"out-zone", f.RoutersOutPerZone.text("any")},
+		{"caches", f.CachesOut.text("1")}, {"caches-zone", f.CachesOutPerZone.text("any")}}
 	for name, l := range p.Listeners {
 		all["listener "+name] = []Field{{"address", l.Addr}}
 	}
@@ -251,16 +251,16 @@
 		return otherwise
 	}
 	const unstated = "as the module decides"
-	repeat := textOr(values.RetryStated, textOr(values.Repeat == 0, "never", "on "+outcomeList(values.Repeat)), unstated)
+	repeat := textOr(values.RetryStated, textOr(values.RetryOn == 0, "never", "on "+outcomeList(values.RetryOn)), unstated)
 	return []Field{
 		{"timeout", textOr(values.Timeout > 0, formatTime(values.Timeout), unstated)},
 		{"attempts", textOr(values.Attempts > 0, strconv.Itoa(values.Attempts), unstated)},
 		{"repeat", repeat},
-		{"copies", textOr(values.Copies > 0, strconv.Itoa(values.Copies), unstated)},
-		{"budget", textOr(values.BudgetSaid,
-			unit.Format(values.Budget, unit.Fraction)+" least "+unit.Format(values.BudgetLeast, unit.Rate), unstated)},
+		{"copies", textOr(values.MaxInFlight > 0, strconv.Itoa(values.MaxInFlight), unstated)},
+		{"budget", textOr(values.BudgetStated,
+			unit.Format(values.Budget, unit.Fraction)+" least "+unit.Format(values.BudgetMinRate, unit.Rate), unstated)},
 		{"concurrency", concurrencyText(values.Concurrency)},
-		{"queue", queueText(values.Queue, values.QueueFor)},
+		{"queue", queueText(values.MaxQueueLength, values.MaxQueueTime)},
 		{"rate", textOr(values.Rate > 0,
 			unit.Format(values.Rate, unit.Rate)+" burst "+strconv.FormatFloat(values.Burst, 'g', -1, 64), "no limit")},
 		{"priority", strconv.Itoa(values.Priority)},
@@ -269,12 +269,12 @@
 
 func concurrencyText(c Concurrency) string {
 	switch {
-	case c.Most == 0:
+	case c.Max == 0:
 		return "no limit"
 	case c.Adaptive:
-		return fmt.Sprintf("adaptive %d %d", c.Least, c.Most)
+		return fmt.Sprintf("adaptive %d %d", c.Min, c.Max)
 	}
-	return strconv.Itoa(c.Most)
+	return strconv.Itoa(c.Max)
 }
 
 func queueText(n int, maxWait time.Duration) string {
--- a/internal/plan/large_test.go
+++ b/internal/plan/large_test.go
@@ -13,7 +13,7 @@
 		for text, accepted := range map[string]bool{"1": true, "200": true, "201": true, "1024": true, "4096": true,
 			"0": false, "4097": false, "-1": false, "99999999999999999999": false, "0%": false, "101%": false} {
 			p, report := loadTexts(fmt.Sprintf("fleet {\n\t%s %s\n\t%s-zone 1\n}\n", name, text, name))
-			if accepted && (p == nil || fmt.Sprint(max(p.Fleet.Out.Number, p.Fleet.Caches.Number)) != text) {
+			if accepted && (p == nil || fmt.Sprint(max(p.Fleet.RoutersOut.Number, p.Fleet.CachesOut.Number)) != text) {
 				t.Errorf("%s %s: %v", name, text, report)
 			}
 			if !accepted && (p != nil || len(report.Findings) != 1 || report.Findings[0].Pos.Line != 2) {
@@ -46,7 +46,7 @@
 	load := func(text string) (*Release, *Report) {
 		return LoadRelease("0", func(string) ([]byte, error) { return []byte(text), nil })
 	}
-	if r, report := load(text(many)); r == nil || len(r.Routers) != many || r.First != many || r.Most != many {
+	if r, report := load(text(many)); r == nil || len(r.RouterAddrs) != many || r.SecondWaveSize != many || r.MaxWaveSize != many {
 		t.Errorf("%.300v", report)
 	}
 	if r, report := load(text(maxRouters + 1)); r != nil || len(report.Findings) != 2 {
--- a/internal/plan/load.go
+++ b/internal/plan/load.go
@@ -166,7 +166,7 @@
 		return
 	}
 	f, findings := opfile.Parse(name, text)
-	if len(text) <= opfile.MostBytes {
+	if len(text) <= opfile.MaxBytes {
 		l.report.texts[name] = strings.Split(string(text), "\n")
 	}
 	for _, x := range findings {
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -31,8 +31,8 @@
 // OutcomeSet returns the set of one outcome.
 func OutcomeSet(s hoptiller.Status) Outcomes { return 1 << s }
 
-// Has reports whether an outcome is in the set.
-func (o Outcomes) Has(s hoptiller.Status) bool { return o&OutcomeSet(s) != 0 }
+// Contains reports whether an outcome is in the set.
+func (o Outcomes) Contains(s hoptiller.Status) bool { return o&OutcomeSet(s) != 0 }
 
 // outcomeNames maps the outcomes after which a call may be retried to their names. The fetch that follows a miss is
 // not a retry, and the decision module handles attempts that the router itself has cancelled.
@@ -66,28 +66,28 @@
 
 // Concurrency limits the number of requests of a policy that are in flight at once.
 type Concurrency struct {
-	Adaptive    bool
-	Least, Most int // bounds of the limit: equal for a fixed one, 0 for none
+	Adaptive bool
+	Min, Max int // bounds of the limit: equal for a fixed one, 0 for none
 }
 
 // Policy restricts what the decision module may do for a request. Zero values restrict nothing.
 type Policy struct {
-	Name        string
-	Timeout     time.Duration // timeout of one call
-	Attempts    int           // number of calls, including the first, without fetches after a miss
-	Repeat      Outcomes      // outcomes after which a retry is allowed
-	RetryStated bool          // the file states Repeat, even if it is empty
-	Copies      int           // number of calls in flight at once
-	Budget      float64       // retries for each request, as a fraction
-	BudgetLeast float64       // retries per second that are always allowed
-	BudgetSaid  bool          // the file states a budget
-	Concurrency Concurrency
-	Queue       int           // number of requests that may wait for another one to end
-	QueueFor    time.Duration // longest wait in the queue
-	Rate        float64       // requests per second; 0: no limit
-	Burst       float64       // number of requests that may exceed the rate at once
-	Priority    int           // 0 to 9; the lowest priority is shed first
-	locations   locationMap
+	Name           string
+	Timeout        time.Duration // timeout of one call
+	Attempts       int           // number of calls, including the first, without fetches after a miss
+	RetryOn        Outcomes      // outcomes after which a retry is allowed
+	RetryStated    bool          // the file states Repeat, even if it is empty
+	MaxInFlight    int           // number of calls in flight at once
+	Budget         float64       // retries for each request, as a fraction
+	BudgetMinRate  float64       // retries per second that are always allowed
+	BudgetStated   bool          // the file states a budget
+	Concurrency    Concurrency
+	MaxQueueLength int           // number of requests that may wait for another one to end
+	MaxQueueTime   time.Duration // longest wait in the queue
+	Rate           float64       // requests per second; 0: no limit
+	Burst          float64       // number of requests that may exceed the rate at once
+	Priority       int           // 0 to 9; the lowest priority is shed first
+	locations      locationMap
 }
 
 // Route assigns a pool and a policy to the requests that it matches. If several routes match, the order of precedence
@@ -114,17 +114,17 @@
 
 // Limits holds the limits of the whole program. 0 leaves a limit to the platform.
 type Limits struct {
-	Clients   int // client connections at once
-	Open      int // requests in flight at once, beyond the first of each connection
-	Providers int // connections to slot caches
-	Origin    int // connections to the origin
-	Places    int // connections that each core of a slot cache accepts from all routers
+	ClientConns  int // client connections at once
+	OpenRequests int // requests in flight at once, beyond the first of each connection
+	CacheConns   int // connections to slot caches
+	OriginConns  int // connections to the origin
+	ConnsPerCore int // connections that each core of a slot cache accepts from all routers
 
 	// All routes share these limits. Requests of a low priority are shed first.
-	Concurrency Concurrency
-	Queue       int
-	QueueFor    time.Duration
-	locations   locationMap
+	Concurrency    Concurrency
+	MaxQueueLength int
+	MaxQueueTime   time.Duration
+	locations      locationMap
 }
 
 // Log configures logging.
@@ -137,19 +137,19 @@
 
 // Fleet configures how the routers cooperate.
 type Fleet struct {
-	View    string // on or off; empty: as the platform's settings state
-	Out     Bound  // how many routers may be out of service by permit; zero value: one
-	OutZone Bound  // how many routers of one zone may; zero value: as many as of the fleet
+	View              string // on or off; empty: as the platform's settings state
+	RoutersOut        Bound  // how many routers may be out of service by permit; zero value: one
+	RoutersOutPerZone Bound  // how many routers of one zone may; zero value: as many as of the fleet
 
-	Caches     Bound // how many slot caches of the fleet may be out of service by permit
-	CachesZone Bound // how many slot caches of one zone may
-	locations  locationMap
+	CachesOut        Bound // how many slot caches of the fleet may be out of service by permit
+	CachesOutPerZone Bound // how many slot caches of one zone may
+	locations        locationMap
 }
 
 // Bound is a number of group members, or a fraction of the group.
 type Bound struct {
-	Number int
-	Part   float64 // 0: Number applies
+	Number   int
+	Fraction float64 // 0: Number applies
 }
 
 func (b Bound) text(unstated string) string {
@@ -161,8 +161,8 @@
 
 // String implements fmt.Stringer.
 func (b Bound) String() string {
-	if b.Part > 0 {
-		return unit.Format(b.Part, unit.Fraction)
+	if b.Fraction > 0 {
+		return unit.Format(b.Fraction, unit.Fraction)
 	}
 	return strconv.Itoa(b.Number)
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -132,14 +132,14 @@
 		}
 	}
 	e := plan.Table().Lookup(0, []byte("urgent:"), nil, netip.Addr{})
-	if p := e.Policy; p.Timeout != 3500*time.Millisecond || p.Attempts != 2 || p.Repeat != NeverRan ||
-		p.Budget != 0.1 || p.BudgetLeast != 3 ||
+	if p := e.Policy; p.Timeout != 3500*time.Millisecond || p.Attempts != 2 || p.RetryOn != NeverRan ||
+		p.Budget != 0.1 || p.BudgetMinRate != 3 ||
 		e.Pool.Fallback != "near" || e.Pool.AtLeast != 2 {
 		t.Errorf("%+v", e)
 	}
 	if e := plan.Table().Lookup(1, nil, nil, netip.Addr{}); e.Policy.Timeout != 5*time.Second ||
 		e.Policy.Attempts != 5 || e.Policy.Priority != 9 ||
-		!e.Policy.Concurrency.Adaptive || e.Policy.Queue != 20 || e.Policy.QueueFor != 50*time.Millisecond {
+		!e.Policy.Concurrency.Adaptive || e.Policy.MaxQueueLength != 20 || e.Policy.MaxQueueTime != 50*time.Millisecond {
 		t.Errorf("%+v", e)
 	}
 	if n := testing.AllocsPerRun(100, func() {
--- a/internal/plan/release_test.go
+++ b/internal/plan/release_test.go
@@ -36,16 +36,16 @@
 	if r == nil {
 		t.Fatal(report)
 	}
-	if r.Name != "lists-2" || r.Settings != "4fc80064" || r.Canary != 2 || r.First != 3 || r.Grow != 3 || r.Soak != 10*time.Second ||
-		r.Settle != time.Minute || r.Error != 0.005 || r.State != "dir/lists-2.state" || r.Routers[1] != "127.0.0.1:9191" || r.ByZone {
+	if r.Name != "lists-2" || r.SettingsDigest != "4fc80064" || r.CanarySize != 2 || r.SecondWaveSize != 3 || r.GrowthFactor != 3 || r.SoakDuration != 10*time.Second ||
+		r.ReplaceTimeout != time.Minute || r.FalseHaltProbability != 0.005 || r.StateDir != "dir/lists-2.state" || r.RouterAddrs[1] != "127.0.0.1:9191" || r.ByZone {
 		t.Errorf("%+v", r)
 	}
-	if got := strings.Join(Command(r.Replace, 7, "h:1"), " "); got != "./replace.sh 7 new" {
+	if got := strings.Join(ExpandCommand(r.ReplaceCommand, 7, "h:1"), " "); got != "./replace.sh 7 new" {
 		t.Errorf("command %q", got)
 	}
 	var fleetReport Report
-	r.Find(&fleetReport, "wave", 0, "bounds", "too large")
-	r.Find(&fleetReport, "", 1, "router", "not there")
+	r.AddFinding(&fleetReport, "wave", 0, "bounds", "too large")
+	r.AddFinding(&fleetReport, "", 1, "router", "not there")
 	if fleetReport.Findings[0].Pos.Line != 7 || fleetReport.Findings[1].Pos.Line != 13 {
 		t.Errorf("found at %v and %v", fleetReport.Findings[0].Pos, fleetReport.Findings[1].Pos)
 	}
--- a/internal/plan/table.go
+++ b/internal/plan/table.go
@@ -140,12 +140,12 @@
 		e.Attempts = set.MaxAttempts
 	}
 	if !e.RetryStated {
-		e.Repeat = AllOutcomes // the decision module still decides which of them it retries
+		e.RetryOn = AllOutcomes // the decision module still decides which of them it retries
 	}
-	if e.Copies == 0 {
-		e.Copies = 1
+	if e.MaxInFlight == 0 {
+		e.MaxInFlight = 1
 		if set.Hedging {
-			e.Copies = 2
+			e.MaxInFlight = 2
 		}
 	}
 	e.Name, e.locations = "", nil
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -329,10 +329,10 @@
 	}
 }
 
-// Told takes a list update from discovery. The upstreams learn of a ready server before the decision module does,
+// UpdateServers takes a list update from discovery. The upstreams learn of a ready server before the decision module does,
 // because the module may pick the server at once. They learn after the module of a server that must get no new
 // requests, so that the module does not pick it again after an upstream has turned a request away.
-func (r *Relay) Told(kind hoptiller.ListKind, servers []Server) {
+func (r *Relay) UpdateServers(kind hoptiller.ListKind, servers []Server) {
 	r.mu.Lock()
 	listed := make(map[uint32]bool, len(servers))
 	entries := make([]hoptiller.Server, len(servers))
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -82,7 +82,7 @@
 func newRelay(cacheResults, originResults []Result) (*Relay, *fakeUpstream, *fakeUpstream) {
 	caches, origins := &fakeUpstream{results: cacheResults}, &fakeUpstream{results: originResults}
 	r := New(testSettings, 1, caches, origins)
-	r.Told(hoptiller.ListFull, []Server{listEntry(1, hoptiller.Ready, false), listEntry(9, hoptiller.Ready, true)})
+	r.UpdateServers(hoptiller.ListFull, []Server{listEntry(1, hoptiller.Ready, false), listEntry(9, hoptiller.Ready, true)})
 	caches.takeCalls()
 	origins.takeCalls()
 	return r, caches, origins
@@ -177,7 +177,7 @@
 		opened := time.Now()
 		moved := listEntry(1, hoptiller.Ready, false)
 		moved.Started = r.now() + test.clockOffset
-		r.Told(hoptiller.ListDelta, []Server{moved})
+		r.UpdateServers(hoptiller.ListDelta, []Server{moved})
 		if kept := !opened.Before(caches.earliestStart); kept != test.kept {
 			t.Errorf("clock off by %v: a connection opened %v before the update is kept %v", test.clockOffset, time.Since(opened), kept)
 		}
@@ -195,14 +195,14 @@
 	caches.keepServers = true
 	moved := listEntry(1, hoptiller.Ready, false)
 	moved.Addr = "elsewhere"
-	r.Told(hoptiller.ListDelta, []Server{moved})
-	r.Told(hoptiller.ListDelta, []Server{listEntry(1, hoptiller.Draining, false)})
-	r.Told(hoptiller.ListFull, []Server{listEntry(9, hoptiller.Ready, true)})
+	r.UpdateServers(hoptiller.ListDelta, []Server{moved})
+	r.UpdateServers(hoptiller.ListDelta, []Server{listEntry(1, hoptiller.Draining, false)})
+	r.UpdateServers(hoptiller.ListFull, []Server{listEntry(9, hoptiller.Ready, true)})
 	if !r.Knows(1) {
 		t.Error("the server was forgotten while there were connections to it")
 	}
 	caches.keepServers = false
-	r.Told(hoptiller.ListDelta, nil)
+	r.UpdateServers(hoptiller.ListDelta, nil)
 	if r.Knows(1) || !r.Knows(9) {
 		t.Error("the removed server was not forgotten, or the origin was")
 	}
@@ -235,7 +235,7 @@
 		if got := testprog.Await(t, requests, "subscription"); got != "watch true" {
 			t.Errorf("requested %q", got)
 		}
-		r.Told(hoptiller.ListFailed, nil)
+		r.UpdateServers(hoptiller.ListFailed, nil)
 	}
 }
 
--- a/internal/unit/unit.go
+++ b/internal/unit/unit.go
@@ -13,8 +13,8 @@
 // values such as "1s 500" are refused, since it is not clear whether 500 means ms or s.
 type Duration time.Duration
 
-// D returns the value as a time.Duration.
-func (d Duration) D() time.Duration { return time.Duration(d) }
+// Std returns the value as a time.Duration.
+func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // Seconds returns the value in seconds.
 func (d Duration) Seconds() float64 { return time.Duration(d).Seconds() }
--- a/internal/unit/unit_test.go
+++ b/internal/unit/unit_test.go
@@ -17,7 +17,7 @@
 		"4273562.866 s": 4273562866 * time.Millisecond, // parsed as a floating-point number the result would be 1 ns more
 		"0.001 us":      1, "10000 h": 10000 * time.Hour, "9999.999999999 h": 10000*time.Hour - 3600, "+1 s": time.Second,
 	} {
-		if d, err := ParseDuration(text); err != nil || d.D() != want {
+		if d, err := ParseDuration(text); err != nil || d.Std() != want {
 			t.Errorf("%q: %v, %v", text, d, err)
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -29,15 +29,15 @@
 const (
 	Context EventCode = iota
 	Endpoints
-	Knock
-	ClientGone
-	ReportBack
+	RequestArrived
+	ClientDisconnected
+	AttemptEnded
 	PeerMessage
 	ProbeResult
 	Provision
-	TimeoutFired
+	TimerFired
 	Destroy
-	Flowing
+	StreamStarted
 	List
 )
 
@@ -57,17 +57,17 @@
 
 // Event is one decoded event record. The comment on a field names the codes that set it.
 type Event struct {
-	Code     EventCode
-	Instance uint32             // Context
-	Seed     uint64             // Provision
-	Conf     []byte             // Provision; valid until the next read
-	Scope    hoptiller.ListKind // Endpoints
-	Buffer   uint8              // Endpoints, List
-	Servers  []hoptiller.Server // List
-	Request  hoptiller.Request  // Knock
-	Outcome  hoptiller.Outcome  // ReportBack; for Flowing its request, attempt, latency and server
-	ID       uint32             // ClientGone
-	Token    uint64             // TimeoutFired
+	Code      EventCode
+	Instance  uint32             // Context
+	Seed      uint64             // Provision
+	Settings  []byte             // Provision; valid until the next read
+	ListKind  hoptiller.ListKind // Endpoints
+	ListIndex uint8              // Endpoints, List
+	Servers   []hoptiller.Server // List
+	Request   hoptiller.Request  // Knock
+	Outcome   hoptiller.Outcome  // ReportBack; for Flowing its request, attempt, latency and server
+	ID        uint32             // ClientGone
+	Token     uint64             // TimeoutFired
 }
 
 // Reader reads batches from a stream.
@@ -137,17 +137,17 @@
 	case Context:
 		e.Instance = r.u32()
 	case Endpoints:
-		e.Scope = hoptiller.ListKind(r.u8())
+		e.ListKind = hoptiller.ListKind(r.u8())
 		r.u32()
-		e.Buffer = r.u8()
-		if r.err == nil && e.Scope > hoptiller.ListFailed {
-			r.err = r.errorAt(start, "Endpoints: unknown scope %d", e.Scope)
+		e.ListIndex = r.u8()
+		if r.err == nil && e.ListKind > hoptiller.ListFailed {
+			r.err = r.errorAt(start, "Endpoints: unknown scope %d", e.ListKind)
 		}
-	case Knock:
+	case RequestArrived:
 		r.readRequest(&e.Request)
-	case ClientGone:
+	case ClientDisconnected:
 		e.ID = r.u32()
-	case ReportBack:
+	case AttemptEnded:
 		r.readOutcome(&e.Outcome, start)
 	case PeerMessage:
 		r.u16()
@@ -159,11 +159,11 @@
 		r.bytes(4 * int(r.u8()))
 	case Provision:
 		e.Seed = r.u64()
-		e.Conf = r.bytes(int(r.u32()))
-	case TimeoutFired:
+		e.Settings = r.bytes(int(r.u32()))
+	case TimerFired:
 		e.Token = r.u64()
 	case Destroy:
-	case Flowing:
+	case StreamStarted:
 		e.Outcome = hoptiller.Outcome{Request: r.u32(), Attempt: int(r.u16()), Latency: r.time()}
 		e.Outcome.Server = r.u32()
 	case List:
@@ -211,10 +211,10 @@
 }
 
 func (r *Reader) readList(e *Event, start int) {
-	e.Buffer = r.u8()
+	e.ListIndex = r.u8()
 	n := int(r.u32())
-	if r.err == nil && e.Buffer > 15 {
-		r.err = r.errorAt(start, "List: number %d is over 15", e.Buffer)
+	if r.err == nil && e.ListIndex > 15 {
+		r.err = r.errorAt(start, "List: number %d is over 15", e.ListIndex)
 	}
 	if r.err == nil && n > (len(r.buf)-r.pos)/entrySize {
 		r.err = r.errorAt(start, "List: %d entries do not fit in the batch", n)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -62,7 +62,7 @@
 		servers[1].Started != 6100*time.Millisecond || servers[1].Phase != hoptiller.Ready {
 		t.Errorf("list entries: %+v", servers)
 	}
-	if e := events[2]; e.Scope != hoptiller.ListCached || e.Buffer != 0 {
+	if e := events[2]; e.ListKind != hoptiller.ListCached || e.ListIndex != 0 {
 		t.Errorf("endpoints: %+v", e)
 	}
 	want := hoptiller.Request{ID: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Remaining: 240 * time.Millisecond}
