--- a/cmd/hoplab/drill.go
+++ b/cmd/hoplab/drill.go
@@ -137,7 +137,7 @@
 		fmt.Fprintf(w, "  %-6s %-8s %s\n", map[bool]string{true: "holds", false: "BROKEN"}[v.Holds], v.Claim.Kind, v.Why)
 	}
 	fmt.Fprintf(w, "  over the day %.3f of %d requests' worth was served, %d cold servers were pushed over\n",
-		r.Result.Service, r.Result.Asked, r.Result.Falls)
+		r.Result.Service, r.Result.Asked, r.Result.Collapses)
 	out, err := os.Create(base + ".jsonl")
 	if err != nil {
 		return false, err
--- a/cmd/hoplab/lab.go
+++ b/cmd/hoplab/lab.go
@@ -79,7 +79,7 @@
 	started := time.Now()
 	requests := 0
 	records, err := f.Run(ctx, c.Cores, out, func(done, total int, r *experiment.Record) {
-		if requests += r.Taken; !c.Quiet && isTerminal(os.Stderr) {
+		if requests += r.RequestsTaken; !c.Quiet && isTerminal(os.Stderr) {
 			fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, total)
 		}
 	})
@@ -96,12 +96,12 @@
 	}
 	reported := map[string]bool{}
 	for _, r := range records {
-		if r.Broken == 0 || reported[r.Policy] {
+		if r.ViolationCount == 0 || reported[r.Policy] {
 			continue
 		}
 		reported[r.Policy] = true
 		v := r.Violations[0]
-		fmt.Printf("%s broke rules %d times at seed %d, first: %v\n", r.Policy, r.Broken, r.Seed, v)
+		fmt.Printf("%s broke rules %d times at seed %d, first: %v\n", r.Policy, r.ViolationCount, r.Seed, v)
 		if v.Request > 0 {
 			fmt.Printf("  its course: hoplab story %s --policy %s --seed %d --router %d --request %d%s\n", c.File, r.Policy, r.Seed,
 				v.Router, v.Request, setFlags(r.At))
@@ -357,10 +357,10 @@
 	if err != nil {
 		return err
 	}
-	if len(r.Story) == 0 {
+	if len(r.Trace) == 0 {
 		return fmt.Errorf("router %d has taken no request %d", c.Router, c.Request)
 	}
-	fmt.Println(strings.Join(r.Story, "\n"))
+	fmt.Println(strings.Join(r.Trace, "\n"))
 	for _, v := range r.Violations {
 		if v.Router == c.Router && v.Request == c.Request {
 			fmt.Println(v)
--- a/cmd/hoplab/pick.go
+++ b/cmd/hoplab/pick.go
@@ -24,7 +24,7 @@
 // Run measures the time that a policy alone takes for a request, in microseconds: picking a server and processing its reported
 // outcome.
 func (c *pickCmd) Run(ctx context.Context) error {
-	day := model.Prairie()
+	day := model.DefaultDay()
 	var curves []plot.Curve
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "us\t")
@@ -43,10 +43,10 @@
 		curve := plot.Curve{Name: name}
 		fmt.Fprintf(w, "%s\t", name)
 		for _, n := range c.Caches {
-			ids := model.Stream(day.Seed, "pick", n)
+			ids := model.NewRandom(day.Seed, "pick", n)
 			list := make([]model.Member, n)
 			for i := range list {
-				list[i] = model.Member{ID: ids.Uint32() | 1, Index: i + 1, Phase: model.Ready, Weight: 4 + float64(i%3)}
+				list[i] = model.Member{ID: ids.Uint32() | 1, ServerIndex: i + 1, Phase: model.Ready, Weight: 4 + float64(i%3)}
 			}
 			pickServer := sim.Homes(&day, policy, list)
 			picks, started := 0, time.Now()
--- a/cmd/hoplab/soak.go
+++ b/cmd/hoplab/soak.go
@@ -135,7 +135,7 @@
 	}
 	return fmt.Sprintf("| %d | %d | %d | %.3f | %v | %.4f | %.4f | %.3f, %.3f | %v | %s | %s |",
 		f.Day.Seed, f.Day.Routers, r.Result.Asked, r.Result.Service,
-		&r.Result.Unserved, r.Result.Unexplained, r.Result.ByTheMoment, virtual.ringService, virtual.moduleService,
+		&r.Result.Unserved, r.Result.Unexplained, r.Result.ExplainedByTiming, virtual.ringService, virtual.moduleService,
 		r.Lag.Round(time.Millisecond), strings.Join(faults, ", "), verdict)
 }
 
--- a/cmd/hoplab/sockets.go
+++ b/cmd/hoplab/sockets.go
@@ -29,7 +29,7 @@
 
 // day returns the default day with the size, seed and length that the flags state.
 func (f *fleetFlags) day() model.Day {
-	day := model.Prairie()
+	day := model.DefaultDay()
 	day.Fleet.Caches, day.Routers, day.Seed, day.Length = f.Caches, f.Routers, f.Seed, unit.Duration(f.For)
 	return day
 }
@@ -46,18 +46,18 @@
 // Run runs the demo, prints a line each second and a summary at the end.
 func (c *demoCmd) Run(ctx context.Context) error {
 	day := c.day()
-	day.Load.Level, day.Warm, day.Fill = c.Level, unit.Duration(3*time.Second), true
+	day.Load.Level, day.WarmUp, day.FillCaches = c.Level, unit.Duration(3*time.Second), true
 	if c.Fault != "" && c.Fault != "none" {
-		day.Faults = []model.Fault{{Kind: c.Fault, At: day.Length / 3, For: day.Length / 6, Part: 0.2, Size: 0.3, Count: 1,
-			Gap: unit.Duration(2 * time.Second)}}
+		day.Faults = []model.Fault{{Kind: c.Fault, At: day.Length / 3, Duration: day.Length / 6, Share: 0.2, Severity: 0.3, Count: 1,
+			Interval: unit.Duration(2 * time.Second)}}
 		switch c.Fault {
 		case "resets":
-			day.Faults[0].Size = 10
+			day.Faults[0].Severity = 10
 		case "origin_slow":
-			day.Faults[0].Size = 3
+			day.Faults[0].Severity = 3
 		}
 	}
-	if err := day.Check(); err != nil {
+	if err := day.Validate(); err != nil {
 		return err
 	}
 	var log io.Writer
@@ -73,8 +73,8 @@
 		c.Caches, c.Routers, c.For, c.Level, c.Fault)
 	fmt.Println("      s  asked  within aim  refused  fetches  caches up")
 	r, err := standin.Run(ctx, &day, standin.Options{Router: c.Router, Log: log, Progress: func(now time.Duration, w *model.World,
-		t *tally.Tally) {
-		second := int((now-day.Warm.Std())/time.Second) - 2 // requests sent two seconds ago have been answered
+		t *tally.Scorer) {
+		second := int((now-day.WarmUp.Std())/time.Second) - 2 // requests sent two seconds ago have been answered
 		stats, ok := t.Second(second)
 		if !ok {
 			fmt.Println("   warming up")
@@ -82,7 +82,7 @@
 		}
 		up := 0
 		for _, cache := range w.Caches {
-			if cache.Up() {
+			if cache.IsRunning() {
 				up++
 			}
 		}
@@ -112,11 +112,11 @@
 // Run runs the slot caches, the origin and the discovery service until interrupted, and prints how to start routers.
 func (c *fleetCmd) Run(ctx context.Context) error {
 	day := c.day()
-	day.Load.Level, day.Warm, day.Origin.Unsized = 0, 0, c.Unsized
+	day.Load.Level, day.WarmUp, day.Origin.UnsizedShare = 0, 0, c.Unsized
 	if c.Bytes != 0 {
 		day.Load.Bytes = c.Bytes
 	}
-	if err := day.Check(); err != nil {
+	if err := day.Validate(); err != nil {
 		return err
 	}
 	fmt.Printf("%d slot caches, an origin and a directory; each router finds them at addresses of its own. Start routers with\n", c.Caches)
@@ -147,7 +147,7 @@
 func (c *loadCmd) Run(ctx context.Context) error {
 	plan := load.Plan{Addrs: c.Addrs, Rate: c.Rate, For: c.For, Conns: c.Conns, Keys: c.Keys, Zipf: c.Zipf, Offset: 3, Seed: c.Seed,
 		Retries: c.Retries, Value: 2}
-	day := model.Prairie()
+	day := model.DefaultDay()
 	for _, class := range day.Classes {
 		plan.Classes = append(plan.Classes, load.Class{Name: class.Name, Share: class.Share, Aim: class.Aim.Std(),
 			Deadline: class.Deadline.Std(), Worth: class.Worth, Write: class.Write})
--- a/internal/lab/drill/check.go
+++ b/internal/lab/drill/check.go
@@ -28,20 +28,20 @@
 		var holds bool
 		switch c.Kind {
 		case "rules":
-			holds = result.Broken == 0
-			reason = fmt.Sprintf("%d rules broken", result.Broken)
+			holds = result.ViolationCount == 0
+			reason = fmt.Sprintf("%d rules broken", result.ViolationCount)
 			if !holds && len(result.Violations) > 0 {
 				reason += ", first " + result.Violations[0].String()
 			}
 		case "unserved":
-			share := result.Unserved.OfRouters()
+			share := result.Unserved.RouterShare()
 			holds, reason = share <= c.MaxShare, fmt.Sprintf("routers did not serve %.3f of the worth: %v", share, &result.Unserved)
 		case "unexplained":
 			holds = result.Unexplained <= c.MaxShare
 			reason = fmt.Sprintf("%.4f of the requests taken are refused, failed, lost or late with no cause but their router",
 				result.Unexplained)
 		case "stands":
-			holds, reason = result.Falls == 0, fmt.Sprintf("%d cold cache servers are pushed over", result.Falls)
+			holds, reason = result.Collapses == 0, fmt.Sprintf("%d cold cache servers are pushed over", result.Collapses)
 		case "alive":
 			holds, reason = checkAlive(events)
 		case "never":
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -144,7 +144,7 @@
 		holds  bool
 	}{
 		"no violations":                    {Claim{Kind: "rules"}, nil, goodResult, true},
-		"a violation":                      {Claim{Kind: "rules"}, nil, &tally.Result{Broken: 1, Violations: []rules.Violation{{Rule: "drain"}}}, false},
+		"a violation":                      {Claim{Kind: "rules"}, nil, &tally.Result{ViolationCount: 1, Violations: []rules.Violation{{Rule: "drain"}}}, false},
 		"all alive":                        {Claim{Kind: "alive"}, bothReady, goodResult, true},
 		"a process ended by itself":        {Claim{Kind: "alive"}, append(bothReady, Event{At: 4, From: "watch", Router: 1, Text: unexpectedEndPrefix + "exit status 2"}), goodResult, false},
 		"line never logged":                {Claim{Kind: "never", Pattern: "panic"}, []Event{{From: "drill", Text: "panic"}}, goodResult, true},
@@ -185,9 +185,9 @@
 		"view matches at both":             {Claim{Kind: "viewed", Pattern: "; s-1 back", Within: seconds(2)}, views("a alive alive; s-1 back", "a alive alive; s-1 back"), goodResult, true},
 		"view matches at one":              {Claim{Kind: "viewed", Pattern: "; s-1 back", Within: seconds(2)}, views("a alive alive; s-1 back", "a alive alive"), goodResult, false},
 		"one is never ready":               {Claim{Kind: "ready", Within: seconds(1)}, bothReady[:1], goodResult, false},
-		"unserved at the limit":            {Claim{Kind: "unserved", MaxShare: 0.4}, nil, &tally.Result{Unserved: tally.Unserved{Refused: 0.1, Failed: 0.1, Late: 0.1, Lost: 0.05, Unanswered: 0.05, Left: 0.3, NoRouter: 0.3}}, true},
+		"unserved at the limit":            {Claim{Kind: "unserved", MaxShare: 0.4}, nil, &tally.Result{Unserved: tally.Unserved{Refused: 0.1, Failed: 0.1, Late: 0.1, Lost: 0.05, Unanswered: 0.05, Disconnected: 0.3, NoRouter: 0.3}}, true},
 		"no overload collapse":             {Claim{Kind: "stands"}, nil, &tally.Result{}, true},
-		"an overload collapse":             {Claim{Kind: "stands"}, nil, &tally.Result{Falls: 1}, false},
+		"an overload collapse":             {Claim{Kind: "stands"}, nil, &tally.Result{Collapses: 1}, false},
 		"unexplained at the limit":         {Claim{Kind: "unexplained", MaxShare: 0.02}, nil, &tally.Result{Unexplained: 0.02}, true},
 		"unexplained over the limit":       {Claim{Kind: "unexplained", MaxShare: 0.02}, nil, &tally.Result{Unexplained: 0.0201}, false},
 		"unserved over the limit":          {Claim{Kind: "unserved", MaxShare: 0.4}, nil, &tally.Result{Unserved: tally.Unserved{Refused: 0.1, Failed: 0.1, Late: 0.1, Lost: 0.05, Unanswered: 0.051}}, false},
@@ -272,8 +272,8 @@
 		t.Skip("starts processes")
 	}
 	f := &File{Day: SmallDay(), Steps: []Step{{Kind: "pause", At: seconds(-3), Duration: seconds(9), Routers: []int{0}}}}
-	f.Day.Warm = seconds(3)
-	f.Day.Load = model.Prairie().Load
+	f.Day.WarmUp = seconds(3)
+	f.Day.Load = model.DefaultDay().Load
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	var addrs []string
--- a/internal/lab/drill/file.go
+++ b/internal/lab/drill/file.go
@@ -138,12 +138,12 @@
 
 // Parse reads and checks the text of a drill. Its errors name path, the line and the setting.
 func Parse(path string, text []byte) (*File, error) {
-	f := &File{Day: model.Prairie(), path: path, text: text}
+	f := &File{Day: model.DefaultDay(), path: path, text: text}
 	if err := experiment.Strict(path, text, f); err != nil {
 		return nil, err
 	}
 	f.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-	if err := f.Day.Check(); err != nil {
+	if err := f.Day.Validate(); err != nil {
 		return nil, experiment.FaultOf(path, text, err)
 	}
 	if f.Day.Routers > 60 {
@@ -283,7 +283,7 @@
 		at = max(at, s.At.Std()+s.Duration.Std())
 	}
 	for _, x := range f.Day.Faults {
-		at = max(at, x.At.Std()+x.For.Std())
+		at = max(at, x.At.Std()+x.Duration.Std())
 	}
 	return at
 }
--- a/internal/lab/drill/play.go
+++ b/internal/lab/drill/play.go
@@ -79,11 +79,11 @@
 // proxyKey names the proxies of one router for one party.
 type proxyKey struct {
 	router int
-	party  standin.Party
+	party  standin.ServerKind
 }
 
 // admin is the party behind the proxy for operators' calls to a router. Package standin doesn't know it.
-const admin standin.Party = "admin"
+const admin standin.ServerKind = "admin"
 
 // unexpectedEndPrefix begins the text of an event for a process that ended without a step or fault that ends it.
 const unexpectedEndPrefix = "ended by itself: "
@@ -117,30 +117,30 @@
 		return nil, err
 	}
 	day := f.Day
-	o := standin.Options{Router: opt.Router, Series: true, Way: p.openProxy, Arrivals: p.arrivals,
-		Logs:  func(i int) io.Writer { return &lineWriter{timeline: p.timeline, router: i, onLine: p.onLogLine} },
-		Peers: p.peerSettings, Self: f.assignedNumber,
-		Admin:   func(i int) string { return p.adminAddrs[i] },
-		Variant: p.variantEnv,
-		Lost:    func(i int, text string) { p.timeline.add(time.Now(), 50*time.Millisecond, "client", i, text) },
-		Ended: func(i int, how string) {
+	o := standin.Options{Router: opt.Router, Series: true, AddressFor: p.openProxy, Arrivals: p.arrivals,
+		RouterLog: func(i int) io.Writer { return &lineWriter{timeline: p.timeline, router: i, onLine: p.onLogLine} },
+		Peers:     p.peerSettings, Self: f.assignedNumber,
+		Admin:       func(i int) string { return p.adminAddrs[i] },
+		Variant:     p.variantEnv,
+		RequestLost: func(i int, text string) { p.timeline.add(time.Now(), 50*time.Millisecond, "client", i, text) },
+		ProcessEnded: func(i int, how string) {
 			p.timeline.add(time.Now(), 50*time.Millisecond, "watch", i, unexpectedEndPrefix+how)
 		},
 	}
 	for i := range f.Steps {
 		s := &f.Steps[i]
-		o.Steps = append(o.Steps, standin.Step{At: day.Warm.Std() + s.At.Std(), Do: func() { p.beginStep(i, s) }})
+		o.Steps = append(o.Steps, standin.Step{At: day.WarmUp.Std() + s.At.Std(), Action: func() { p.beginStep(i, s) }})
 		if s.Duration > 0 {
-			o.Steps = append(o.Steps, standin.Step{At: day.Warm.Std() + s.At.Std() + s.Duration.Std(), Do: func() { p.endStep(i, s) }})
+			o.Steps = append(o.Steps, standin.Step{At: day.WarmUp.Std() + s.At.Std() + s.Duration.Std(), Action: func() { p.endStep(i, s) }})
 		}
 	}
 	var polls sync.WaitGroup
 	var lag time.Duration
-	o.Begun = func(c standin.Control, at time.Time) {
+	o.Started = func(c standin.Control, at time.Time) {
 		p.mu.Lock()
 		p.control = c
 		p.mu.Unlock()
-		p.timeline.setWarmUpEnd(at.Add(day.Warm.Std()))
+		p.timeline.setWarmUpEnd(at.Add(day.WarmUp.Std()))
 		if opt.onBegin != nil {
 			opt.onBegin()
 		}
@@ -158,8 +158,8 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, v := range slices.Concat(result.Violations, result.Courses) {
-		p.timeline.add(p.timeline.warmUpEnd.Add(v.At-day.Warm.Std()), 50*time.Millisecond, "rules", v.Router, v.String())
+	for _, v := range slices.Concat(result.Violations, result.CollapseTraces) {
+		p.timeline.add(p.timeline.warmUpEnd.Add(v.At-day.WarmUp.Std()), 50*time.Millisecond, "rules", v.Router, v.String())
 	}
 	r := &Report{Events: p.timeline.Events(), Lag: lag, Result: result}
 	r.Verdicts = checkClaims(f, r.Events, result)
@@ -186,7 +186,7 @@
 }
 
 // openProxy opens a proxy from a router to the address of a party and returns the proxy's address.
-func (p *player) openProxy(router int, party standin.Party, addr string) (string, error) {
+func (p *player) openProxy(router int, party standin.ServerKind, addr string) (string, error) {
 	host, err := loopback.Host(loopback.Parties, router)
 	if err != nil {
 		return "", err
@@ -306,7 +306,7 @@
 		p.setIdleConns(i, s, on, control)
 	case "call":
 		if on {
-			go p.post(i, expandCacheNames(s.Path, control.Cache))
+			go p.post(i, expandCacheNames(s.Path, control.CacheName))
 		}
 	case "release":
 		if on {
@@ -335,19 +335,19 @@
 				BytesPerSecond: s.BytesPerSecond}
 		}
 		p.mu.Lock()
-		k := proxyKey{i, standin.Party(s.Kind)}
+		k := proxyKey{i, standin.ServerKind(s.Kind)}
 		wasDelayed, hadFaults, wasReset := p.streamFaults[k].DelaysForwarding(), p.streamFaults[k].HasFaults(), p.streamFaults[k].Reset
 		p.streamFaults[k] = x
 		list := p.proxies[k]
 		p.mu.Unlock()
 		if delays := x.DelaysForwarding(); delays != wasDelayed && (k.party == standin.Cache || k.party == standin.Origin) {
-			control.HeldBack(i, delays)
+			control.RelayDelaying(i, delays)
 		}
 		if x.Reset != wasReset && k.party == standin.Cache {
-			control.Unreachable(i, x.Reset)
+			control.RouterUnreachable(i, x.Reset)
 		}
 		if hasFaults := x.HasFaults(); hasFaults != hadFaults && (k.party == standin.Cache || k.party == standin.Origin) {
-			control.Disturbed(i, hasFaults)
+			control.RelayFaultChanged(i, hasFaults)
 		}
 		for _, w := range list {
 			w.SetFaults(x)
@@ -366,9 +366,9 @@
 	}
 	switch cache, what := parseCacheLine(line); what {
 	case "gets nothing new":
-		control.Aside(router, cache, true)
+		control.ServerDrained(router, cache, true)
 	case "drained no more":
-		control.Aside(router, cache, false)
+		control.ServerDrained(router, cache, false)
 	}
 }
 
--- a/internal/lab/drill/process.go
+++ b/internal/lab/drill/process.go
@@ -67,7 +67,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if on {
-		p.closeIdleConns[router] = control.Crowd(router, s.IdleConns)
+		p.closeIdleConns[router] = control.OpenIdleConns(router, s.IdleConns)
 	} else if release := p.closeIdleConns[router]; release != nil {
 		release()
 	}
--- a/internal/lab/drill/random.go
+++ b/internal/lab/drill/random.go
@@ -18,8 +18,8 @@
 
 // SmallDay returns the day of random drills: a few routers and caches, and a load that a laptop can sustain.
 func SmallDay() model.Day {
-	day := model.Prairie()
-	day.Warm, day.Length, day.Fill = seconds(3), seconds(18), true
+	day := model.DefaultDay()
+	day.WarmUp, day.Length, day.FillCaches = seconds(3), seconds(18), true
 	day.Fleet.Caches, day.Load.Level, day.Load.Shape = 6, 0.25, "steady"
 	return day
 }
@@ -79,7 +79,7 @@
 func RandomPermits(seed uint64) *File {
 	f := Random(seed)
 	f.Name = fmt.Sprintf("permits-%d", seed)
-	f.Day.Warm, f.Day.Length = seconds(14), seconds(30)
+	f.Day.WarmUp, f.Day.Length = seconds(14), seconds(30)
 	f.Steps = append(f.Steps, Step{Kind: "call", Path: "/v1/fleet/drain", At: seconds(0.5)})
 	for i := range f.Day.Routers {
 		f.Steps = append(f.Steps, Step{Kind: "call", Path: "/v1/fleet/activate", At: seconds(9 + float64(i)*2), Routers: []int{i}})
--- a/internal/lab/drill/release.go
+++ b/internal/lab/drill/release.go
@@ -70,7 +70,7 @@
 // writePlan writes the plan file of the release and returns its path. The plan's command is a script that asks this drill
 // through files to replace a router, and waits until the drill has done so.
 func (p *player) writePlan(control standin.Control, state string) (path string, err error) {
-	digest, err := control.Shows(newVariant)
+	digest, err := control.SettingsDigest(newVariant)
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/drill/soak.go
+++ b/internal/lab/drill/soak.go
@@ -50,16 +50,16 @@
 
 // soakDay draws the fleet, its load and the deadlines of the classes.
 func soakDay(r *rand.Rand) model.Day {
-	day := model.Prairie()
-	day.Warm, day.Length, day.Fill = seconds(2), seconds(soakLength), r.IntN(3) == 0
+	day := model.DefaultDay()
+	day.WarmUp, day.Length, day.FillCaches = seconds(2), seconds(soakLength), r.IntN(3) == 0
 	day.Routers = 2 + r.IntN(soakMaxRouters-1)
 	day.Fleet.Caches = 4 + r.IntN(6)
 	day.Load.Level, day.Load.Shape = 0.3+r.Float64()*0.4, "steady"
 	if r.IntN(2) == 0 {
 		day.Load.Bytes, day.Load.Sizes = soakMeanBytes, 1
-		day.Origin.Unsized = soakUnsizedShare
+		day.Origin.UnsizedShare = soakUnsizedShare
 	}
-	day.Clients.Leave = 0.25
+	day.Clients.DisconnectShare = 0.25
 	deadline := soakMinDeadline + r.Float64()*1.5
 	for i := range day.Classes {
 		c := &day.Classes[i]
@@ -109,11 +109,11 @@
 // soakCacheFaults draws the faults of cache servers, which come in addition to those of routers.
 func soakCacheFaults(r *rand.Rand) []model.Fault {
 	kinds := []model.Fault{
-		{Kind: "crash", At: seconds(6 + r.Float64()*8), For: seconds(2 + r.Float64()*3), Part: 0.25},
-		{Kind: "slow", At: seconds(3 + r.Float64()*10), For: seconds(3 + r.Float64()*4), Part: 0.3, Size: 0.8},
-		{Kind: "resets", At: seconds(3 + r.Float64()*8), For: seconds(5), Size: 5},
+		{Kind: "crash", At: seconds(6 + r.Float64()*8), Duration: seconds(2 + r.Float64()*3), Share: 0.25},
+		{Kind: "slow", At: seconds(3 + r.Float64()*10), Duration: seconds(3 + r.Float64()*4), Share: 0.3, Severity: 0.8},
+		{Kind: "resets", At: seconds(3 + r.Float64()*8), Duration: seconds(5), Severity: 5},
 	}
-	hang := model.Fault{Kind: "hang", At: seconds(3 + r.Float64()*5), For: seconds(6 + r.Float64()*6), Part: 0.3}
+	hang := model.Fault{Kind: "hang", At: seconds(3 + r.Float64()*5), Duration: seconds(6 + r.Float64()*6), Share: 0.3}
 	return []model.Fault{hang, kinds[r.IntN(len(kinds))]}
 }
 
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -94,7 +94,7 @@
 	if f.Seeds < 0 || f.Seeds > 100000 {
 		return nil, f.fault("seeds", fmt.Sprintf("seeds is %d: 1 to 100000 is possible", f.Seeds))
 	}
-	if err := f.Day.Check(); err != nil {
+	if err := f.Day.Validate(); err != nil {
 		return nil, FaultOf(path, text, err)
 	}
 	if len(f.Policies) == 0 {
@@ -153,7 +153,7 @@
 
 // decode decodes an experiment file over the defaults.
 func decode(text []byte) (*File, error) {
-	f := &File{Day: model.Prairie()}
+	f := &File{Day: model.DefaultDay()}
 	if err := decodeStrict(text, f); err != nil {
 		return nil, err
 	}
@@ -335,7 +335,7 @@
 	}
 	g, err := decode(text)
 	if err == nil {
-		err = g.Day.Check()
+		err = g.Day.Validate()
 	}
 	if err != nil {
 		var e *Error
@@ -383,7 +383,7 @@
 
 // Differing returns the figures of a day that differ from model.Prairie, as tables of an experiment file.
 func Differing(day *model.Day) (map[string]any, error) {
-	base := model.Prairie()
+	base := model.DefaultDay()
 	baseTables, err := tree(&base)
 	if err != nil {
 		return nil, err
--- a/internal/lab/experiment/hunt.go
+++ b/internal/lab/experiment/hunt.go
@@ -66,14 +66,14 @@
 
 // try plays a day and returns a finding, or nil if there is none.
 func (h *Hunt) try(ctx context.Context, day model.Day) (*Finding, error) {
-	if err := day.Check(); err != nil {
+	if err := day.Validate(); err != nil {
 		return nil, fmt.Errorf("a drawn day is impossible: %w", err)
 	}
 	ours, err := playDay(ctx, day, h.Policy)
 	if err != nil {
 		return nil, err
 	}
-	if ours.Broken > 0 {
+	if ours.ViolationCount > 0 {
 		return &Finding{Day: day, What: "rule " + ours.Violations[0].Rule, Ours: ours}, nil
 	}
 	f := &Finding{Day: day, Ours: ours}
@@ -82,7 +82,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if r.Broken == 0 && r.Score > max(f.Theirs, ours.Score+h.Margin) {
+		if r.ViolationCount == 0 && r.Score > max(f.Theirs, ours.Score+h.Margin) {
 			f.Rival, f.Theirs, f.What = name, r.Score, "behind "+name
 		}
 	}
@@ -101,7 +101,7 @@
 	for range h.Shrink {
 		smaller := false
 		for _, day := range smallerDays(f.Day) {
-			if day.Check() != nil {
+			if day.Validate() != nil {
 				continue
 			}
 			g, err := sameRival.try(ctx, day)
@@ -142,7 +142,7 @@
 	if day.Routers > 1 {
 		add(func(d *model.Day) { d.Routers-- })
 	}
-	base := model.Prairie()
+	base := model.DefaultDay()
 	if day.Load.Shape != "steady" {
 		add(func(d *model.Day) { d.Load.Shape = "steady" })
 	}
@@ -157,19 +157,19 @@
 
 // Draw draws the n-th random day of a seed.
 func Draw(seed uint64, n int) model.Day {
-	r := model.Stream(seed, "hunt", n)
+	r := model.NewRandom(seed, "hunt", n)
 	uniform := func(a, b float64) float64 { return a + (b-a)*r.Float64() }
 	randomDuration := func(a, b float64) unit.Duration {
 		return unit.Duration(time.Duration(uniform(a, b)*1000) * time.Millisecond)
 	}
-	day := model.Prairie()
+	day := model.DefaultDay()
 	day.Seed = r.Uint64() >> 32
-	day.Warm, day.Length = randomDuration(12, 12), unit.Duration(30*time.Second)
+	day.WarmUp, day.Length = randomDuration(12, 12), unit.Duration(30*time.Second)
 	day.Fleet.Caches, day.Routers = 4+r.IntN(11), 1+r.IntN(5)
 	day.Load.Level = float64(int(uniform(20, 90))) / 100
 	day.Load.Shape = []string{"steady", "wave", "bursty"}[r.IntN(3)]
 	day.Origin.Headroom = float64(int(uniform(20, 31))) / 10
-	day.Origin.Drops = r.IntN(2) == 0
+	day.Origin.ClosesOnOverload = r.IntN(2) == 0
 	day.Net.Loss = []float64{0, 0, 0.001, 0.01}[r.IntN(4)]
 	for range 1 + r.IntN(3) {
 		day.Faults = append(day.Faults, drawFault(r, &day, randomDuration, uniform))
@@ -181,18 +181,18 @@
 func drawFault(r *rand.Rand, day *model.Day, randomDuration func(a, b float64) unit.Duration,
 	uniform func(a, b float64) float64) model.Fault {
 	kinds := model.FaultKinds()
-	f := model.Fault{Kind: kinds[r.IntN(len(kinds))][0], At: randomDuration(2, 15), For: randomDuration(3, 15),
-		Part: float64(int(uniform(5, 30))) / 100, Size: float64(int(uniform(10, 60))) / 100, Count: 1 + r.IntN(3),
-		Gap: randomDuration(0.5, 4), Zone: r.IntN(day.Zones)}
+	f := model.Fault{Kind: kinds[r.IntN(len(kinds))][0], At: randomDuration(2, 15), Duration: randomDuration(3, 15),
+		Share: float64(int(uniform(5, 30))) / 100, Severity: float64(int(uniform(10, 60))) / 100, Count: 1 + r.IntN(3),
+		Interval: randomDuration(0.5, 4), Zone: r.IntN(day.Zones)}
 	switch f.Kind {
 	case "hot_key":
-		f.Size /= 2.5
+		f.Severity /= 2.5
 	case "lossy", "silent":
-		f.Size /= 5
+		f.Severity /= 5
 	case "resets":
-		f.Size *= 100
+		f.Severity *= 100
 	case "origin_slow":
-		f.Size = 1 + 5*f.Size
+		f.Severity = 1 + 5*f.Severity
 	case "drain":
 		f.Count = min(f.Count, day.Fleet.Caches-2)
 	}
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -30,7 +30,7 @@
 		}
 		c := cell{name, r.Policy}
 		values[c] = append(values[c], v)
-		violated[c] = violated[c] || r.Broken > 0
+		violated[c] = violated[c] || r.ViolationCount > 0
 	}
 	fmt.Fprintf(out, "| %s | %s |\n|%s\n", x, strings.Join(policies, " | "), strings.Repeat(" --- |", len(policies)+1))
 	for _, row := range rows {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -137,7 +137,7 @@
 		start: time.Now(),
 		conns: newPool(plan.Addrs, plan.Conns),
 	}
-	keys := model.Stream(plan.Seed, "keys", 0)
+	keys := model.NewRandom(plan.Seed, "keys", 0)
 	for range plan.Keys {
 		r.keys = append(r.keys, keys.Uint64())
 	}
@@ -166,7 +166,7 @@
 // openLoop sends each request when it is due. The times between requests are exponentially distributed. openLoop returns
 // when ctx has ended and all requests are finished.
 func (r *run) openLoop(ctx context.Context) {
-	rng := model.Stream(r.plan.Seed, "open", 0)
+	rng := model.NewRandom(r.plan.Seed, "open", 0)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var pending sync.WaitGroup
@@ -194,7 +194,7 @@
 	var senders sync.WaitGroup
 	for i := range r.plan.Conns {
 		senders.Go(func() {
-			rng := model.Stream(r.plan.Seed, "closed", i)
+			rng := model.NewRandom(r.plan.Seed, "closed", i)
 			for ctx.Err() == nil {
 				r.send(r.draw(rng, time.Now()))
 			}
--- a/internal/lab/model/cache.go
+++ b/internal/lab/model/cache.go
@@ -50,10 +50,10 @@
 // Warmth returns the share of its full capacity that a cache has at the given time.
 func (c *Cache) Warmth(now time.Duration) float64 {
 	age := now - c.Started
-	if !c.StartedInRun || age >= c.Kind.ColdFor.Std() {
+	if !c.StartedInRun || age >= c.Kind.WarmUpDuration.Std() {
 		return 1
 	}
-	return c.Kind.ColdFrom + (1-c.Kind.ColdFrom)*float64(age)/float64(c.Kind.ColdFor)
+	return c.Kind.ColdCapacity + (1-c.Kind.ColdCapacity)*float64(age)/float64(c.Kind.WarmUpDuration)
 }
 
 // Capacity returns the work that a cache can do per second, in standard-core seconds; 0 if it is down.
@@ -70,14 +70,14 @@
 // weight returns the registered weight of a cache: its cores times the nominal speed of its kind.
 func (c *Cache) weight() float64 { return float64(c.Kind.Cores) * c.Kind.Speed }
 
-// Up reports whether the process runs.
-func (c *Cache) Up() bool { return c.running }
+// IsRunning reports whether the process runs.
+func (c *Cache) IsRunning() bool { return c.running }
 
 func (w *World) newCache(index int, kind *Kind) *Cache {
-	r := Stream(w.day.Seed, "cache", index)
+	r := NewRandom(w.day.Seed, "cache", index)
 	c := &Cache{Kind: kind, Cores: kind.Cores, random: r, Addr: index}
 	c.Speed = kind.Speed * drawUniform(r, 1-kind.Spread, 1+kind.Spread)
-	c.host = host{w: w, index: index, zone: index % w.day.Zones, maxConns: kind.Cores * w.day.Fleet.ConnsCore}
+	c.host = host{w: w, index: index, zone: index % w.day.Zones, maxConns: kind.Cores * w.day.Fleet.ConnsPerCore}
 	c.host.serve, c.host.cancel, c.host.accept = c.handle, c.cancel, c.acceptConn
 	c.workers = station{queue: &w.Queue, slots: kind.Cores, queueLimit: int(kind.Queue*float64(kind.Cores) + 0.5),
 		slotRate: func() float64 { return c.Speed * c.Warmth(w.Now()) * (1 - c.slowdown) },
@@ -126,12 +126,12 @@
 // admit starts or queues a call, or rejects it.
 func (c *Cache) admit(call *Call) {
 	if c.errorRate > 0 && c.random.Float64() < c.errorRate {
-		call.Conn.finish(call, Failed)
+		call.Conn.finish(call, ResultFailed)
 		return
 	}
 	call.job = job{call: call}
 	if !c.workers.add(&call.job, false) {
-		call.Conn.finish(call, Busy)
+		call.Conn.finish(call, ResultBusy)
 	}
 }
 
@@ -140,19 +140,19 @@
 func (c *Cache) workNeeded(j *job) float64 {
 	op := j.call.Try.Op
 	if op.Write || !c.store.lookUp(op.Key) {
-		j.call.result = Missed
+		j.call.result = ResultMissed
 		return op.Work * c.w.day.Fleet.MissWork
 	}
-	j.call.result = Served
+	j.call.result = ResultServed
 	return op.Work
 }
 
 func (c *Cache) finish(j *job) {
 	call, result := j.call, j.call.result
 	if c.Kind.ErrorRate > 0 && c.random.Float64() < c.Kind.ErrorRate {
-		result = Failed
+		result = ResultFailed
 	}
-	if result == Missed && !call.Try.Op.Write {
+	if result == ResultMissed && !call.Try.Op.Write {
 		call.Try.missedCaches = append(call.Try.missedCaches, c)
 	}
 	if call.Conn.closedByServer {
@@ -182,7 +182,7 @@
 // countArrival records received work. A cold cache that receives too much work collapses.
 func (c *Cache) countArrival(arrival ColdWork) {
 	c.WorkReceived += arrival.Work
-	now, rules := c.w.Now(), &c.w.day.Rules
+	now, rules := c.w.Now(), &c.w.day.Invariants
 	arrival.At = now
 	if c.Warmth(now) >= 1 {
 		c.recentColdWork, c.recentColdSum = nil, 0
@@ -190,17 +190,17 @@
 	}
 	c.recentColdWork = append(c.recentColdWork, arrival)
 	c.recentColdSum += arrival.Work
-	for now-c.recentColdWork[0].At > rules.Fall.Std() {
+	for now-c.recentColdWork[0].At > rules.CollapseDuration.Std() {
 		c.recentColdSum -= c.recentColdWork[0].Work
 		c.recentColdWork = c.recentColdWork[1:]
 	}
 	// A few pieces of work may arrive at the same time by chance.
 	slack := 4 * c.w.meanWork
-	limit := rules.Overload*c.Capacity(now)*rules.Fall.Seconds() + slack
+	limit := rules.OverloadFactor*c.Capacity(now)*rules.CollapseDuration.Seconds() + slack
 	if c.recentColdSum <= limit {
 		return
 	}
 	c.stayDown = true
 	c.w.kill(c)
-	c.w.observer.FellOver(&Collapse{Server: c.index, Started: c.Started, Limit: limit, Work: c.recentColdWork})
+	c.w.observer.CacheCollapsed(&Collapse{Server: c.index, Started: c.Started, Limit: limit, Work: c.recentColdWork})
 }
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -33,8 +33,8 @@
 // Try is one request that a client sends for an operation.
 type Try struct {
 	Op        *Operation
-	N         int // number of the try within the operation, from 0
-	At        time.Duration
+	Number    int // number of the try within the operation, from 0
+	SentAt    time.Duration
 	Router    int
 	Remaining time.Duration // time after At at which the client cancels the try
 
@@ -42,16 +42,16 @@
 	ended        bool
 }
 
-// Final is the kind of final answer of a router.
-type Final uint8
+// FinalAnswer is the kind of final answer of a router.
+type FinalAnswer uint8
 
 // The kinds of final answers.
 const (
-	Value         Final = iota // the value or receipt
-	Refused                    // a retry is harmless
-	Failure                    // any other failure
-	Lost                       // the connection was closed without an answer
-	FinalNoRouter              // no router was reachable
+	FinalValue    FinalAnswer = iota // the value or receipt
+	FinalRefused                     // a retry is harmless
+	FinalFailed                      // any other failure
+	FinalLost                        // the connection was closed without an answer
+	FinalNoRouter                    // no router was reachable
 )
 
 // TryEnding says how a try ended.
@@ -68,16 +68,16 @@
 )
 
 // endingOf returns the ending of a try for any final answer but the value.
-func endingOf(answer Final) TryEnding {
-	return [...]TryEnding{Refused: EndingRefused, Failure: EndingFailed, Lost: EndingLost, FinalNoRouter: EndingNoRouter}[answer]
+func endingOf(answer FinalAnswer) TryEnding {
+	return [...]TryEnding{FinalRefused: EndingRefused, FinalFailed: EndingFailed, FinalLost: EndingLost, FinalNoRouter: EndingNoRouter}[answer]
 }
 
 // RouterTier is the routers as seen by the clients and their load balancer.
 type RouterTier interface {
-	// Take delivers a try to a router. It returns false if the router is not running.
-	Take(t *Try) bool
-	// Leave tells a router that the client of a try has disconnected.
-	Leave(t *Try)
+	// Deliver delivers a try to a router. It returns false if the router is not running.
+	Deliver(t *Try) bool
+	// ClientDisconnected tells a router that the client of a try has disconnected.
+	ClientDisconnected(t *Try)
 }
 
 // clients generates the operations and simulates the clients that send them.
@@ -95,10 +95,10 @@
 }
 
 func (w *World) newClients() *clients {
-	c := &clients{w: w, random: Stream(w.day.Seed, "clients", 0), burstLevel: 1,
+	c := &clients{w: w, random: NewRandom(w.day.Seed, "clients", 0), burstLevel: 1,
 		believedDeadAt: make([]time.Duration, w.day.Routers)}
 	n := w.day.Load.Keys * w.day.Fleet.Caches
-	keys := Stream(w.day.Seed, "keys", 0)
+	keys := NewRandom(w.day.Seed, "keys", 0)
 	for range n {
 		c.keysByRank = append(c.keysByRank, keys.Uint64()|1)
 	}
@@ -162,7 +162,7 @@
 		op.Work *= 1 + day.Load.SizeWork*(op.Size-1)
 	}
 	op.tryShare = drawUniform(random, day.Clients.Try[0], day.Clients.Try[1])
-	op.honoursRetryAfter = random.Float64() < day.Clients.Honour
+	op.honoursRetryAfter = random.Float64() < day.Clients.HonourShare
 	op.jitter = random.Float64()
 	return op
 }
@@ -172,9 +172,9 @@
 	return drawLognormal(rand.New(rand.NewPCG(key, w.day.Seed)), w.day.Load.Sizes)
 }
 
-// Fill stores each key in the caches that are its homes, the most popular keys last. Each function in homes
+// FillCaches stores each key in the caches that are its homes, the most popular keys last. Each function in homes
 // returns a server's ID for a key, or 0 for none.
-func (w *World) Fill(homes []func(key uint64) uint32) {
+func (w *World) FillCaches(homes []func(key uint64) uint32) {
 	byID := map[uint32]*Cache{}
 	for _, c := range w.Caches {
 		byID[w.Member(c.index).ID] = c
@@ -194,7 +194,7 @@
 	class := &c.w.day.Classes[op.Class]
 	now := c.w.Now()
 	remaining := class.Deadline.Std() - (now - op.CreatedAt)
-	t := &Try{Op: op, N: number, At: now, Router: c.pickRouter(op),
+	t := &Try{Op: op, Number: number, SentAt: now, Router: c.pickRouter(op),
 		Remaining: min(remaining, time.Duration(op.tryShare*float64(class.Deadline.Std())))}
 	if t.Remaining <= 0 {
 		c.finishOperation(op)
@@ -202,14 +202,14 @@
 	}
 	op.TryCount = number + 1
 	c.w.After(c.w.ClientDelay(), func() {
-		if !c.w.routers.Take(t) {
+		if !c.w.routers.Deliver(t) {
 			c.w.After(c.w.ClientDelay(), func() { c.handleAnswer(t, FinalNoRouter, 0) })
 		}
 	})
 	c.w.After(t.Remaining, func() {
 		if !t.ended {
-			c.w.After(c.w.ClientDelay(), func() { c.w.routers.Leave(t) })
-			c.finishTry(t, Failure, EndingUnanswered, 0)
+			c.w.After(c.w.ClientDelay(), func() { c.w.routers.ClientDisconnected(t) })
+			c.finishTry(t, FinalFailed, EndingUnanswered, 0)
 		}
 	})
 }
@@ -239,51 +239,51 @@
 }
 
 // Reply delivers a router's final answer to the client.
-func (w *World) Reply(t *Try, answer Final, retryAfter time.Duration) {
+func (w *World) Reply(t *Try, answer FinalAnswer, retryAfter time.Duration) {
 	w.After(w.ClientDelay(), func() { w.clients.handleAnswer(t, answer, retryAfter) })
 }
 
 // handleAnswer processes the final answer to a try.
-func (c *clients) handleAnswer(t *Try, answer Final, retryAfter time.Duration) {
+func (c *clients) handleAnswer(t *Try, answer FinalAnswer, retryAfter time.Duration) {
 	c.finishTry(t, answer, endingOf(answer), retryAfter)
 }
 
 // finishTry processes the end of a try and schedules a retry if the class allows one.
-func (c *clients) finishTry(t *Try, answer Final, ending TryEnding, retryAfter time.Duration) {
+func (c *clients) finishTry(t *Try, answer FinalAnswer, ending TryEnding, retryAfter time.Duration) {
 	if t.ended {
 		return
 	}
 	t.ended = true
 	op, now := t.Op, c.w.Now()
 	op.LastEnding = ending
-	if answer == Value {
+	if answer == FinalValue {
 		op.AnsweredAt = now
 		c.finishOperation(op)
 		return
 	}
 	class := &c.w.day.Classes[op.Class]
-	retry := t.N < c.w.day.Clients.Retries
+	retry := t.Number < c.w.day.Clients.Retries
 	switch class.Effect {
 	case "unsafe":
-		retry = retry && (answer == Refused || answer == FinalNoRouter)
+		retry = retry && (answer == FinalRefused || answer == FinalNoRouter)
 	case "keyed":
-		retry = retry && (answer == Refused || answer == FinalNoRouter || now-op.CreatedAt < class.Window.Std())
+		retry = retry && (answer == FinalRefused || answer == FinalNoRouter || now-op.CreatedAt < class.Window.Std())
 	}
-	wait := time.Duration(float64(c.w.day.Clients.Backoff.Std()) * float64(int(1)<<t.N) * (0.5 + op.jitter))
-	if answer == Refused && op.honoursRetryAfter {
-		wait = max(wait, min(retryAfter, c.w.day.Clients.MostWait.Std()))
+	wait := time.Duration(float64(c.w.day.Clients.Backoff.Std()) * float64(int(1)<<t.Number) * (0.5 + op.jitter))
+	if answer == FinalRefused && op.honoursRetryAfter {
+		wait = max(wait, min(retryAfter, c.w.day.Clients.MaxRetryAfter.Std()))
 	}
 	if !retry || now+wait-op.CreatedAt >= class.Deadline.Std() {
 		c.finishOperation(op)
 		return
 	}
-	c.w.After(wait, func() { c.send(op, t.N+1) })
+	c.w.After(wait, func() { c.send(op, t.Number+1) })
 }
 
 func (c *clients) finishOperation(op *Operation) {
 	if !op.Ended {
 		op.Ended = true
-		c.w.observer.Ended(op)
+		c.w.observer.OperationEnded(op)
 	}
 }
 
--- a/internal/lab/model/conn.go
+++ b/internal/lab/model/conn.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Answer is the result of a call to a server.
-type Answer uint8
+// CallResult is the result of a call to a server.
+type CallResult uint8
 
 // The results of a call. Busy and Stale mean that the call was never executed, as Missed does.
 const (
-	Served Answer = iota
-	Missed        // the server does not hold the object; no effect
-	Failed        // the call may have been executed
-	Busy          // rejected without being started
-	Stale         // waited too long in the queue and was never started
+	ResultServed CallResult = iota
+	ResultMissed            // the server does not hold the object; no effect
+	ResultFailed            // the call may have been executed
+	ResultBusy              // rejected without being started
+	ResultStale             // waited too long in the queue and was never started
 )
 
 // Call is one call from a router to a server.
@@ -24,7 +24,7 @@
 	Conn    *Conn
 
 	job    job
-	result Answer
+	result CallResult
 	ready  bool // the result is known, though an earlier call on the connection may still be unanswered
 }
 
@@ -32,9 +32,9 @@
 // is inside a method of Conn.
 type ConnHandler interface {
 	Opened(c *Conn)
-	Refused(c *Conn)               // the connection was not established; a vanished machine does not even refuse
-	Answered(call *Call, a Answer) // in the order of the calls
-	Lost(c *Conn)                  // closed by the server or the network; unanswered calls get no result
+	Refused(c *Conn)                   // the connection was not established; a vanished machine does not even refuse
+	Answered(call *Call, a CallResult) // in the order of the calls
+	Closed(c *Conn)                    // closed by the server or the network; unanswered calls get no result
 }
 
 // Conn is one connection from a router to a server. Calls on it are answered in order. Opening a connection
@@ -161,7 +161,7 @@
 	c.toRouter(func() {
 		if !c.closedByRouter {
 			c.closedByRouter = true
-			c.handler.Lost(c)
+			c.handler.Closed(c)
 		}
 	})
 }
@@ -190,7 +190,7 @@
 }
 
 // finish stores the result of a call and sends all results that no longer wait for an earlier call.
-func (c *Conn) finish(call *Call, result Answer) {
+func (c *Conn) finish(call *Call, result CallResult) {
 	call.ready, call.result = true, result
 	if c.closedByServer {
 		return
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -17,23 +17,23 @@
 
 // Member is one entry of the server list.
 type Member struct {
-	ID      uint32 // the same at every router and after a restart
-	Index   int    // number that identifies the server to Dial
-	Addr    int    // address; a new server may reuse the address of one that has left
-	Zone    int
-	Kind    int // index of the kind of machine; for the origin, the number of kinds
-	Cell    int
-	Phase   Phase
-	Weight  float64
-	Started time.Duration // 0 if the process started before the day
-	Origin  bool
+	ID          uint32 // the same at every router and after a restart
+	ServerIndex int    // number that identifies the server to Dial
+	Addr        int    // address; a new server may reuse the address of one that has left
+	Zone        int
+	Kind        int // index of the kind of machine; for the origin, the number of kinds
+	Cell        int
+	Phase       Phase
+	Weight      float64
+	Started     time.Duration // 0 if the process started before the day
+	Origin      bool
 }
 
-// Update is what server discovery sends to a router.
-type Update struct {
-	Full    bool // Members is the complete list; otherwise it holds only the changes
-	Failed  bool // a request failed or a watch broke; Members is empty
-	Members []Member
+// ListUpdate is what server discovery sends to a router.
+type ListUpdate struct {
+	Complete bool // Members is the complete list; otherwise it holds only the changes
+	Failed   bool // a request failed or a watch broke; Members is empty
+	Members  []Member
 }
 
 // Discovery lists servers. It learns of changes late, and its capacity is limited.
@@ -56,27 +56,27 @@
 
 // watcher is the state of one router's watch.
 type watcher struct {
-	notify      func(Update)
+	notify      func(ListUpdate)
 	active      bool
 	version     int // version last sent
 	pushPending bool
 }
 
 func (w *World) newDiscovery() *Discovery {
-	discovery := &Discovery{w: w, settings: &w.day.Directory, random: Stream(w.day.Seed, "directory", 0)}
+	discovery := &Discovery{w: w, settings: &w.day.Discovery, random: NewRandom(w.day.Seed, "directory", 0)}
 	for range w.day.Routers {
 		discovery.watchers = append(discovery.watchers, &watcher{})
 	}
 	return discovery
 }
 
-// Join registers the callback of a router, which holds the list of the given version.
-func (d *Discovery) Join(router, version int, notify func(Update)) {
+// Register registers the callback of a router, which holds the list of the given version.
+func (d *Discovery) Register(router, version int, notify func(ListUpdate)) {
 	d.watchers[router] = &watcher{notify: notify, version: min(version, d.version)}
 }
 
-// Present returns all servers that are not removed.
-func (d *Discovery) Present() []Member {
+// Members returns all servers that are not removed.
+func (d *Discovery) Members() []Member {
 	var list []Member
 	for _, m := range d.members {
 		if m.Phase != Removed {
@@ -89,10 +89,10 @@
 // Version returns the number of changes so far.
 func (d *Discovery) Version() int { return d.version }
 
-// Ask handles a request of a router: for the complete list if wantList is set, to start a watch if wantWatch
+// Request handles a request of a router: for the complete list if wantList is set, to start a watch if wantWatch
 // is set, and otherwise to end its watch. callback receives the result; if it is nil, the callback of the
 // watch does.
-func (d *Discovery) Ask(router int, wantList, wantWatch bool, callback func(Update)) {
+func (d *Discovery) Request(router int, wantList, wantWatch bool, callback func(ListUpdate)) {
 	watch := d.watchers[router]
 	if callback == nil {
 		callback = watch.notify
@@ -110,18 +110,18 @@
 		if wait > d.settings.Timeout.Std() {
 			d.busyUntil -= seconds(cost)
 		}
-		d.w.After(min(wait, d.settings.Timeout.Std())+delay, func() { callback(Update{Failed: true}) })
+		d.w.After(min(wait, d.settings.Timeout.Std())+delay, func() { callback(ListUpdate{Failed: true}) })
 		return
 	}
 	d.w.After(wait+delay, func() {
 		if d.down {
-			callback(Update{Failed: true})
+			callback(ListUpdate{Failed: true})
 			return
 		}
 		complete := wantList || watch.version == 0
-		var update Update
-		if update.Full = complete; complete {
-			update.Members = d.Present()
+		var update ListUpdate
+		if update.Complete = complete; complete {
+			update.Members = d.Members()
 		} else {
 			update.Members = d.changedSince(watch.version)
 		}
@@ -135,7 +135,7 @@
 // member returns the list entry of a server. A server that was never listed has the phase Removed.
 func (d *Discovery) member(index int) Member {
 	if index >= len(d.members) {
-		return Member{Index: index}
+		return Member{ServerIndex: index}
 	}
 	return d.members[index]
 }
@@ -155,15 +155,15 @@
 
 // setMember changes the entry of a server and notifies the watching routers.
 func (d *Discovery) setMember(m Member) {
-	for len(d.members) <= m.Index {
-		d.members = append(d.members, Member{Index: len(d.members)})
+	for len(d.members) <= m.ServerIndex {
+		d.members = append(d.members, Member{ServerIndex: len(d.members)})
 	}
-	if d.members[m.Index] == m {
+	if d.members[m.ServerIndex] == m {
 		return
 	}
-	d.members[m.Index] = m
+	d.members[m.ServerIndex] = m
 	d.version++
-	d.changes = append(d.changes, change{d.version, m.Index})
+	d.changes = append(d.changes, change{d.version, m.ServerIndex})
 	d.w.observer.Listed(m)
 	if d.down {
 		return
@@ -184,7 +184,7 @@
 		if !watch.active || d.down || watch.version == d.version {
 			return
 		}
-		update := Update{Members: d.changedSince(watch.version)}
+		update := ListUpdate{Members: d.changedSince(watch.version)}
 		watch.version = d.version
 		watch.notify(update)
 	})
@@ -196,7 +196,7 @@
 	for _, watch := range d.watchers {
 		if down && watch.active {
 			watch.active = false
-			d.w.After(d.w.day.Net.Cross.Std(), func() { watch.notify(Update{Failed: true}) })
+			d.w.After(d.w.day.Net.Cross.Std(), func() { watch.notify(ListUpdate{Failed: true}) })
 		}
 	}
 }
@@ -207,9 +207,9 @@
 }
 
 func (d *Discovery) noticeDelay() time.Duration {
-	return d.drawDelay([2]time.Duration{d.settings.Notice[0].Std(), d.settings.Notice[1].Std()})
+	return d.drawDelay([2]time.Duration{d.settings.NoticeDelay[0].Std(), d.settings.NoticeDelay[1].Std()})
 }
 
 func (d *Discovery) deathDelay() time.Duration {
-	return d.drawDelay([2]time.Duration{d.settings.Silent[0].Std(), d.settings.Silent[1].Std()})
+	return d.drawDelay([2]time.Duration{d.settings.DeathDelay[0].Std(), d.settings.DeathDelay[1].Std()})
 }
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -14,14 +14,14 @@
 
 // Fault is a fault or a planned change during a day. The meaning of Part, Size and Count depends on the kind.
 type Fault struct {
-	Kind  string        `toml:"kind"`
-	At    unit.Duration `toml:"at"` // time after the warm-up
-	For   unit.Duration `toml:"for"`
-	Part  float64       `toml:"part"`  // share of the caches, at least one cache
-	Size  float64       `toml:"size"`  // severity
-	Count int           `toml:"count"` // number of caches, keys or routers
-	Gap   unit.Duration `toml:"gap"`   // time between two of them
-	Zone  int           `toml:"zone"`
+	Kind     string        `toml:"kind"`
+	At       unit.Duration `toml:"at"` // time after the warm-up
+	Duration unit.Duration `toml:"for"`
+	Share    float64       `toml:"part"`  // share of the caches, at least one cache
+	Severity float64       `toml:"size"`  // severity
+	Count    int           `toml:"count"` // number of caches, keys or routers
+	Interval unit.Duration `toml:"gap"`   // time between two of them
+	Zone     int           `toml:"zone"`
 }
 
 // faultKinds describes the kinds of fault. start starts the fault and returns a function that ends it, or nil
@@ -72,20 +72,20 @@
 		return fmt.Errorf("kind is %q: must be one of %s", f.Kind, strings.Join(names, ", "))
 	}
 	switch {
-	case f.Part < 0 || f.Part > 1:
-		return fmt.Errorf("part is %g: 0 to 1 is possible", f.Part)
-	case f.Size < 0 || f.Size > 1 && f.Kind != "resets" && f.Kind != "origin_slow":
-		return fmt.Errorf("size is %g: 0 to 1 is possible", f.Size)
-	case f.Kind == "slow" && f.Size >= 1:
-		return fmt.Errorf("size is %g: must be under 1 for a slow cache", f.Size)
-	case f.Kind == "origin_slow" && f.Size < 1:
-		return fmt.Errorf("size is %g: must be at least 1", f.Size)
+	case f.Share < 0 || f.Share > 1:
+		return fmt.Errorf("part is %g: 0 to 1 is possible", f.Share)
+	case f.Severity < 0 || f.Severity > 1 && f.Kind != "resets" && f.Kind != "origin_slow":
+		return fmt.Errorf("size is %g: 0 to 1 is possible", f.Severity)
+	case f.Kind == "slow" && f.Severity >= 1:
+		return fmt.Errorf("size is %g: must be under 1 for a slow cache", f.Severity)
+	case f.Kind == "origin_slow" && f.Severity < 1:
+		return fmt.Errorf("size is %g: must be at least 1", f.Severity)
 	case f.Count < 0 || f.Count > 10000:
 		return fmt.Errorf("count is %d: 0 to 10000 is possible", f.Count)
 	case f.Zone < 0 || f.Zone >= day.Zones:
 		return fmt.Errorf("zone is %d: the day has %d, counted from 0", f.Zone, day.Zones)
-	case f.Kind == "churn" && f.Gap < unit.Duration(100*time.Millisecond):
-		return fmt.Errorf("gap is %v: must be at least 100 ms", f.Gap)
+	case f.Kind == "churn" && f.Interval < unit.Duration(100*time.Millisecond):
+		return fmt.Errorf("gap is %v: must be at least 100 ms", f.Interval)
 	case (f.Kind == "drain") && f.Count >= day.Fleet.Caches:
 		return fmt.Errorf("count is %d: one of the %d caches must stay", f.Count, day.Fleet.Caches)
 	}
@@ -93,12 +93,12 @@
 }
 
 func (w *World) scheduleFault(i int, f *Fault) {
-	w.At(w.day.Warm.Std()+f.At.Std(), func() {
-		w.observer.Fault(f.Kind)
-		end := faultKinds[f.Kind].start(w, f, Stream(w.day.Seed, "fault", i))
+	w.At(w.day.WarmUp.Std()+f.At.Std(), func() {
+		w.observer.FaultChanged(f.Kind)
+		end := faultKinds[f.Kind].start(w, f, NewRandom(w.day.Seed, "fault", i))
 		if end != nil {
-			w.After(f.For.Std(), func() {
-				w.observer.Fault(f.Kind + " ends")
+			w.After(f.Duration.Std(), func() {
+				w.observer.FaultChanged(f.Kind + " ends")
 				end()
 			})
 		}
@@ -109,7 +109,7 @@
 func (w *World) drawCaches(r *rand.Rand, share float64) []*Cache {
 	var up []*Cache
 	for _, c := range w.Caches {
-		if c.running && !c.vanished && w.Directory.member(c.index).Phase == Ready {
+		if c.running && !c.vanished && w.Discovery.member(c.index).Phase == Ready {
 			up = append(up, c)
 		}
 	}
@@ -122,7 +122,7 @@
 func (w *World) kill(c *Cache) {
 	c.halt()
 	started := c.Started
-	w.After(w.Directory.deathDelay(), func() {
+	w.After(w.Discovery.deathDelay(), func() {
 		if c.Started == started && !c.running {
 			w.removeFromList(c)
 		}
@@ -130,9 +130,9 @@
 }
 
 func (w *World) removeFromList(c *Cache) {
-	m := w.Directory.member(c.index)
+	m := w.Discovery.member(c.index)
 	m.Phase = Removed
-	w.Directory.setMember(m)
+	w.Discovery.setMember(m)
 }
 
 // restart starts a cache's process again, unless the cache runs, has collapsed or has left.
@@ -146,15 +146,15 @@
 
 func (w *World) addToList(c *Cache) {
 	started := c.Started
-	w.After(w.Directory.noticeDelay(), func() {
+	w.After(w.Discovery.noticeDelay(), func() {
 		if c.running && c.Started == started {
-			w.Directory.setMember(w.runningMember(c))
+			w.Discovery.setMember(w.runningMember(c))
 		}
 	})
 }
 
 func crashCaches(w *World, f *Fault, r *rand.Rand) func() {
-	return applyToSome(w, f.Part, r, func(c *Cache, dead bool) {
+	return applyToSome(w, f.Share, r, func(c *Cache, dead bool) {
 		if dead {
 			w.kill(c)
 		} else {
@@ -164,11 +164,11 @@
 }
 
 func vanishCaches(w *World, f *Fault, r *rand.Rand) func() {
-	affected := w.drawCaches(r, f.Part)
+	affected := w.drawCaches(r, f.Share)
 	for _, c := range affected {
 		c.vanished = true
 		started := c.Started
-		w.After(w.Directory.deathDelay(), func() {
+		w.After(w.Discovery.deathDelay(), func() {
 			if c.Started == started && c.vanished {
 				w.removeFromList(c)
 			}
@@ -197,17 +197,17 @@
 }
 
 func failCalls(w *World, f *Fault, r *rand.Rand) func() {
-	return applyToSome(w, f.Part, r, func(c *Cache, on bool) { c.errorRate = valueIf(on, f.Size) })
+	return applyToSome(w, f.Share, r, func(c *Cache, on bool) { c.errorRate = valueIf(on, f.Severity) })
 }
 
 func hangCaches(w *World, f *Fault, r *rand.Rand) func() {
-	return applyToSome(w, f.Part, r, func(c *Cache, on bool) { c.setHanging(on) })
+	return applyToSome(w, f.Share, r, func(c *Cache, on bool) { c.setHanging(on) })
 }
 
 func dropCopies(w *World, f *Fault, r *rand.Rand) func() {
 	for _, c := range w.Caches {
 		for _, key := range c.store.keys() {
-			if r.Float64() < f.Size {
+			if r.Float64() < f.Severity {
 				c.store.remove(key)
 			}
 		}
@@ -216,7 +216,7 @@
 }
 
 func slowDown(w *World, f *Fault, r *rand.Rand) func() {
-	return applyToSome(w, f.Part, r, func(c *Cache, on bool) { c.slowdown = valueIf(on, f.Size) })
+	return applyToSome(w, f.Share, r, func(c *Cache, on bool) { c.slowdown = valueIf(on, f.Severity) })
 }
 
 func valueIf(on bool, size float64) float64 {
@@ -228,7 +228,7 @@
 
 func addHotKeys(w *World, f *Fault, r *rand.Rand) func() {
 	c := w.clients
-	c.hotShare = f.Size
+	c.hotShare = f.Severity
 	for range max(1, f.Count) {
 		c.hotKeys = append(c.hotKeys, c.keysByRank[r.IntN(len(c.keysByRank))])
 	}
@@ -260,7 +260,7 @@
 func blockConns(w *World, f *Fault, r *rand.Rand) func() {
 	return repeatEvery(w, 100*time.Millisecond, func() {
 		for _, c := range w.cacheConns() {
-			if r.Float64() < f.Size/10 {
+			if r.Float64() < f.Severity/10 {
 				c.Blackhole()
 			}
 		}
@@ -270,7 +270,7 @@
 func resetConns(w *World, f *Fault, r *rand.Rand) func() {
 	return repeatEvery(w, 100*time.Millisecond, func() {
 		list := w.cacheConns()
-		for range int(f.Size/10 + r.Float64()) {
+		for range int(f.Severity/10 + r.Float64()) {
 			if len(list) > 0 {
 				list[r.IntN(len(list))].Reset()
 			}
@@ -279,7 +279,7 @@
 }
 
 func loseSegments(w *World, f *Fault, _ *rand.Rand) func() {
-	w.lossRate = f.Size
+	w.lossRate = f.Severity
 	for i := range w.day.Routers {
 		w.lossyRouters[i] = true
 	}
@@ -307,7 +307,7 @@
 
 func addCaches(w *World, f *Fault, r *rand.Rand) func() {
 	for i := range max(1, f.Count) {
-		w.After(time.Duration(i)*f.Gap.Std(), func() { w.addCache(r, false) })
+		w.After(time.Duration(i)*f.Interval.Std(), func() { w.addCache(r, false) })
 	}
 	return nil
 }
@@ -318,18 +318,18 @@
 // retireCache drains a cache and ends its process some time after the drain was listed.
 func (w *World) retireCache(c *Cache) {
 	started := c.Started
-	w.After(w.Directory.noticeDelay(), func() {
+	w.After(w.Discovery.noticeDelay(), func() {
 		if !c.running || c.Started != started {
 			return
 		}
-		m := w.Directory.member(c.index)
+		m := w.Discovery.member(c.index)
 		m.Phase = Draining
-		w.Directory.setMember(m)
+		w.Discovery.setMember(m)
 		w.After(drainDuration, func() {
 			if c.running && c.Started == started {
 				c.halt()
 				c.stayDown = true // it is never restarted
-				w.After(w.Directory.noticeDelay(), func() { w.removeFromList(c) })
+				w.After(w.Discovery.noticeDelay(), func() { w.removeFromList(c) })
 			}
 		})
 	})
@@ -338,7 +338,7 @@
 func drainCaches(w *World, f *Fault, r *rand.Rand) func() {
 	var chosen []*Cache
 	for i := range max(1, f.Count) {
-		w.After(time.Duration(i)*f.Gap.Std(), func() {
+		w.After(time.Duration(i)*f.Interval.Std(), func() {
 			list := slices.DeleteFunc(w.drawCaches(r, 1), func(c *Cache) bool { return slices.Contains(chosen, c) })
 			if len(list) > 1 {
 				chosen = append(chosen, list[0])
@@ -350,7 +350,7 @@
 }
 
 func replaceCaches(w *World, f *Fault, r *rand.Rand) func() {
-	return repeatEvery(w, f.Gap.Std(), func() {
+	return repeatEvery(w, f.Interval.Std(), func() {
 		if list := w.drawCaches(r, 0); len(list) > 0 {
 			w.addCache(r, true)
 			w.retireCache(list[0])
@@ -359,8 +359,8 @@
 }
 
 func stopDiscovery(w *World, _ *Fault, _ *rand.Rand) func() {
-	w.Directory.setDown(true)
-	return func() { w.Directory.setDown(false) }
+	w.Discovery.setDown(true)
+	return func() { w.Discovery.setDown(false) }
 }
 
 // setBelievedDead sets from when on the load balancer believes that a router is dead; 0 marks the router as
@@ -371,7 +371,7 @@
 	affected := r.Perm(w.day.Routers)[:min(max(1, f.Count), w.day.Routers)]
 	for _, i := range affected {
 		w.routerControl.Kill(i)
-		w.setBelievedDead(i, w.Now()+w.day.Clients.Notice.Std())
+		w.setBelievedDead(i, w.Now()+w.day.Clients.DeadRouterNotice.Std())
 	}
 	return func() {
 		for _, i := range affected {
@@ -386,7 +386,7 @@
 func restartRouters(w *World, f *Fault, r *rand.Rand) func() {
 	const notice, killed, restarted = 300 * time.Millisecond, 4 * time.Second, 4500 * time.Millisecond
 	for n, i := range r.Perm(w.day.Routers)[:min(max(1, f.Count), w.day.Routers)] {
-		w.After(time.Duration(n)*f.Gap.Std(), func() {
+		w.After(time.Duration(n)*f.Interval.Std(), func() {
 			w.routerControl.Stop(i)
 			w.setBelievedDead(i, w.Now()+notice)
 			w.After(killed, func() { w.routerControl.Kill(i) })
@@ -407,7 +407,7 @@
 func cutZone(w *World, f *Fault, _ *rand.Rand) func() {
 	for z := range w.day.Zones {
 		if z != f.Zone {
-			w.cuts = append(w.cuts, zoneCut{f.Zone, z, w.Now() + f.For.Std()})
+			w.cuts = append(w.cuts, zoneCut{f.Zone, z, w.Now() + f.Duration.Std()})
 		}
 	}
 	return func() { w.cuts = slices.DeleteFunc(w.cuts, func(c zoneCut) bool { return c.until <= w.Now() }) }
@@ -429,16 +429,16 @@
 }
 
 func stopOrigin(w *World, f *Fault, _ *rand.Rand) func() {
-	w.Origin.halt(f.For.Std())
+	w.Origin.halt(f.Duration.Std())
 	return nil
 }
 
 func slowOrigin(w *World, f *Fault, _ *rand.Rand) func() {
-	w.Origin.slowdown = f.Size
+	w.Origin.slowdown = f.Severity
 	return func() { w.Origin.slowdown = 1 }
 }
 
 func failOrigin(w *World, f *Fault, _ *rand.Rand) func() {
-	w.Origin.errorRate = f.Size
+	w.Origin.errorRate = f.Severity
 	return func() { w.Origin.errorRate = 0 }
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -87,33 +87,33 @@
 	events []string
 }
 
-func (w *testWorld) Take(*Try) bool                 { return true }
-func (w *testWorld) Leave(*Try)                     {}
+func (w *testWorld) Deliver(*Try) bool              { return true }
+func (w *testWorld) ClientDisconnected(*Try)        {}
 func (w *testWorld) Kill(int)                       {}
 func (w *testWorld) Stop(int)                       {}
 func (w *testWorld) Start(int)                      {}
-func (w *testWorld) Ended(*Operation)               {}
-func (w *testWorld) Fetched(*Call)                  {}
-func (w *testWorld) Ran(*Call)                      { w.events = append(w.events, "ran") }
-func (w *testWorld) FellOver(*Collapse)             { w.events = append(w.events, "fell") }
+func (w *testWorld) OperationEnded(*Operation)      {}
+func (w *testWorld) OriginCalled(*Call)             {}
+func (w *testWorld) WriteExecuted(*Call)            { w.events = append(w.events, "ran") }
+func (w *testWorld) CacheCollapsed(*Collapse)       { w.events = append(w.events, "fell") }
 func (w *testWorld) OriginStopped(float64, float64) { w.events = append(w.events, "stopped") }
 func (w *testWorld) Listed(Member)                  {}
-func (w *testWorld) Fault(string)                   {}
+func (w *testWorld) FaultChanged(string)            {}
 func (w *testWorld) Opened(*Conn)                   { w.events = append(w.events, "opened") }
 func (w *testWorld) Refused(*Conn)                  { w.events = append(w.events, "refused") }
-func (w *testWorld) Lost(*Conn)                     { w.events = append(w.events, "lost") }
-func (w *testWorld) Answered(c *Call, a Answer) {
+func (w *testWorld) Closed(*Conn)                   { w.events = append(w.events, "lost") }
+func (w *testWorld) Answered(c *Call, a CallResult) {
 	w.events = append(w.events, [...]string{"served", "missed", "failed", "busy", "stale"}[a])
 }
 
 func newTestWorld(t *testing.T, change func(*Day)) *testWorld {
-	day := Prairie()
-	day.Load.Level, day.Warm = 0.001, 0
+	day := DefaultDay()
+	day.Load.Level, day.WarmUp = 0.001, 0
 	day.Kinds[0].ErrorRate, day.Kinds[1].ErrorRate = 0, 0
 	if change != nil {
 		change(&day)
 	}
-	if err := day.Check(); err != nil {
+	if err := day.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	w := &testWorld{}
@@ -215,7 +215,7 @@
 			w.send(conn, &Operation{Key: 1, Work: 1})
 		}
 		w.run(100 * time.Millisecond)
-		if collapsed := slices.Contains(w.events, "fell"); collapsed == beforeDay || c.Up() != beforeDay {
+		if collapsed := slices.Contains(w.events, "fell"); collapsed == beforeDay || c.IsRunning() != beforeDay {
 			t.Errorf("running before the day %v: collapsed %v", beforeDay, collapsed)
 		}
 		w.run(20 * time.Second) // discovery learns of this death as of any other
@@ -229,7 +229,7 @@
 // still uses the old address reaches the new cache, and the different IDs tell the two apart.
 func TestAddressTakenOver(t *testing.T) {
 	w := newTestWorld(t, func(d *Day) {
-		d.Faults = []Fault{{Kind: "churn", For: unit.Duration(30 * time.Second), Gap: unit.Duration(4 * time.Second)}}
+		d.Faults = []Fault{{Kind: "churn", Duration: unit.Duration(30 * time.Second), Interval: unit.Duration(4 * time.Second)}}
 		d.Length = unit.Duration(60 * time.Second)
 	})
 	w.run(60 * time.Second)
@@ -348,27 +348,27 @@
 // next watch reports the changes missed meanwhile.
 func TestDiscoveryWatch(t *testing.T) {
 	w := newTestWorld(t, nil)
-	var updates []Update
-	w.Directory.Join(0, w.Directory.Version(), func(u Update) { updates = append(updates, u) })
-	w.Directory.Ask(0, false, true, nil)
+	var updates []ListUpdate
+	w.Discovery.Register(0, w.Discovery.Version(), func(u ListUpdate) { updates = append(updates, u) })
+	w.Discovery.Request(0, false, true, nil)
 	w.run(time.Second)
-	m := w.Directory.member(1)
+	m := w.Discovery.member(1)
 	m.Phase = Draining
-	w.Directory.setMember(m)
+	w.Discovery.setMember(m)
 	w.run(time.Second)
-	w.Directory.setDown(true)
+	w.Discovery.setDown(true)
 	m.Phase = Removed
-	w.Directory.setMember(m)
+	w.Discovery.setMember(m)
 	w.run(time.Second)
-	w.Directory.Ask(0, false, true, nil)
+	w.Discovery.Request(0, false, true, nil)
 	w.run(time.Second)
-	w.Directory.setDown(false)
-	w.Directory.Ask(0, false, true, nil)
+	w.Discovery.setDown(false)
+	w.Discovery.Request(0, false, true, nil)
 	w.run(time.Second)
-	w.Directory.Ask(0, true, false, nil)
+	w.Discovery.Request(0, true, false, nil)
 	w.run(time.Second)
 	if len(updates) != 6 || len(updates[0].Members) != 0 || updates[1].Members[0].Phase != Draining || !updates[2].Failed ||
-		!updates[3].Failed || updates[4].Members[0].Phase != Removed || !updates[5].Full || len(updates[5].Members) != 10 {
+		!updates[3].Failed || updates[4].Members[0].Phase != Removed || !updates[5].Complete || len(updates[5].Members) != 10 {
 		t.Errorf("updates %+v", updates)
 	}
 }
@@ -379,7 +379,7 @@
 	w := newTestWorld(t, nil)
 	w.cuts = []zoneCut{{0, 1, 2 * time.Second}}
 	received := false
-	w.Tell(0, 1, func() { received = true })
+	w.SendPeerMessage(0, 1, func() { received = true })
 	w.Dial(0, 1, w) // server 1 is in zone 1
 	w.run(1900 * time.Millisecond)
 	w.expect(t)
@@ -398,9 +398,9 @@
 		"fault 1: zone is 7: the day has 3, counted from 0": func(d *Day) { d.Faults = []Fault{{Kind: "zone_cut", Zone: 7}} },
 		"no class of request":                               func(d *Day) { d.Classes = nil },
 	} {
-		day := Prairie()
+		day := DefaultDay()
 		change(&day)
-		if err := day.Check(); err == nil || err.Error() != want {
+		if err := day.Validate(); err == nil || err.Error() != want {
 			t.Errorf("got %v, want %s", err, want)
 		}
 	}
@@ -408,7 +408,7 @@
 
 // TestHitRate checks that the approximated hit rate agrees with that of a real store.
 func TestHitRate(t *testing.T) {
-	zipf, random, lru := NewZipf(600, 1, 3), Stream(1, "test", 0), newStore(300)
+	zipf, random, lru := NewZipf(600, 1, 3), NewRandom(1, "test", 0), newStore(300)
 	hits, draws := 0, 200000
 	for range draws {
 		key := uint64(zipf.Rank(random.Float64()))
--- a/internal/lab/model/net.go
+++ b/internal/lab/model/net.go
@@ -21,7 +21,7 @@
 	if w.lossyRouters[router] {
 		loss = max(loss, w.lossRate)
 	}
-	for resendAfter := settings.Resend.Std(); loss > 0 && w.netRandom.Float64() < loss && resendAfter < time.Minute; resendAfter *= 2 {
+	for resendAfter := settings.RetransmitTimeout.Std(); loss > 0 && w.netRandom.Float64() < loss && resendAfter < time.Minute; resendAfter *= 2 {
 		delay += resendAfter
 	}
 	arrives := w.Now() + delay
@@ -41,8 +41,8 @@
 	return time.Duration(float64(settings.Client.Std()) * (1 + settings.Jitter*(2*w.netRandom.Float64()-1)))
 }
 
-// Tell sends a message between routers. The message may be lost.
-func (w *World) Tell(from, to int, run func()) {
+// SendPeerMessage sends a message between routers. The message may be lost.
+func (w *World) SendPeerMessage(from, to int, run func()) {
 	settings := &w.day.Net
 	lossRate := settings.PeerLoss
 	if w.dropPeerMessages {
--- a/internal/lab/model/origin.go
+++ b/internal/lab/model/origin.go
@@ -33,7 +33,7 @@
 
 func (w *World) newOrigin(index int) *Origin {
 	settings := &w.day.Origin
-	o := &Origin{settings: settings, random: Stream(w.day.Seed, "origin", 0), slowdown: 1,
+	o := &Origin{settings: settings, random: NewRandom(w.day.Seed, "origin", 0), slowdown: 1,
 		doneAt: map[uint64]time.Duration{}, waitingReads: map[uint64][]*Call{}}
 	hits := w.zipf.HitRate(w.day.Fleet.Memory * w.day.Fleet.Caches)
 	reads, writes := 0.0, 0.0
@@ -80,7 +80,7 @@
 	} else {
 		o.Fetches++
 	}
-	o.w.observer.Fetched(call)
+	o.w.observer.OriginCalled(call)
 	call.job = job{call: call}
 	if o.warmingUp {
 		o.w.After(o.settings.Time.Std(), func() { o.finish(&call.job) })
@@ -95,19 +95,19 @@
 		return
 	}
 	if o.errorRate > 0 && o.random.Float64() < o.errorRate {
-		call.Conn.finish(call, Failed)
+		call.Conn.finish(call, ResultFailed)
 		return
 	}
 	if o.workers.add(&call.job, false) {
-		if o.settings.Shared && !op.Write {
+		if o.settings.SharesFetches && !op.Write {
 			o.waitingReads[op.Key] = nil
 		}
 		return
 	}
-	if o.settings.Drops {
+	if o.settings.ClosesOnOverload {
 		call.Conn.Reset()
 	} else {
-		call.Conn.finish(call, Busy)
+		call.Conn.finish(call, ResultBusy)
 	}
 }
 
@@ -115,9 +115,9 @@
 func (o *Origin) dropExpired(j *job) bool {
 	expired := o.w.Now()-j.enteredAt > o.settings.Queue.Std()
 	if expired {
-		j.call.Conn.finish(j.call, Stale)
+		j.call.Conn.finish(j.call, ResultStale)
 		for _, call := range o.removeWaiting(j.call.Try.Op) {
-			call.Conn.finish(call, Stale)
+			call.Conn.finish(call, ResultStale)
 		}
 	}
 	return expired
@@ -135,7 +135,7 @@
 func (o *Origin) workNeeded(j *job) float64 {
 	work := drawExponential(o.random, 1)
 	if j.call.Try.Op.Write {
-		work *= o.settings.Write
+		work *= o.settings.WriteWork
 	}
 	return work
 }
@@ -146,13 +146,13 @@
 		if class := &o.w.day.Classes[op.Class]; class.Effect == "keyed" {
 			at, seen := o.doneAt[op.ID]
 			if seen && o.w.Now()-at < class.Window.Std() {
-				call.Conn.finish(call, Served) // a repeated write, deduplicated
+				call.Conn.finish(call, ResultServed) // a repeated write, deduplicated
 				return
 			}
 			o.doneAt[op.ID] = o.w.Now()
 		}
 		op.Executions++
-		o.w.observer.Ran(call)
+		o.w.observer.WriteExecuted(call)
 		for _, c := range o.w.Caches {
 			if c.running {
 				c.store.remove(op.Key)
@@ -174,12 +174,12 @@
 			}
 		}
 	}
-	call.Conn.finish(call, Served)
+	call.Conn.finish(call, ResultServed)
 }
 
 // recordLoad records a call and stops the origin if its load has been too high for too long.
 func (o *Origin) recordLoad(call *Call) {
-	if o.settings.Fall <= 0 {
+	if o.settings.CollapseLoad <= 0 {
 		return
 	}
 	added := originCall{at: o.w.Now()}
@@ -190,16 +190,16 @@
 	if added.fromCold {
 		o.recentFromCold++
 	}
-	for added.at-o.recent[0].at > o.settings.FallFor.Std() {
+	for added.at-o.recent[0].at > o.settings.CollapseDuration.Std() {
 		if o.recent[0].fromCold {
 			o.recentFromCold--
 		}
 		o.recent = o.recent[1:]
 	}
-	if limit := o.settings.Fall * o.Capacity * o.settings.FallFor.Seconds(); float64(len(o.recent)) > limit {
+	if limit := o.settings.CollapseLoad * o.Capacity * o.settings.CollapseDuration.Seconds(); float64(len(o.recent)) > limit {
 		coldShare := float64(o.recentFromCold) / float64(len(o.recent))
-		coldRatio := float64(o.recentFromCold) / max(1, o.w.coldReadRate()*o.settings.FallFor.Seconds())
-		o.halt(o.settings.DownFor.Std())
+		coldRatio := float64(o.recentFromCold) / max(1, o.w.coldReadRate()*o.settings.CollapseDuration.Seconds())
+		o.halt(o.settings.Downtime.Std())
 		o.w.observer.OriginStopped(coldShare, coldRatio)
 	}
 }
--- a/internal/lab/model/rand.go
+++ b/internal/lab/model/rand.go
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Stream returns an independent sequence of random numbers for one purpose. Purposes don't share a sequence,
+// NewRandom returns an independent sequence of random numbers for one purpose. Purposes don't share a sequence,
 // so when one part of the model draws more often, the others are not affected: two policies get the same
 // clients.
-func Stream(seed uint64, purpose string, n int) *rand.Rand {
+func NewRandom(seed uint64, purpose string, n int) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(purpose)+uint64(n)*0x9e3779b97f4a7c15))
 }
 
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -7,15 +7,15 @@
 
 // Observer sees what really happens. It is used to score the day; a router must not learn any of this.
 type Observer interface {
-	Ended(op *Operation)  // a client has its answer or will not try again
-	Fetched(call *Call)   // the origin has received a call
-	Ran(call *Call)       // the origin has executed a write
-	FellOver(f *Collapse) // a cold cache has collapsed
+	OperationEnded(op *Operation) // a client has its answer or will not try again
+	OriginCalled(call *Call)      // the origin has received a call
+	WriteExecuted(call *Call)     // the origin has executed a write
+	CacheCollapsed(f *Collapse)   // a cold cache has collapsed
 	// OriginStopped reports that the origin has stopped: the share of its load that misses at cold caches
 	// caused, and the ratio of those misses to the number expected.
 	OriginStopped(coldShare, ratio float64)
-	Listed(m Member)   // discovery has changed an entry
-	Fault(text string) // a fault has started or ended
+	Listed(m Member)          // discovery has changed an entry
+	FaultChanged(text string) // a fault has started or ended
 }
 
 // RouterControl starts and stops routers when the day requires it.
@@ -30,7 +30,7 @@
 	Queue
 	Caches    []*Cache // a cache's position is its server index less one: the origin is server 0
 	Origin    *Origin
-	Directory *Discovery
+	Discovery *Discovery
 	Rate      float64 // mean requests per second
 
 	Handshakes int     // connections opened by routers
@@ -56,7 +56,7 @@
 func New(day *Day, routers RouterTier, routerControl RouterControl, observer Observer) *World {
 	w := &World{day: day, routers: routers, routerControl: routerControl, observer: observer,
 		lossyRouters: map[int]bool{}, occupants: map[int]*host{},
-		netRandom: Stream(day.Seed, "net", 0)}
+		netRandom: NewRandom(day.Seed, "net", 0)}
 	w.zipf = NewZipf(day.Load.Keys*day.Fleet.Caches, day.Load.Zipf, day.Load.Offset)
 	kinds := w.assignKinds(day.Fleet.Caches)
 	capacity := 0.0
@@ -82,28 +82,28 @@
 	w.meanWork /= max(reads, 1e-9)
 	w.Origin = w.newOrigin(0)
 	w.hosts[0] = &w.Origin.host
-	w.Directory = w.newDiscovery()
+	w.Discovery = w.newDiscovery()
 	w.clients = w.newClients()
 
-	w.Origin.running, w.Origin.warmingUp = true, day.Warm > 0
-	w.After(day.Warm.Std(), func() { w.Origin.warmingUp = false })
-	w.Directory.setMember(Member{ID: 0, Index: 0, Kind: len(day.Kinds), Phase: Ready, Weight: 1, Origin: true})
+	w.Origin.running, w.Origin.warmingUp = true, day.WarmUp > 0
+	w.After(day.WarmUp.Std(), func() { w.Origin.warmingUp = false })
+	w.Discovery.setMember(Member{ID: 0, ServerIndex: 0, Kind: len(day.Kinds), Phase: Ready, Weight: 1, Origin: true})
 	for _, c := range w.Caches {
 		c.start(true)
-		w.Directory.setMember(w.runningMember(c))
+		w.Discovery.setMember(w.runningMember(c))
 	}
 	for i := range day.Faults {
 		w.scheduleFault(i, &day.Faults[i])
 	}
-	w.clients.scheduleDrift(Stream(day.Seed, "drift", 0))
+	w.clients.scheduleDrift(NewRandom(day.Seed, "drift", 0))
 	if day.Load.Level > 0 {
-		w.clients.scheduleArrival(day.Warm.Std() + day.Length.Std())
+		w.clients.scheduleArrival(day.WarmUp.Std() + day.Length.Std())
 	}
 	return w
 }
 
 // Member returns the list entry of a server. A server that was never listed has the phase Removed.
-func (w *World) Member(index int) Member { return w.Directory.member(index) }
+func (w *World) Member(index int) Member { return w.Discovery.member(index) }
 
 // ServerCount returns how many servers there have been: the origin and all slot caches.
 func (w *World) ServerCount() int { return len(w.hosts) }
@@ -120,7 +120,7 @@
 func (w *World) Day() *Day { return w.day }
 
 // End returns the time of the last new request. Open requests continue after it.
-func (w *World) End() time.Duration { return w.day.Warm.Std() + w.day.Length.Std() }
+func (w *World) End() time.Duration { return w.day.WarmUp.Std() + w.day.Length.Std() }
 
 // assignKinds assigns kinds of machine to n caches, in proportion to the shares of the kinds.
 func (w *World) assignKinds(n int) []int {
@@ -144,23 +144,23 @@
 
 // newID returns an unused random ID for a server, so that the ID reveals nothing about the server.
 func (w *World) newID(index int) uint32 {
-	id := uint32(Stream(w.day.Seed, "id", index).Uint64())
+	id := uint32(NewRandom(w.day.Seed, "id", index).Uint64())
 	inUse := func(m Member) bool { return m.ID == id }
-	for id = max(id, 1); slices.ContainsFunc(w.Directory.members, inUse); id++ { // among thousands, two IDs may collide
+	for id = max(id, 1); slices.ContainsFunc(w.Discovery.members, inUse); id++ { // among thousands, two IDs may collide
 	}
 	return id
 }
 
 // runningMember returns the list entry of a running cache.
 func (w *World) runningMember(c *Cache) Member {
-	m := Member{Index: c.index, Addr: c.Addr, Zone: c.zone, Cell: c.index / 4, Phase: Ready,
+	m := Member{ServerIndex: c.index, Addr: c.Addr, Zone: c.zone, Cell: c.index / 4, Phase: Ready,
 		Weight: c.weight()}
 	for k := range w.day.Kinds {
 		if c.Kind == &w.day.Kinds[k] {
 			m.Kind = k
 		}
 	}
-	if m.ID = w.Directory.member(c.index).ID; m.ID == 0 {
+	if m.ID = w.Discovery.member(c.index).ID; m.ID == 0 {
 		m.ID = w.newID(c.index)
 	}
 	if c.StartedInRun {
--- a/internal/lab/rules/collapse.go
+++ b/internal/lab/rules/collapse.go
@@ -20,7 +20,7 @@
 // because work already sent by an informed process counts as informed even if another process has taken its
 // place.
 func (c *Checker) recordStart(now time.Duration, router int, m model.Member) {
-	key := routerServer{router, m.Index}
+	key := routerServer{router, m.ServerIndex}
 	if start, known := c.startsReceived[key]; !known || start.started != m.Started {
 		c.startsReceived[key] = receivedStart{started: m.Started, receivedAt: now}
 	}
--- a/internal/lab/rules/incarnation.go
+++ b/internal/lab/rules/incarnation.go
@@ -6,16 +6,16 @@
 // earlier process counts for or against the next one, except the server starts that the router has learned of
 // (recordStart).
 
-// Killed records that a router's process was ended from outside without notice. The requests that it held need
+// ProcessKilled records that a router's process was ended from outside without notice. The requests that it held need
 // no answer.
-func (c *Checker) Killed(now time.Duration, router int) {
+func (c *Checker) ProcessKilled(now time.Duration, router int) {
 	c.ProcessPaused(now, router, false)
 	c.resetIncarnation(router)
 }
 
-// Begins records that a router's process starts, however the previous one ended. The requests that the
+// ProcessStarted records that a router's process starts, however the previous one ended. The requests that the
 // previous process accepted and did not answer still need an answer.
-func (c *Checker) Begins(router int) {
+func (c *Checker) ProcessStarted(router int) {
 	requests := c.routers[router].requests
 	c.resetIncarnation(router)
 	c.routers[router].requests = requests
--- a/internal/lab/rules/request_end.go
+++ b/internal/lab/rules/request_end.go
@@ -37,7 +37,7 @@
 		return
 	}
 	if serverConnBroken {
-		c.Left(router, id)
+		c.ClientDisconnected(router, id)
 		return
 	}
 	c.addViolation(OneAnswer, now, router, id, "its answer is cut off, though its server was giving it")
--- a/internal/lab/rules/request_end_test.go
+++ b/internal/lab/rules/request_end_test.go
@@ -29,7 +29,7 @@
 		{"well after the answer", false, 10 * ms, 0, false, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			day := model.Prairie()
+			day := model.DefaultDay()
 			checker := New(&day)
 			ending := checker.RequestEnded(end, 0, c.disconnected)
 			if c.relayDelays {
@@ -47,7 +47,7 @@
 // TestConnectionDropped checks that closing a connection without an answer to a request that was sent on is
 // one violation for each request.
 func TestConnectionDropped(t *testing.T) {
-	day := model.Prairie()
+	day := model.DefaultDay()
 	checker := New(&day)
 	checker.ConnectionDropped(time.Second, 0, 1)
 	if checker.ViolationCount != 1 || checker.Violations[0].Rule != OneAnswer {
@@ -67,9 +67,9 @@
 		{name: "by its server or a relay", serverConnBroken: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			day := model.Prairie()
+			day := model.DefaultDay()
 			checker := New(&day)
-			checker.Taken(time.Second, 0, 1, 0, 2*time.Second)
+			checker.RequestTaken(time.Second, 0, 1, 0, 2*time.Second)
 			checker.AnswerTruncated(time.Second+2*ms, 0, 1, c.serverConnBroken)
 			checker.RequestUnanswered(time.Second+2*ms, 0, 1)
 			if checker.unansweredCount != c.violations {
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -116,16 +116,16 @@
 	}
 }
 
-// Taken records that a router has accepted a request with the given deadline.
-func (c *Checker) Taken(now time.Duration, router int, id uint32, class int, deadline time.Duration) {
+// RequestTaken records that a router has accepted a request with the given deadline.
+func (c *Checker) RequestTaken(now time.Duration, router int, id uint32, class int, deadline time.Duration) {
 	excused := &c.excused[router]
 	c.requestCount++
 	c.routers[router].requests[id] = &requestState{class: class, deadline: deadline, pausedBefore: excused.paused.read(now),
 		relayDelayBefore: excused.relayDelay.read(now)}
 }
 
-// Sent records a call to a server.
-func (c *Checker) Sent(now time.Duration, router int, id uint32, server int) {
+// CallSent records a call to a server.
+func (c *Checker) CallSent(now time.Duration, router int, id uint32, server int) {
 	state := &c.routers[router]
 	state.service.attemptSeen()
 	request := state.requests[id]
@@ -136,7 +136,7 @@
 	class := &c.day.Classes[request.class]
 	for i, attempt := range request.attempts {
 		switch {
-		case attempt.inFlight && !c.day.Rules.Copies:
+		case attempt.inFlight && !c.day.Invariants.AllowsHedge:
 			c.addViolation(OneCall, now, router, id, "a call to server %d while call %d is out", server, i)
 		case !attempt.mayHaveRun:
 		case class.Effect == "unsafe":
@@ -146,17 +146,17 @@
 				class.Name, now-attempt.sentAt, i, class.Window)
 		}
 	}
-	if len(request.attempts) >= c.day.Rules.Attempts {
-		c.addViolation(Attempts, now, router, id, "call %d of %d", len(request.attempts)+1, c.day.Rules.Attempts)
+	if len(request.attempts) >= c.day.Invariants.MaxAttempts {
+		c.addViolation(Attempts, now, router, id, "call %d of %d", len(request.attempts)+1, c.day.Invariants.MaxAttempts)
 	}
 	if !state.everListed[server] {
 		c.addViolation(Listed, now, router, id, "server %d was never listed", server)
 	}
-	if since, known := c.leavingSinceFor(router, server); known && now-since > c.day.Rules.Drain.Std() {
+	if since, known := c.leavingSinceFor(router, server); known && now-since > c.day.Invariants.Drain.Std() {
 		c.addViolation(Drain, now, router, id, "a call to server %d, %v after the router was told that it drains or is gone",
 			server, now-since)
 	}
-	if since, known := state.drainedSince[server]; known && now-since > c.day.Rules.Drain.Std() {
+	if since, known := state.drainedSince[server]; known && now-since > c.day.Invariants.Drain.Std() {
 		c.addViolation(Drain, now, router, id, "a call to server %d, %v after the router had said that it gets nothing new", server,
 			now-since)
 	}
@@ -183,15 +183,15 @@
 	if !ok || state.watching {
 		return 0, false
 	}
-	allowed := c.day.Rules.AskWithin.Std()
+	allowed := c.day.Invariants.AskWithin.Std()
 	if state.lastFailed {
 		allowed *= 4
 	}
 	return max(listedAt, state.lastUpdate) + allowed, true
 }
 
-// Ended records the end of a call.
-func (c *Checker) Ended(now time.Duration, router int, id uint32, attempt int, status hoptiller.Status) {
+// CallEnded records the end of a call.
+func (c *Checker) CallEnded(now time.Duration, router int, id uint32, attempt int, status hoptiller.Status) {
 	request := c.routers[router].requests[id]
 	if request == nil || attempt >= len(request.attempts) {
 		return
@@ -236,14 +236,14 @@
 	return text
 }
 
-// Final records a final answer: StepServed, StepReject or StepFail.
-func (c *Checker) Final(now time.Duration, router int, id uint32, kind hoptiller.StepKind) {
+// FinalAnswer records a final answer: StepServed, StepReject or StepFail.
+func (c *Checker) FinalAnswer(now time.Duration, router int, id uint32, kind hoptiller.StepKind) {
 	request := c.routers[router].requests[id]
 	if request == nil || request.answered {
 		c.addViolation(OneAnswer, now, router, id, "a second final answer")
 		return
 	}
-	if now > request.deadline+c.day.Rules.Grace.Std() {
+	if now > request.deadline+c.day.Invariants.Grace.Std() {
 		c.addViolation(OneAnswer, now, router, id, "the final answer comes %v late", now-request.deadline)
 	}
 	if class := &c.day.Classes[request.class]; kind == hoptiller.StepReject && class.Effect == "unsafe" {
@@ -263,8 +263,8 @@
 	c.forgetIfDone(router, id, request)
 }
 
-// Left records that a client has disconnected. Its request needs no answer any more.
-func (c *Checker) Left(router int, id uint32) {
+// ClientDisconnected records that a client has disconnected. Its request needs no answer any more.
+func (c *Checker) ClientDisconnected(router int, id uint32) {
 	if request := c.routers[router].requests[id]; request != nil {
 		request.answered = true
 		c.forgetIfDone(router, id, request)
@@ -283,8 +283,8 @@
 	delete(c.routers[router].requests, id)
 }
 
-// Told records an update that a router receives from discovery.
-func (c *Checker) Told(now time.Duration, router int, update model.Update) {
+// UpdateReceived records an update that a router receives from discovery.
+func (c *Checker) UpdateReceived(now time.Duration, router int, update model.ListUpdate) {
 	state := &c.routers[router]
 	if state.lastFailed = update.Failed; update.Failed {
 		state.watching = false
@@ -293,15 +293,15 @@
 	state.lastUpdate = now
 	listed := map[int]bool{}
 	for _, m := range update.Members {
-		listed[m.Index], state.everListed[m.Index] = true, true
+		listed[m.ServerIndex], state.everListed[m.ServerIndex] = true, true
 		if m.Phase == model.Ready {
-			delete(state.leavingSince, m.Index)
+			delete(state.leavingSince, m.ServerIndex)
 			c.recordStart(now, router, m)
-		} else if _, known := state.leavingSince[m.Index]; !known {
-			state.leavingSince[m.Index] = now
+		} else if _, known := state.leavingSince[m.ServerIndex]; !known {
+			state.leavingSince[m.ServerIndex] = now
 		}
 	}
-	if !update.Full {
+	if !update.Complete {
 		return
 	}
 	for server := range state.everListed {
@@ -311,15 +311,15 @@
 	}
 }
 
-// Watches records whether a router has an active watch.
-func (c *Checker) Watches(router int, watching bool) { c.routers[router].watching = watching }
+// WatchChanged records whether a router has an active watch.
+func (c *Checker) WatchChanged(router int, watching bool) { c.routers[router].watching = watching }
 
 // Listed records a change of the server list.
 func (c *Checker) Listed(now time.Duration, m model.Member) {
 	if m.Phase == model.Ready {
-		delete(c.leavingSince, m.Index)
-	} else if _, known := c.leavingSince[m.Index]; !known {
-		c.leavingSince[m.Index] = now
+		delete(c.leavingSince, m.ServerIndex)
+	} else if _, known := c.leavingSince[m.ServerIndex]; !known {
+		c.leavingSince[m.ServerIndex] = now
 	}
 }
 
@@ -347,7 +347,7 @@
 	for i := range c.routers {
 		open := c.routers[i].requests
 		for _, id := range slices.Sorted(maps.Keys(open)) { // violations must not depend on the order of the map
-			if request := open[id]; request.answered || now <= request.deadline+c.day.Rules.Grace.Std() {
+			if request := open[id]; request.answered || now <= request.deadline+c.day.Invariants.Grace.Std() {
 				continue
 			}
 			c.addViolation(OneAnswer, now, i, id, "no final answer")
--- a/internal/lab/rules/timeleft.go
+++ b/internal/lab/rules/timeleft.go
@@ -72,10 +72,10 @@
 	}
 }
 
-// TimeTold records the remaining time that an attempt stated when its server received it, or why the statement
+// TimeLeftReceived records the remaining time that an attempt stated when its server received it, or why the statement
 // was unreadable. If the first attempt states too much time, the router must have read the request late by the
 // excess; a larger excess of a later attempt is a violation.
-func (c *Checker) TimeTold(now time.Duration, router int, id uint32, sent time.Duration, unreadable error) {
+func (c *Checker) TimeLeftReceived(now time.Duration, router int, id uint32, sent time.Duration, unreadable error) {
 	request := c.routers[router].requests[id]
 	if request == nil || request.answered {
 		return // Sent reports calls after the final answer
@@ -85,7 +85,7 @@
 		return
 	}
 	excess := sent - (request.deadline - now) - c.excusedDelayOf(now, router, request) - request.writtenLate
-	if excess > request.firstExcess+c.day.Rules.TimeSlack.Std()+c.Lag {
+	if excess > request.firstExcess+c.day.Invariants.TimeSlack.Std()+c.Lag {
 		c.addViolation(TimeLeft, now, router, id, "an attempt tells its server that %v are left, and %v are", sent,
 			request.deadline-now)
 	}
--- a/internal/lab/rules/unanswered.go
+++ b/internal/lab/rules/unanswered.go
@@ -35,7 +35,7 @@
 	if c.excused[router].paused.openIntervals == 0 && c.PausedFor(now, router, id) <= MaxPause {
 		c.unansweredCount++
 	}
-	c.Left(router, id)
+	c.ClientDisconnected(router, id)
 }
 
 // checkUnanswered adds a violation if too many requests of the day had no answer.
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -54,9 +54,9 @@
 
 // day returns the lab's usual day at the size of a run. The settings of the routers derive from it.
 func (r Run) day() model.Day {
-	day := model.Prairie()
+	day := model.DefaultDay()
 	day.Routers, day.Zones, day.Fleet.Caches, day.Seed = r.Size, r.File.Zones, r.File.Caches, r.Seed
-	day.Round = unit.Duration(0)
+	day.EventInterval = unit.Duration(0)
 	return day
 }
 
--- a/internal/lab/sim/actions.go
+++ b/internal/lab/sim/actions.go
@@ -17,22 +17,22 @@
 	m, known := r.servers[server]
 	inv := r.invocations[request]
 	if inv == nil || inv.closed {
-		t.Check.Sent(now, r.index, request, m.Index)
+		t.Checker.CallSent(now, r.index, request, m.ServerIndex)
 		return
 	}
 	c := &call{inv: inv, sentAt: now, pending: true}
 	c.Try, c.Attempt = inv.try, len(inv.calls)
-	index := m.Index
+	index := m.ServerIndex
 	if !known {
 		index = -1
 	}
-	t.Check.Sent(now, r.index, request, index)
-	t.Check.TimeTold(now, r.index, request, timeout, nil)
+	t.Checker.CallSent(now, r.index, request, index)
+	t.Checker.TimeLeftReceived(now, r.index, request, timeout, nil)
 	inv.calls = append(inv.calls, c)
 	c.serverIndex, c.serverID = index, server
 	r.trace(request, "call %d goes to server %d, %v to answer", c.Attempt, index, timeout)
-	t.Tally.Called(m.Zone != r.index%t.day.Zones)
-	if !known || len(inv.calls) > t.day.Rules.Attempts {
+	t.Scorer.CallSent(m.Zone != r.index%t.day.Zones)
+	if !known || len(inv.calls) > t.day.Invariants.MaxAttempts {
 		// The call ends after 1 ms, not at once: time would not pass for a policy that always sends again.
 		t.World.After(time.Millisecond, func() { r.endCall(c, hoptiller.NotSent) })
 		return
@@ -70,7 +70,7 @@
 // CloseIdle implements hoptiller.Actions.
 func (r *router) CloseIdle(server uint32) {
 	if m, ok := r.servers[server]; ok {
-		r.poolFor(m.Index).closeIdle()
+		r.poolFor(m.ServerIndex).closeIdle()
 	}
 }
 
@@ -91,7 +91,7 @@
 // SetTimer implements hoptiller.Actions.
 func (r *router) SetTimer(token uint64, delay time.Duration) {
 	due := r.tier.World.Now() + delay
-	if round := r.tier.day.Round.Std(); round > 0 {
+	if round := r.tier.day.EventInterval.Std(); round > 0 {
 		due = max((due+round-1)/round, r.tier.World.Now()/round+1) * round
 	}
 	r.tier.World.At(due, func() {
@@ -102,22 +102,22 @@
 }
 
 // FetchList implements hoptiller.Actions.
-func (r *router) FetchList() { r.tier.World.Directory.Ask(r.index, true, false, nil) }
+func (r *router) FetchList() { r.tier.World.Discovery.Request(r.index, true, false, nil) }
 
 // Watch implements hoptiller.Actions.
 func (r *router) Watch(on bool) {
-	r.tier.Check.Watches(r.index, on)
-	r.tier.World.Directory.Ask(r.index, false, on, nil)
+	r.tier.Checker.WatchChanged(r.index, on)
+	r.tier.World.Discovery.Request(r.index, false, on, nil)
 }
 
 // Log implements hoptiller.Actions.
-func (r *router) Log(text string) { r.tier.Tally.Log(r.tier.World.Now(), r.index, text) }
+func (r *router) Log(text string) { r.tier.Scorer.RouterLog(r.tier.World.Now(), r.index, text) }
 
 // SendMessage implements MessageSender.
 func (r *router) SendMessage(to int, message []byte) {
 	message = slices.Clone(message)
-	r.tier.Tally.Told(len(message))
-	r.tier.World.Tell(r.index, to, func() {
+	r.tier.Scorer.PeerMessage(len(message))
+	r.tier.World.SendPeerMessage(r.index, to, func() {
 		if p := r.tier.routers[to]; p != nil {
 			if h, ok := p.policy.(MessageReceiver); ok {
 				p.deliver(func() { h.ReceiveMessage(p.now(), r.index, message) })
--- a/internal/lab/sim/cold_test.go
+++ b/internal/lab/sim/cold_test.go
@@ -15,9 +15,9 @@
 func TestMostlyCold(t *testing.T) {
 	violations := 0
 	for seed := range uint64(30) {
-		day := model.Prairie()
-		day.Seed, day.Warm, day.Length, day.Routers, day.Fleet.Caches, day.Load.Level = seed+1, seconds(10), seconds(20), 2, 6, 0.6
-		day.Faults = []model.Fault{{Kind: "churn", At: seconds(1), For: seconds(12), Gap: unit.Duration(2 * time.Second)}}
+		day := model.DefaultDay()
+		day.Seed, day.WarmUp, day.Length, day.Routers, day.Fleet.Caches, day.Load.Level = seed+1, seconds(10), seconds(20), 2, 6, 0.6
+		day.Faults = []model.Fault{{Kind: "churn", At: seconds(1), Duration: seconds(12), Interval: unit.Duration(2 * time.Second)}}
 		r := runDay(t, &day, Hoptiller, Options{})
 		for _, v := range r.Violations {
 			if v.Rule == rules.Cold {
--- a/internal/lab/sim/homes.go
+++ b/internal/lab/sim/homes.go
@@ -30,7 +30,7 @@
 func homesOf(day *model.Day, policy Policy, list []model.Member, self int) func(key uint64) uint32 {
 	actions := &probe{}
 	now := Epoch
-	router := policy(now, Settings(day, self), model.Stream(day.Seed, "probe", 0).Uint64(), actions)
+	router := policy(now, Settings(day, self), model.NewRandom(day.Seed, "probe", 0).Uint64(), actions)
 	servers := make([]hoptiller.Server, len(list))
 	for i, member := range list {
 		servers[i] = hoptiller.Server{ID: member.ID, Zone: member.Zone, Kind: member.Kind, Cell: member.Cell, Phase: hoptiller.Ready,
--- a/internal/lab/sim/late_test.go
+++ b/internal/lab/sim/late_test.go
@@ -48,7 +48,7 @@
 	day := shortDay()
 	day.Net.Cross = seconds(0.03) // long enough that many answers are in flight when their calls are cancelled
 	r := runDay(t, day, policy, Options{})
-	if r.Broken > 0 {
+	if r.ViolationCount > 0 {
 		t.Error(r.Violations[0])
 	}
 	calls := 0
--- a/internal/lab/sim/mass_test.go
+++ b/internal/lab/sim/mass_test.go
@@ -12,14 +12,14 @@
 func TestConnTablesHoldHundredsOfRouters(t *testing.T) {
 	failed := map[bool]float64{}
 	for _, reap := range []bool{false, true} {
-		day := model.Prairie()
-		day.Seed, day.Warm, day.Fill, day.Length = 1, seconds(1), true, seconds(4)
-		day.Routers, day.Fleet.Caches, day.Fleet.Reap, day.Load.Level = 300, 200, reap, 0.5
+		day := model.DefaultDay()
+		day.Seed, day.WarmUp, day.FillCaches, day.Length = 1, seconds(1), true, seconds(4)
+		day.Routers, day.Fleet.Caches, day.Fleet.CloseIdleEarly, day.Load.Level = 300, 200, reap, 0.5
 		r := runDay(t, &day, Hoptiller, Options{})
-		if r.Broken > 0 || r.CrossZone > 0.3 {
-			t.Errorf("%d broken rules, %.2f crossings between zones a request", r.Broken, r.CrossZone)
+		if r.ViolationCount > 0 || r.CrossZone > 0.3 {
+			t.Errorf("%d broken rules, %.2f crossings between zones a request", r.ViolationCount, r.CrossZone)
 		}
-		failed[reap] = float64(r.Outcomes["no connection"]) / float64(r.Taken)
+		failed[reap] = float64(r.Outcomes["no connection"]) / float64(r.RequestsTaken)
 	}
 	if failed[true] > 0.05 || failed[true] > failed[false]/2 {
 		t.Errorf("failed connects a request: %.3f if idle ones are kept, %.3f if not", failed[false], failed[true])
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -58,7 +58,7 @@
 	if p.server == 0 {
 		return 1, day.Origin.Conns
 	}
-	return day.Fleet.Share, day.Fleet.MostConns
+	return day.Fleet.CallsPerConn, day.Fleet.MaxConnsPerRouter
 }
 
 // assign finds a connection for a call and sends the call on it, or opens one. If the pool is full and has no usable
@@ -66,7 +66,7 @@
 func (p *pool) assign(c *call) {
 	share, maxConns := p.connLimits()
 	now, world := p.router.tier.World.Now(), p.router.tier.World
-	idle := p.router.tier.day.Fleet.IdleFor.Std() * 3 / 4
+	idle := p.router.tier.day.Fleet.IdleTimeout.Std() * 3 / 4
 	for i := len(p.conns) - 1; i >= 0; i-- {
 		if cn := p.conns[i]; len(cn.calls) == 0 && !cn.closing {
 			if now-cn.idleSince >= idle {
@@ -95,7 +95,7 @@
 		c.dialing = cn
 		p.dialing = append(p.dialing, cn)
 		cn.modelConn = world.Dial(p.router.index, p.server, cn)
-		world.After(p.router.tier.day.Fleet.ConnectFor.Std(), func() {
+		world.After(p.router.tier.day.Fleet.ConnectTimeout.Std(), func() {
 			if slices.Contains(p.dialing, cn) && !p.router.killed {
 				cn.modelConn.Close()
 				cn.Refused(cn.modelConn)
@@ -137,7 +137,7 @@
 }
 
 // Answered implements model.Holder.
-func (cn *conn) Answered(answered *model.Call, a model.Answer) {
+func (cn *conn) Answered(answered *model.Call, a model.CallResult) {
 	r := cn.pool.router
 	if r.killed || cn.closed || len(cn.calls) == 0 {
 		return
@@ -151,8 +151,8 @@
 	if cn.closing && !cn.hasPendingCall() {
 		r.closeConn(cn, hoptiller.Cancelled)
 	}
-	r.endCall(c, [...]hoptiller.Status{model.Served: hoptiller.OK, model.Missed: hoptiller.Miss,
-		model.Failed: hoptiller.ServerError, model.Busy: hoptiller.TurnedAway, model.Stale: hoptiller.TurnedAway}[a])
+	r.endCall(c, [...]hoptiller.Status{model.ResultServed: hoptiller.OK, model.ResultMissed: hoptiller.Miss,
+		model.ResultFailed: hoptiller.ServerError, model.ResultBusy: hoptiller.TurnedAway, model.ResultStale: hoptiller.TurnedAway}[a])
 }
 
 // scheduleIdleClose has a connection closed once it has been idle for long enough. It stays open if it is used again,
@@ -163,18 +163,18 @@
 	cn.idleSince = now
 	day := p.router.tier.day
 	maxIdle := connlimit.MaxIdle(day.Routers, 0)
-	if !day.Fleet.Reap || p.server == 0 || len(p.conns) <= maxIdle {
+	if !day.Fleet.CloseIdleEarly || p.server == 0 || len(p.conns) <= maxIdle {
 		return
 	}
-	world.After(max(p.router.callStats.IdleTimeout(0), day.Fleet.ConnectFor.Std()), func() {
+	world.After(max(p.router.callStats.IdleTimeout(0), day.Fleet.ConnectTimeout.Std()), func() {
 		if !p.router.killed && !cn.closed && len(cn.calls) == 0 && cn.idleSince == now && len(p.conns) > maxIdle {
 			p.router.closeConn(cn, hoptiller.Cancelled)
 		}
 	})
 }
 
-// Lost implements model.Holder.
-func (cn *conn) Lost(*model.Conn) {
+// Closed implements model.Holder.
+func (cn *conn) Closed(*model.Conn) {
 	if cn.pool.router.killed || cn.closed {
 		return
 	}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -55,14 +55,14 @@
 func newRouter(t *tier, index, incarnation int) *router {
 	r := &router{tier: t, index: index, incarnation: incarnation, invocations: map[uint32]*invocation{},
 		byTry: map[*model.Try]*invocation{}, servers: map[uint32]model.Member{}, pools: map[int]*pool{}}
-	seed := model.Stream(t.day.Seed, "router", index+1000*incarnation).Uint64()
+	seed := model.NewRandom(t.day.Seed, "router", index+1000*incarnation).Uint64()
 	r.policy = t.policy(r.now(), Settings(t.day, index), seed, r)
-	t.World.Directory.Join(index, t.World.Directory.Version(), func(u model.Update) {
+	t.World.Discovery.Register(index, t.World.Discovery.Version(), func(u model.ListUpdate) {
 		if !r.killed {
 			r.handleUpdate(u)
 		}
 	})
-	known := model.Update{Full: true, Members: t.World.Directory.Present()}
+	known := model.ListUpdate{Complete: true, Members: t.World.Discovery.Members()}
 	r.applyList(known, hoptiller.ListCached)
 	return r
 }
@@ -77,7 +77,7 @@
 
 // deliver passes an event to the policy: at once, or at the start of the next round if the day has rounds.
 func (r *router) deliver(run func()) {
-	round := r.tier.day.Round.Std()
+	round := r.tier.day.EventInterval.Std()
 	if round <= 0 {
 		run()
 		return
@@ -103,12 +103,12 @@
 	t := r.tier
 	now := t.World.Now()
 	r.lastID++
-	inv := &invocation{id: r.lastID, try: try, deadline: try.At + try.Remaining}
+	inv := &invocation{id: r.lastID, try: try, deadline: try.SentAt + try.Remaining}
 	r.invocations[inv.id], r.byTry[try] = inv, inv
-	t.Tally.Taken(t.World.Now())
-	t.Check.Taken(now, r.index, inv.id, try.Op.Class, inv.deadline)
+	t.Scorer.RequestTaken(t.World.Now())
+	t.Checker.RequestTaken(now, r.index, inv.id, try.Op.Class, inv.deadline)
 	r.trace(inv.id, "request taken: %s, key %016x, client request %d, try %d, %v left", t.day.Classes[try.Op.Class].Name,
-		try.Op.Key, try.Op.ID, try.N, inv.deadline-now)
+		try.Op.Key, try.Op.ID, try.Number, inv.deadline-now)
 	r.deliver(func() {
 		if inv.closed {
 			return
@@ -127,14 +127,14 @@
 	if now := r.tier.World.Now(); now >= inv.deadline {
 		// The client waited until the deadline. The router may still answer within the grace time, and violates an
 		// invariant if it does not.
-		r.tier.World.At(inv.deadline+r.tier.day.Rules.Grace.Std()+1, func() {
+		r.tier.World.At(inv.deadline+r.tier.day.Invariants.Grace.Std()+1, func() {
 			if !r.killed && !inv.closed {
 				r.disconnectClient(inv)
 			}
 		})
 		return
 	}
-	r.tier.Check.Left(r.index, inv.id)
+	r.tier.Checker.ClientDisconnected(r.index, inv.id)
 	r.disconnectClient(inv)
 }
 
@@ -147,11 +147,11 @@
 
 // giveFinalAnswer sends the final answer of a request to its client.
 func (r *router) giveFinalAnswer(inv *invocation, kind hoptiller.StepKind, after time.Duration) {
-	r.tier.Check.Final(r.tier.World.Now(), r.index, inv.id, kind)
-	final := [...]model.Final{hoptiller.StepServed: model.Value, hoptiller.StepReject: model.Refused,
-		hoptiller.StepFail: model.Failure}[kind]
+	r.tier.Checker.FinalAnswer(r.tier.World.Now(), r.index, inv.id, kind)
+	final := [...]model.FinalAnswer{hoptiller.StepServed: model.FinalValue, hoptiller.StepReject: model.FinalRefused,
+		hoptiller.StepFail: model.FinalFailed}[kind]
 	r.trace(inv.id, "final answer: %s", [...]string{"served", "refused", "failed"}[final])
-	r.tier.Tally.Answered(r.tier.World.Now(), final)
+	r.tier.Scorer.FinalAnswer(r.tier.World.Now(), final)
 	r.tier.World.Reply(inv.try, final, after)
 	r.closeInvocation(inv)
 }
@@ -180,7 +180,7 @@
 func (r *router) kill() {
 	r.killed = true
 	for _, try := range r.unansweredTries() {
-		r.tier.World.Reply(try, model.Lost, 0)
+		r.tier.World.Reply(try, model.FinalLost, 0)
 	}
 	for _, p := range r.poolList() {
 		for _, c := range p.allConns() {
@@ -190,24 +190,24 @@
 }
 
 // handleUpdate handles an update of the server list by the discovery service.
-func (r *router) handleUpdate(u model.Update) {
+func (r *router) handleUpdate(u model.ListUpdate) {
 	now := r.tier.World.Now()
-	r.tier.Check.Told(now, r.index, u)
+	r.tier.Checker.UpdateReceived(now, r.index, u)
 	kind := hoptiller.ListDelta
 	switch {
 	case u.Failed:
 		r.deliver(func() { r.policy.UpdateServers(r.now(), hoptiller.ListFailed, nil) })
 		return
-	case u.Full:
+	case u.Complete:
 		kind = hoptiller.ListFull
 	}
 	r.deliver(func() { r.applyList(u, kind) })
 }
 
 // applyList passes a server list to the policy, and closes the connections to servers whose process has restarted.
-func (r *router) applyList(u model.Update, kind hoptiller.ListKind) {
+func (r *router) applyList(u model.ListUpdate, kind hoptiller.ListKind) {
 	if kind == hoptiller.ListCached {
-		r.tier.Check.Told(r.tier.World.Now(), r.index, u)
+		r.tier.Checker.UpdateReceived(r.tier.World.Now(), r.index, u)
 	}
 	servers := make([]hoptiller.Server, len(u.Members))
 	for i, m := range u.Members {
@@ -223,7 +223,7 @@
 		}
 		servers[i] = s
 		if old, known := r.servers[m.ID]; known && m.Phase == model.Ready && old.Started != m.Started {
-			r.poolFor(m.Index).closeAll()
+			r.poolFor(m.ServerIndex).closeAll()
 		}
 		r.servers[m.ID] = m
 	}
@@ -237,9 +237,9 @@
 	}
 	c.pending = false
 	inv, now := c.inv, r.tier.World.Now()
-	r.trace(inv.id, "call %d to server %d ends: %s after %v", c.Attempt, c.serverIndex, tally.StatusNames[status], now-c.sentAt)
-	r.tier.Check.Ended(now, r.index, inv.id, c.Attempt, status)
-	r.tier.Tally.Closed(now, status, now-c.sentAt)
+	r.trace(inv.id, "call %d to server %d ends: %s after %v", c.Attempt, c.serverIndex, tally.CallResultNames[status], now-c.sentAt)
+	r.tier.Checker.CallEnded(now, r.index, inv.id, c.Attempt, status)
+	r.tier.Scorer.CallEnded(now, status, now-c.sentAt)
 	served := status == hoptiller.OK && !inv.closed
 	if served {
 		r.giveFinalAnswer(inv, hoptiller.StepServed, 0)
--- a/internal/lab/sim/settings.go
+++ b/internal/lab/sim/settings.go
@@ -10,18 +10,18 @@
 	set := hoptiller.Settings{
 		RouterIndex: self, RouterCount: day.Routers, Zone: self % day.Zones, OverShareWorth: 0.1,
 		CacheAside: true, OriginKind: len(day.Kinds), OrderedAnswers: true,
-		ListOnRequest: true, FetchListWithin: day.Rules.AskWithin.Std(), StopSendingWithin: day.Rules.Drain.Std(),
-		AnswerGrace: day.Rules.Grace.Std(), OverloadFactor: day.Rules.Overload, CollapseWindow: day.Rules.Fall.Std(),
-		MaxAttempts: day.Rules.Attempts, Hedging: day.Rules.Copies, AllowsCancel: true, SendsRetryAfter: true,
-		MaxRetryAfter: day.Clients.MostWait.Std(), ConnectTimeout: day.Fleet.ConnectFor.Std(), TickInterval: day.Round.Std(),
+		ListOnRequest: true, FetchListWithin: day.Invariants.AskWithin.Std(), StopSendingWithin: day.Invariants.Drain.Std(),
+		AnswerGrace: day.Invariants.Grace.Std(), OverloadFactor: day.Invariants.OverloadFactor, CollapseWindow: day.Invariants.CollapseDuration.Std(),
+		MaxAttempts: day.Invariants.MaxAttempts, Hedging: day.Invariants.AllowsHedge, AllowsCancel: true, SendsRetryAfter: true,
+		MaxRetryAfter: day.Clients.MaxRetryAfter.Std(), ConnectTimeout: day.Fleet.ConnectTimeout.Std(), TickInterval: day.EventInterval.Std(),
 		ColdCapacity: 1,
 	}
 	for _, k := range day.Kinds {
-		set.ColdCapacity = min(set.ColdCapacity, k.ColdFrom)
-		set.WarmUp = max(set.WarmUp, k.ColdFor.Std())
+		set.ColdCapacity = min(set.ColdCapacity, k.ColdCapacity)
+		set.WarmUp = max(set.WarmUp, k.WarmUpDuration.Std())
 	}
 	for _, c := range day.Classes {
-		class := hoptiller.Class{Aim: c.Aim.Std(), Deadline: c.Deadline.Std(), Worth: c.Worth, LateFraction: c.Late, DedupTTL: c.Window.Std()}
+		class := hoptiller.Class{Aim: c.Aim.Std(), Deadline: c.Deadline.Std(), Worth: c.Worth, LateFraction: c.LateShare, DedupTTL: c.Window.Std()}
 		switch c.Effect {
 		case "unsafe":
 			class.Effect = hoptiller.AtMostOnce
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -54,11 +54,11 @@
 // Run plays a day, which must have passed Check. When ctx ends, Run stops and returns the error of ctx.
 func Run(ctx context.Context, day *model.Day, policy Policy, opt Options) (*tally.Result, error) {
 	t := &tier{day: day, policy: policy, opt: opt}
-	t.Check, t.Tally = rules.New(day), tally.New(day, opt.Series)
+	t.Checker, t.Scorer = rules.New(day), tally.New(day, opt.Series)
 	t.routers = make([]*router, day.Routers)
 	t.World = model.New(day, t, t, t)
-	if day.Fill {
-		t.World.Fill(ZoneHomes(day, policy, t.World.Directory.Present()))
+	if day.FillCaches {
+		t.World.FillCaches(ZoneHomes(day, policy, t.World.Discovery.Members()))
 	}
 	for i := range t.routers {
 		t.Start(i)
@@ -69,22 +69,22 @@
 			return nil, ctx.Err()
 		}
 		t.World.RunUntil(min(now+100*time.Millisecond, end))
-		t.Tally.Sample(t.World)
+		t.Scorer.Sample(t.World)
 	}
 	longest := time.Duration(0)
 	for _, c := range day.Classes {
 		longest = max(longest, c.Deadline.Std())
 	}
 	t.World.RunUntil(end + longest + time.Second)
-	t.Check.Finish(t.World.Now())
-	r := t.Tally.Result(t.World, t.Check)
-	r.Story = t.traceLines
+	t.Checker.Finish(t.World.Now())
+	r := t.Scorer.Result(t.World, t.Checker)
+	r.Trace = t.traceLines
 	return r, nil
 }
 
 // tier holds the routers of a day. The world reaches the routers through it, and reports events through its Judge.
 type tier struct {
-	tally.Judge
+	tally.Recorder
 	day          *model.Day
 	policy       Policy
 	routers      []*router // nil while a router is down
@@ -93,8 +93,8 @@
 	traceLines   []string
 }
 
-// Take implements model.Tier.
-func (t *tier) Take(try *model.Try) bool {
+// Deliver implements model.Tier.
+func (t *tier) Deliver(try *model.Try) bool {
 	r := t.routers[try.Router]
 	if r == nil || r.refusesRequests(t.World.Now()) {
 		return false
@@ -103,8 +103,8 @@
 	return true
 }
 
-// Leave implements model.Tier.
-func (t *tier) Leave(try *model.Try) {
+// ClientDisconnected implements model.Tier.
+func (t *tier) ClientDisconnected(try *model.Try) {
 	if r := t.routers[try.Router]; r != nil {
 		r.clientLeft(try)
 	}
@@ -120,7 +120,7 @@
 		t.incarnations = append(t.incarnations, 0)
 	}
 	t.incarnations[i]++
-	t.Check.Begins(i)
+	t.Checker.ProcessStarted(i)
 	t.routers[i] = newRouter(t, i, t.incarnations[i])
 }
 
@@ -136,7 +136,7 @@
 	if r := t.routers[i]; r != nil {
 		t.routers[i] = nil
 		r.kill()
-		t.Check.Killed(t.World.Now(), i)
-		t.World.Directory.Ask(i, false, false, nil)
+		t.Checker.ProcessKilled(t.World.Now(), i)
+		t.World.Discovery.Request(i, false, false, nil)
 	}
 }
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -21,14 +21,14 @@
 
 // shortDay is a day of a few seconds with faults.
 func shortDay(faults ...model.Fault) *model.Day {
-	day := model.Prairie()
-	day.Warm, day.Length, day.Faults = seconds(8), seconds(12), faults
+	day := model.DefaultDay()
+	day.WarmUp, day.Length, day.Faults = seconds(8), seconds(12), faults
 	return &day
 }
 
 func runDay(t *testing.T, day *model.Day, policy Policy, opt Options) *tally.Result {
 	t.Helper()
-	if err := day.Check(); err != nil {
+	if err := day.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	r, err := Run(context.Background(), day, policy, opt)
@@ -41,11 +41,11 @@
 // The same day gives the same bytes when it is played again, alone or concurrently with other runs.
 func TestRunsAreDeterministic(t *testing.T) {
 	day := func() *model.Day {
-		return shortDay(model.Fault{Kind: "crash", At: seconds(2), For: seconds(3), Part: 0.2},
-			model.Fault{Kind: "router_kill", At: seconds(3), For: seconds(2)},
-			model.Fault{Kind: "hot_key", At: seconds(4), For: seconds(3), Size: 0.2},
-			model.Fault{Kind: "churn", At: seconds(5), For: seconds(4), Gap: seconds(1)},
-			model.Fault{Kind: "zone_cut", At: seconds(8), For: seconds(1), Zone: 1})
+		return shortDay(model.Fault{Kind: "crash", At: seconds(2), Duration: seconds(3), Share: 0.2},
+			model.Fault{Kind: "router_kill", At: seconds(3), Duration: seconds(2)},
+			model.Fault{Kind: "hot_key", At: seconds(4), Duration: seconds(3), Severity: 0.2},
+			model.Fault{Kind: "churn", At: seconds(5), Duration: seconds(4), Interval: seconds(1)},
+			model.Fault{Kind: "zone_cut", At: seconds(8), Duration: seconds(1), Zone: 1})
 	}
 	for _, policy := range []Policy{Hoptiller, rival.New("ring")} {
 		results := make([][]byte, 5)
@@ -60,7 +60,7 @@
 					return
 				}
 				results[i], _ = json.Marshal(r)
-				results[i] = append(results[i], []byte(r.Story[0])...)
+				results[i] = append(results[i], []byte(r.Trace[0])...)
 			}
 			if i == 0 {
 				run()
@@ -189,7 +189,7 @@
 
 // For each invariant there is a policy that violates it, and the checker must report that.
 func TestCheckerReportsViolations(t *testing.T) {
-	slow := model.Fault{Kind: "origin_slow", At: seconds(0), For: seconds(12), Size: 20}
+	slow := model.Fault{Kind: "origin_slow", At: seconds(0), Duration: seconds(12), Severity: 20}
 	for _, test := range []struct {
 		fault, rule string
 		faults      []model.Fault
@@ -202,18 +202,18 @@
 		{rules.Effects, rules.Effects, []model.Fault{slow}},
 		{"lost", rules.Effects, []model.Fault{slow}},
 		{rules.OneCall, rules.OneCall, nil},
-		{rules.Attempts, rules.Attempts, []model.Fault{{Kind: "errors", Part: 1, Size: 1, For: seconds(12)}}},
+		{rules.Attempts, rules.Attempts, []model.Fault{{Kind: "errors", Share: 1, Severity: 1, Duration: seconds(12)}}},
 		{rules.Drain, rules.Drain, []model.Fault{{Kind: "drain", Count: 3}}},
 		{rules.Cold, rules.Cold, []model.Fault{{Kind: "add", Count: 1}}},
 		{rules.Listed, rules.Listed, nil},
 	} {
 		day := shortDay(test.faults...)
-		day.Warm, day.Length, day.Directory.Notice = seconds(1), seconds(4), [2]unit.Duration{seconds(0.1), seconds(0.2)}
+		day.WarmUp, day.Length, day.Discovery.NoticeDelay = seconds(1), seconds(4), [2]unit.Duration{seconds(0.1), seconds(0.2)}
 		r := runDay(t, day, newFaultyPolicy(test.fault), Options{})
 		if !slices.ContainsFunc(r.Violations, func(v rules.Violation) bool { return v.Rule == test.rule }) {
-			t.Errorf("%s: %d violations, none of %s; %v", test.fault, r.Broken, test.rule, r.Violations[:min(2, len(r.Violations))])
+			t.Errorf("%s: %d violations, none of %s; %v", test.fault, r.ViolationCount, test.rule, r.Violations[:min(2, len(r.Violations))])
 		}
-		if r := runDay(t, day, Hoptiller, Options{}); r.Broken > 0 {
+		if r := runDay(t, day, Hoptiller, Options{}); r.ViolationCount > 0 {
 			t.Errorf("hoptiller with %v: %v", test.faults, r.Violations[0])
 		}
 	}
@@ -222,13 +222,13 @@
 // All caches of a zone restart cold at the same time and a ring sends them their keys. The misses overload the origin
 // until it stops, which the checker must report.
 func TestCheckerReportsOriginStop(t *testing.T) {
-	day := shortDay(model.Fault{Kind: "zone_loss", At: seconds(1), For: seconds(2)})
-	day.Length, day.Origin.Headroom, day.Directory.Notice = seconds(20), 1.2, [2]unit.Duration{seconds(0.2), seconds(0.3)}
-	day.Fleet.ConnsCore, day.Rules.Overload = 100, 50
+	day := shortDay(model.Fault{Kind: "zone_loss", At: seconds(1), Duration: seconds(2)})
+	day.Length, day.Origin.Headroom, day.Discovery.NoticeDelay = seconds(20), 1.2, [2]unit.Duration{seconds(0.2), seconds(0.3)}
+	day.Fleet.ConnsPerCore, day.Invariants.OverloadFactor = 100, 50
 	stops := 0
 	for day.Seed = 1; day.Seed <= 6; day.Seed++ {
 		r := runDay(t, day, rival.New("ring"), Options{})
-		stops += r.Stops
+		stops += r.OriginStops
 		if slices.ContainsFunc(r.Violations, func(v rules.Violation) bool { return v.Rule == rules.Origin }) {
 			return
 		}
@@ -239,20 +239,20 @@
 // The decision module violates no invariant and keeps at least half of its service under each kind of fault.
 func TestFaults(t *testing.T) {
 	for _, f := range []model.Fault{
-		{Kind: "crash", Part: 0.2}, {Kind: "crash", Part: 0.3, For: seconds(0.05)}, // restarts within 50 ms, with a new start time
-		{Kind: "vanish", Part: 0.2}, {Kind: "errors", Part: 0.2, Size: 1}, {Kind: "slow", Part: 0.2, Size: 0.7},
-		{Kind: "hot_key", Size: 0.2}, {Kind: "silent", Size: 0.1}, {Kind: "resets", Size: 20}, {Kind: "lossy", Size: 0.03},
-		{Kind: "add", Count: 4}, {Kind: "drain", Count: 3}, {Kind: "churn", Gap: seconds(2)}, {Kind: "directory"},
+		{Kind: "crash", Share: 0.2}, {Kind: "crash", Share: 0.3, Duration: seconds(0.05)}, // restarts within 50 ms, with a new start time
+		{Kind: "vanish", Share: 0.2}, {Kind: "errors", Share: 0.2, Severity: 1}, {Kind: "slow", Share: 0.2, Severity: 0.7},
+		{Kind: "hot_key", Severity: 0.2}, {Kind: "silent", Severity: 0.1}, {Kind: "resets", Severity: 20}, {Kind: "lossy", Severity: 0.03},
+		{Kind: "add", Count: 4}, {Kind: "drain", Count: 3}, {Kind: "churn", Interval: seconds(2)}, {Kind: "directory"},
 		{Kind: "router_kill"}, {Kind: "router_restart"}, {Kind: "zone_cut"}, {Kind: "zone_loss"}, {Kind: "peers"},
-		{Kind: "origin_stop"}, {Kind: "origin_slow", Size: 3}, {Kind: "origin_errors", Size: 0.3},
+		{Kind: "origin_stop"}, {Kind: "origin_slow", Severity: 3}, {Kind: "origin_errors", Severity: 0.3},
 	} {
 		t.Run(f.Kind, func(t *testing.T) {
 			t.Parallel()
-			if f.At = seconds(2); f.For == 0 {
-				f.For = seconds(5)
+			if f.At = seconds(2); f.Duration == 0 {
+				f.Duration = seconds(5)
 			}
 			r := runDay(t, shortDay(f), Hoptiller, Options{Series: true})
-			if r.Broken > 0 {
+			if r.ViolationCount > 0 {
 				t.Errorf("%v", r.Violations[0])
 			}
 			if r.Service < 0.5 || r.Service > 1 || r.Asked < 1000 {
@@ -269,17 +269,17 @@
 func TestRounds(t *testing.T) {
 	day := shortDay()
 	at := runDay(t, day, Hoptiller, Options{})
-	day.Round = unit.Duration(5 * time.Millisecond)
-	if r := runDay(t, day, Hoptiller, Options{}); r.Broken > 0 || r.Service < at.Service-0.03 {
+	day.EventInterval = unit.Duration(5 * time.Millisecond)
+	if r := runDay(t, day, Hoptiller, Options{}); r.ViolationCount > 0 || r.Service < at.Service-0.03 {
 		t.Errorf("service %.3f in rounds, %.3f without; %v", r.Service, at.Service, r.Violations)
 	}
 }
 
 // A request without an answer when its router is killed is no violation by that router, and its client retries.
 func TestRequestsOfKilledRouter(t *testing.T) {
-	day := shortDay(model.Fault{Kind: "router_kill", At: seconds(4), For: seconds(2), Count: 3})
+	day := shortDay(model.Fault{Kind: "router_kill", At: seconds(4), Duration: seconds(2), Count: 3})
 	r := runDay(t, day, Hoptiller, Options{})
-	if r.Broken > 0 {
+	if r.ViolationCount > 0 {
 		t.Fatal(r.Violations[0])
 	}
 	if faultless := runDay(t, shortDay(), Hoptiller, Options{}); r.Tries <= faultless.Tries || r.Service >= faultless.Service {
@@ -290,10 +290,10 @@
 // Two overlapping faults that restart the same router leave one router running. Found by a hunt (seed 1, day 196).
 func TestRestartsOverlap(t *testing.T) {
 	day := shortDay(model.Fault{Kind: "router_restart", At: seconds(2), Count: 1},
-		model.Fault{Kind: "router_kill", At: seconds(3), For: seconds(1)},
-		model.Fault{Kind: "router_kill", At: seconds(5), For: seconds(3)})
+		model.Fault{Kind: "router_kill", At: seconds(3), Duration: seconds(1)},
+		model.Fault{Kind: "router_kill", At: seconds(5), Duration: seconds(3)})
 	day.Routers = 1
-	if r := runDay(t, day, Hoptiller, Options{}); r.Broken > 0 {
+	if r := runDay(t, day, Hoptiller, Options{}); r.ViolationCount > 0 {
 		t.Error(r.Violations[0])
 	}
 }
@@ -302,9 +302,9 @@
 func TestFill(t *testing.T) {
 	for _, policy := range []Policy{Hoptiller, rival.New("ring"), rival.New("maglev")} {
 		day := shortDay()
-		day.Warm = 0
+		day.WarmUp = 0
 		empty := runDay(t, day, policy, Options{})
-		day.Fill = true
+		day.FillCaches = true
 		if r := runDay(t, day, policy, Options{}); r.Outcomes["miss"] > empty.Outcomes["miss"]*3/4 ||
 			r.Service < empty.Service || r.Service < 0.95 {
 			t.Errorf("service %.3f with %d misses, %.3f with %d misses if the caches begin empty", r.Service, r.Outcomes["miss"],
@@ -341,7 +341,7 @@
 		all = append(all, p)
 		return p
 	}
-	day := shortDay(model.Fault{Kind: "peers", At: seconds(0), For: seconds(6)})
+	day := shortDay(model.Fault{Kind: "peers", At: seconds(0), Duration: seconds(6)})
 	day.Net.PeerLoss, day.Load.Level = 0.1, 0
 	runDay(t, day, policy, Options{})
 	for i, p := range all {
@@ -356,8 +356,8 @@
 
 func TestTrace(t *testing.T) {
 	r := runDay(t, shortDay(), Hoptiller, Options{Story: &Subject{0, 7}})
-	if len(r.Story) < 4 || !bytes.Contains([]byte(r.Story[len(r.Story)-1]), []byte("final answer")) {
-		t.Errorf("trace %q", r.Story)
+	if len(r.Trace) < 4 || !bytes.Contains([]byte(r.Trace[len(r.Trace)-1]), []byte("final answer")) {
+		t.Errorf("trace %q", r.Trace)
 	}
 }
 
@@ -370,7 +370,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		taken += r.Taken
+		taken += r.RequestsTaken
 	}
 	b.ReportMetric(float64(taken)/b.Elapsed().Minutes(), "requests/min")
 }
--- a/internal/lab/speed/speed.go
+++ b/internal/lab/speed/speed.go
@@ -253,7 +253,7 @@
 // configure writes the configuration of a router whose slot caches are the servers, and serves a discovery service that
 // lists them. clean stops the service and removes the configuration.
 func configure(addrs []string) (path string, clean func(), err error) {
-	day := model.Prairie()
+	day := model.DefaultDay()
 	day.Routers = 1
 	servers := []map[string]any{}
 	for i, a := range addrs {
--- a/internal/lab/standin/answer.go
+++ b/internal/lab/standin/answer.go
@@ -9,9 +9,9 @@
 )
 
 // Answered implements model.ConnHandler.
-func (l *link) Answered(call *model.Call, result model.Answer) {
-	status := [...]hoptiller.Status{model.Served: hoptiller.OK, model.Missed: hoptiller.Miss, model.Failed: hoptiller.ServerError,
-		model.Busy: hoptiller.TurnedAway, model.Stale: hoptiller.TurnedAway}[result]
+func (l *link) Answered(call *model.Call, result model.CallResult) {
+	status := [...]hoptiller.Status{model.ResultServed: hoptiller.OK, model.ResultMissed: hoptiller.Miss, model.ResultFailed: hoptiller.ServerError,
+		model.ResultBusy: hoptiller.TurnedAway, model.ResultStale: hoptiller.TurnedAway}[result]
 	request := l.finish(call, status)
 	if request == nil {
 		return
@@ -23,20 +23,20 @@
 	var cache, origin string
 	unsized := false
 	switch result {
-	case model.Served:
+	case model.ResultServed:
 		request.valueLink = l
 		cache = fmt.Sprintf("VA %d O%s h1\r\n%s\r\n", len(text), request.id, text)
 		origin = fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		if unsized = l.drawUnsized(call); unsized {
 			origin = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + text
 		}
-	case model.Missed:
+	case model.ResultMissed:
 		cache = fmt.Sprintf("EN O%s h0\r\n", request.id)
-	case model.Failed:
+	case model.ResultFailed:
 		cache, origin = "SERVER_ERROR failed\r\n", "HTTP/1.1 500 failed\r\nContent-Length: 0\r\n\r\n"
-	case model.Busy:
+	case model.ResultBusy:
 		cache, origin = "SERVER_ERROR busy\r\n", "HTTP/1.1 503 busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
-	case model.Stale:
+	case model.ResultStale:
 		origin = "HTTP/1.1 504 too late\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 	}
 	l.enqueue([]byte(cache), []byte(origin))
@@ -57,7 +57,7 @@
 		return false
 	}
 	random := rand.New(rand.NewPCG(e.day.Seed, op.ID))
-	return random.Float64() < e.day.Origin.Unsized
+	return random.Float64() < e.day.Origin.UnsizedShare
 }
 
 // writeRejection rejects a call whose request has ended.
--- a/internal/lab/standin/cause.go
+++ b/internal/lab/standin/cause.go
@@ -99,7 +99,7 @@
 	switch {
 	case request.incarnation != node.incarnation || node.wasKilled(request): // the process of its router has ended
 		return causeKnown
-	case e.Check.ExcusedDelay(now, node.index, request.number) > 0: // the router was paused, or a relay delayed its calls
+	case e.Checker.ExcusedDelay(now, node.index, request.number) > 0: // the router was paused, or a relay delayed its calls
 		return causeKnown
 	case request.callSummary.anySlow || request.callSummary.anyFailed:
 		return causeKnown
@@ -118,19 +118,19 @@
 
 // recordFailure counts a finished request as unexplained or as explained by timing, unless it was answered as
 // fast as its calls allowed or a known cause explains its end. Engine.mu must be held.
-func (e *Engine) recordFailure(request *clientRequest, answer model.Final) {
+func (e *Engine) recordFailure(request *clientRequest, answer model.FinalAnswer) {
 	if request.try.Op.Disconnected {
 		return
 	}
-	duration := e.World.Now() - request.try.At
+	duration := e.World.Now() - request.try.SentAt
 	late := duration > e.day.Classes[request.try.Op.Class].Aim.Std()
-	if answer == model.Value && (!late || duration-request.callSummary.totalTime <= routerTimeAllowance) {
+	if answer == model.FinalValue && (!late || duration-request.callSummary.totalTime <= routerTimeAllowance) {
 		return
 	}
 	switch e.causeOf(request) {
 	case causeRouter:
-		e.Tally.RequestUnexplained(e.World.Now())
+		e.Scorer.RequestUnexplained(e.World.Now())
 	case causeTiming:
-		e.Tally.RequestExplainedByTiming(e.World.Now())
+		e.Scorer.RequestExplainedByTiming(e.World.Now())
 	}
 }
--- a/internal/lab/standin/client.go
+++ b/internal/lab/standin/client.go
@@ -23,28 +23,28 @@
 	reader *bufio.Reader
 }
 
-// Take implements model.RouterTier.
-func (t *routerTier) Take(try *model.Try) bool {
+// Deliver implements model.RouterTier.
+func (t *routerTier) Deliver(try *model.Try) bool {
 	e := (*Engine)(t)
 	node := e.nodes[try.Router]
 	request := e.newRequest(try)
 	request.incarnation = node.incarnation
-	e.Tally.Taken(e.World.Now())
+	e.Scorer.RequestTaken(e.World.Now())
 	if !try.Op.Write {
 		e.requestedLoad.add(e.World.Now(), try.Op.Work)
 	}
-	e.Check.Taken(e.World.Now(), node.index, request.number, try.Op.Class, try.At+try.Remaining)
+	e.Checker.RequestTaken(e.World.Now(), node.index, request.number, try.Op.Class, try.SentAt+try.Remaining)
 	var conn *clientConn
 	if lastIdle := len(node.idleClients) - 1; lastIdle >= 0 {
 		conn, node.idleClients = node.idleClients[lastIdle], node.idleClients[:lastIdle]
 	}
-	request.deadline = try.At + try.Remaining
+	request.deadline = try.SentAt + try.Remaining
 	e.runUntilEnd(func() { node.sendRequest(request, conn) })
 	return true
 }
 
-// Leave implements model.RouterTier. A client whose time has run out still accepts an answer within the grace.
-func (t *routerTier) Leave(try *model.Try) {
+// ClientDisconnected implements model.RouterTier. A client whose time has run out still accepts an answer within the grace.
+func (t *routerTier) ClientDisconnected(try *model.Try) {
 	e := (*Engine)(t)
 	request := t.requestByTry[try]
 	if request == nil {
@@ -54,7 +54,7 @@
 }
 
 // grace returns how long after its deadline a request may be answered.
-func (e *Engine) grace() time.Duration { return e.day.Rules.Grace.Std() + slack }
+func (e *Engine) grace() time.Duration { return e.day.Invariants.Grace.Std() + slack }
 
 // expire ends a request without an answer. It waits longer if the machine lags or the request's router was
 // paused. Engine.mu must be held.
@@ -63,13 +63,13 @@
 		return // it has been answered, or lost
 	}
 	node := e.nodes[request.try.Router]
-	paused := min(e.Check.PausedFor(e.World.Now(), node.index, request.number), rules.MaxPause)
+	paused := min(e.Checker.PausedFor(e.World.Now(), node.index, request.number), rules.MaxPause)
 	if latest := request.deadline + e.grace() + min(node.recentLag(), maxLagAllowance) + paused; e.World.Now() < latest {
 		e.World.At(latest, func() { e.expire(request) })
 		return
 	}
-	e.recordFailure(request, model.Lost)
-	e.Check.RequestUnanswered(e.World.Now(), node.index, request.number)
+	e.recordFailure(request, model.FinalLost)
+	e.Checker.RequestUnanswered(e.World.Now(), node.index, request.number)
 	if request.client != nil {
 		request.client.socket.Close()
 	}
@@ -90,40 +90,40 @@
 		}
 		e.finishRequest(request, err != nil)
 		if err != nil {
-			answer = model.Lost
+			answer = model.FinalLost
 			if errors.Is(err, errNoRouter) {
 				answer = model.FinalNoRouter
-				e.Check.Left(n.index, request.number)
+				e.Checker.ClientDisconnected(n.index, request.number)
 			}
 		}
 		if answer != model.FinalNoRouter {
 			e.recordFailure(request, answer)
 		}
-		if answer == model.Lost && e.options.Lost != nil {
-			e.options.Lost(n.index, n.describeLost(request, err))
+		if answer == model.FinalLost && e.options.RequestLost != nil {
+			e.options.RequestLost(n.index, n.describeLost(request, err))
 		}
 		if err != nil {
 			if errors.Is(err, errTruncated) && !n.wasKilled(request) {
-				e.Check.AnswerTruncated(e.World.Now(), n.index, request.number, request.valueLink != nil && request.valueLink.isBroken())
+				e.Checker.AnswerTruncated(e.World.Now(), n.index, request.number, request.valueLink != nil && request.valueLink.isBroken())
 			}
 			if errors.Is(err, errNoAnswer) && !n.wasKilled(request) && request.callCount > 0 {
-				e.Check.ConnectionDropped(e.World.Now(), n.index, request.number)
+				e.Checker.ConnectionDropped(e.World.Now(), n.index, request.number)
 			}
 			// The checker has already forgotten the requests of a killed process.
-			e.Check.RequestUnanswered(e.World.Now(), n.index, request.number)
+			e.Checker.RequestUnanswered(e.World.Now(), n.index, request.number)
 			if request.client != nil {
 				request.client.socket.Close()
 				delete(e.closers, request.client.socket)
 			}
 		} else {
 			if e.World.Now() > request.deadline+e.grace() { // an answer this late is excused by the lag of the machine
-				e.Check.Left(n.index, request.number)
+				e.Checker.ClientDisconnected(n.index, request.number)
 			} else if !n.wasKilled(request) { // if the process was killed since, the checker has forgotten its requests
-				e.Check.Final(e.World.Now(), n.index, request.number, finalSteps[answer])
+				e.Checker.FinalAnswer(e.World.Now(), n.index, request.number, finalSteps[answer])
 			}
 			n.idleClients = append(n.idleClients, request.client)
 		}
-		e.Tally.Answered(e.World.Now(), answer)
+		e.Scorer.FinalAnswer(e.World.Now(), answer)
 		e.World.Reply(request.try, answer, retryAfter)
 	})
 }
@@ -135,7 +135,7 @@
 		answer = fmt.Sprintf("the connection of its value is broken %v", request.valueLink.isBroken())
 	}
 	return fmt.Sprintf("request %s is lost after %v, its time ends in %v: %v; %d calls, %s; its process is told to end %v, or is another one by now %v",
-		request.id, n.engine.World.Now()-request.try.At, request.deadline-n.engine.World.Now(), err, request.callCount, answer,
+		request.id, n.engine.World.Now()-request.try.SentAt, request.deadline-n.engine.World.Now(), err, request.callCount, answer,
 		n.expectedToEnd.Load(), request.incarnation != n.incarnation)
 }
 
@@ -143,7 +143,7 @@
 // closed the idle one. A process that was killed, or that has sent the request to a server, may have accepted
 // it. Then the request is lost and is not reported as unroutable, which would let a client retry a write that
 // must not run twice.
-func (n *routerNode) exchangeWithRetry(request *clientRequest, conn *clientConn) (answer model.Final, retryAfter time.Duration,
+func (n *routerNode) exchangeWithRetry(request *clientRequest, conn *clientConn) (answer model.FinalAnswer, retryAfter time.Duration,
 	err error) {
 	answer, retryAfter, err = n.exchange(request, conn)
 	if err == nil || conn == nil {
@@ -165,7 +165,7 @@
 )
 
 // exchange writes a request and reads its answer, on an idle connection or a new one.
-func (n *routerNode) exchange(request *clientRequest, conn *clientConn) (answer model.Final, retryAfter time.Duration,
+func (n *routerNode) exchange(request *clientRequest, conn *clientConn) (answer model.FinalAnswer, retryAfter time.Duration,
 	err error) {
 	isNew := conn == nil
 	if isNew {
@@ -184,7 +184,7 @@
 	// The earlier process had not accepted the request.
 	if isNew && request.incarnation != n.incarnation && request.callCount == 0 && !ended {
 		request.incarnation = n.incarnation
-		n.engine.Check.Taken(n.engine.World.Now(), n.index, request.number, request.try.Op.Class, request.deadline)
+		n.engine.Checker.RequestTaken(n.engine.World.Now(), n.index, request.number, request.try.Op.Class, request.deadline)
 	}
 	measuredAt := time.Now()
 	// Measured just before the write; on a busy machine an older value would overstate the time left.
@@ -209,7 +209,7 @@
 		defer time.AfterFunc(after, func() { n.disconnectClient(request) }).Stop()
 	}
 	n.engine.mu.Lock()
-	n.engine.Check.RequestWrittenLate(n.index, request.number, time.Since(measuredAt))
+	n.engine.Checker.RequestWrittenLate(n.index, request.number, time.Since(measuredAt))
 	n.engine.mu.Unlock()
 	line, err := conn.reader.ReadString('\n')
 	if err != nil && line == "" {
@@ -232,15 +232,15 @@
 		if string(body[:size]) != valueFor(request.id, n.engine.day.Load.Bytes, op.Size) {
 			return 0, 0, errors.New("the value belongs to another request")
 		}
-		return model.Value, 0, nil
+		return model.FinalValue, 0, nil
 	case len(words) >= 3 && words[0] == "HD" && op.Write && words[2] == "cr"+request.id:
-		return model.Value, 0, nil
+		return model.FinalValue, 0, nil
 	case len(words) >= 2 && words[0] == "SERVER_ERROR" && words[1] == "busy":
 		if len(words) > 2 {
 			ms, _ := strconv.Atoi(words[2])
 			retryAfter = time.Duration(ms) * time.Millisecond
 		}
-		return model.Refused, retryAfter, nil
+		return model.FinalRefused, retryAfter, nil
 	}
-	return model.Failure, 0, nil
+	return model.FinalFailed, 0, nil
 }
--- a/internal/lab/standin/control.go
+++ b/internal/lab/standin/control.go
@@ -20,7 +20,7 @@
 
 // Listed implements model.Observer. A new cache gets its listeners before any router learns of it.
 func (w observer) Listed(m model.Member) {
-	w.Judge.Listed(m)
+	w.Recorder.Listed(m)
 	for _, n := range w.nodes {
 		if n.servers[m.Addr] == nil && m.Phase == model.Ready {
 			n.listenServerLocked(m.Addr)
@@ -36,7 +36,7 @@
 // process without any listed server.
 func (s *routerControl) Kill(i int) {
 	s.nodes[i].signal(os.Kill)
-	s.Check.Killed(s.World.Now(), i)
+	s.Checker.ProcessKilled(s.World.Now(), i)
 	s.nodes[i].lastKilled = s.nodes[i].incarnation
 	s.nodes[i].incarnation++ // what arrives from now on does not belong to the killed process
 }
@@ -49,7 +49,7 @@
 		return
 	}
 	e := (*Engine)(s)
-	recordPause := func(paused bool) { e.do(func() { e.Check.ProcessPaused(e.World.Now(), i, paused) }) }
+	recordPause := func(paused bool) { e.do(func() { e.Checker.ProcessPaused(e.World.Now(), i, paused) }) }
 	go func() { // the caller may hold Engine.mu
 		recordPause(true)
 		sleep(e.ctx, duration)
@@ -61,8 +61,8 @@
 // KillTerminated implements Control.
 func (s *routerControl) KillTerminated(i int) { s.nodes[i].signal(syscall.SIGKILL) }
 
-// Crowd implements Control.
-func (s *routerControl) Crowd(i, connections int) (release func()) {
+// OpenIdleConns implements Control.
+func (s *routerControl) OpenIdleConns(i, connections int) (release func()) {
 	e, n := (*Engine)(s), s.nodes[i]
 	ctx, cancel := context.WithCancel(e.ctx)
 	e.runUntilEnd(func() {
@@ -86,12 +86,12 @@
 func (s *routerControl) Signal(i int, sig os.Signal) {
 	s.nodes[i].signal(sig)
 	if sig == syscall.SIGSTOP || sig == syscall.SIGCONT {
-		s.Check.ProcessPaused(s.World.Now(), i, sig == syscall.SIGSTOP)
+		s.Checker.ProcessPaused(s.World.Now(), i, sig == syscall.SIGSTOP)
 	}
 }
 
-// Disturbed implements Control.
-func (s *routerControl) Disturbed(i int, on bool) {
+// RelayFaultChanged implements Control.
+func (s *routerControl) RelayFaultChanged(i int, on bool) {
 	if on {
 		s.nodes[i].disturbances++
 	} else {
@@ -99,11 +99,11 @@
 	}
 }
 
-// Unreachable implements Control.
-func (s *routerControl) Unreachable(i int, on bool) { s.Check.RouterUnreachable(i, on) }
+// RouterUnreachable implements Control.
+func (s *routerControl) RouterUnreachable(i int, on bool) { s.Checker.RouterUnreachable(i, on) }
 
-// HeldBack implements Control.
-func (s *routerControl) HeldBack(i int, on bool) { s.Check.RelayDelaying(s.World.Now(), i, on) }
+// RelayDelaying implements Control.
+func (s *routerControl) RelayDelaying(i int, on bool) { s.Checker.RelayDelaying(s.World.Now(), i, on) }
 
 // Stop implements model.RouterControl.
 func (s *routerControl) Stop(i int) { s.nodes[i].stop() }
@@ -112,12 +112,12 @@
 func (s *routerControl) Start(i int) { go s.nodes[i].start() }
 
 // finalSteps maps a client's final answers to the steps of the decision module.
-var finalSteps = map[model.Final]hoptiller.StepKind{model.Value: hoptiller.StepServed, model.Refused: hoptiller.StepReject,
-	model.Failure: hoptiller.StepFail}
+var finalSteps = map[model.FinalAnswer]hoptiller.StepKind{model.FinalValue: hoptiller.StepServed, model.FinalRefused: hoptiller.StepReject,
+	model.FinalFailed: hoptiller.StepFail}
 
-// Cache implements Control.
-func (s *routerControl) Cache(n int) string {
-	for _, m := range s.World.Directory.Present() {
+// CacheName implements Control.
+func (s *routerControl) CacheName(n int) string {
+	for _, m := range s.World.Discovery.Members() {
 		if m.Origin {
 			continue
 		}
@@ -128,13 +128,13 @@
 	return ""
 }
 
-// Aside implements Control.
-func (s *routerControl) Aside(router int, cache string, drained bool) {
+// ServerDrained implements Control.
+func (s *routerControl) ServerDrained(router int, cache string, drained bool) {
 	e := (*Engine)(s)
 	e.do(func() {
-		for _, m := range e.World.Directory.Present() {
+		for _, m := range e.World.Discovery.Members() {
 			if serverName(m.ID) == cache {
-				e.Check.ServerDrained(e.World.Now(), router, m.Index, drained)
+				e.Checker.ServerDrained(e.World.Now(), router, m.ServerIndex, drained)
 			}
 		}
 	})
@@ -147,8 +147,8 @@
 	(*Engine)(s).runUntilEnd(func() { done(s.nodes[i].replace(variant)) })
 }
 
-// Shows implements Control.
-func (s *routerControl) Shows(variant string) (string, error) {
+// SettingsDigest implements Control.
+func (s *routerControl) SettingsDigest(variant string) (string, error) {
 	text, err := json.Marshal(map[string]any{"settings": s.nodes[0].settings(variant)})
 	if err != nil {
 		return "", err
--- a/internal/lab/standin/disconnect.go
+++ b/internal/lab/standin/disconnect.go
@@ -20,7 +20,7 @@
 func (e *Engine) finishRequest(request *clientRequest, disconnected bool) {
 	router := request.try.Router
 	e.endedRequests[request.id] = endedRequest{router, request.number,
-		e.Check.RequestEnded(time.Since(e.startedAt), router, disconnected)}
+		e.Checker.RequestEnded(time.Since(e.startedAt), router, disconnected)}
 	e.forgetRequest(request)
 }
 
@@ -32,8 +32,8 @@
 		return
 	}
 	// The lag of the router itself is no excuse: it must check again when it resumes.
-	e.Check.Lag = 2 * e.lag.max(time.Since(e.startedAt))
-	e.Check.AttemptAfterEnd(a.at.Sub(e.startedAt), past.router, past.number, l.server, past.end)
+	e.Checker.Lag = 2 * e.lag.max(time.Since(e.startedAt))
+	e.Checker.AttemptAfterEnd(a.at.Sub(e.startedAt), past.router, past.number, l.server, past.end)
 }
 
 // maxDisconnectDelay is the longest time that a client which disconnects early waits before that. Most answers
@@ -44,7 +44,7 @@
 // how long after sending the request.
 func (e *Engine) drawDisconnect(request *clientRequest, remaining time.Duration) (after time.Duration, disconnects bool) {
 	random := rand.New(rand.NewPCG(e.day.Seed, xxhash.Sum64String(request.id)))
-	if random.Float64() >= e.day.Clients.Leave {
+	if random.Float64() >= e.day.Clients.DisconnectShare {
 		return 0, false
 	}
 	return time.Duration(random.Float64() * float64(min(remaining, maxDisconnectDelay))), true
@@ -59,7 +59,7 @@
 		}
 		request.client.socket.Close()
 		request.try.Op.Disconnected = true
-		e.Check.Left(n.index, request.number)
+		e.Checker.ClientDisconnected(n.index, request.number)
 		e.finishRequest(request, true)
 	})
 }
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -26,15 +26,15 @@
 
 // Options configures how a day is played.
 type Options struct {
-	Router string                     // the router program; empty to wait for routers that others start
-	Dir    string                     // directory for the configuration of each router, if Router is empty
-	Series bool                       // keep values for each second
-	Log    io.Writer                  // output of the routers; nil discards it
-	Logs   func(router int) io.Writer // output of each router; takes precedence over Log
+	Router    string                     // the router program; empty to wait for routers that others start
+	Dir       string                     // directory for the configuration of each router, if Router is empty
+	Series    bool                       // keep values for each second
+	Log       io.Writer                  // output of the routers; nil discards it
+	RouterLog func(router int) io.Writer // output of each router; takes precedence over Log
 
-	// Way, if set, returns the address that a router uses instead of a stub server's, which is that of a relay
+	// AddressFor, if set, returns the address that a router uses instead of a stub server's, which is that of a relay
 	// in front of it. It is called with the engine's lock held and must not block.
-	Way func(router int, to Party, addr string) (string, error)
+	AddressFor func(router int, to ServerKind, addr string) (string, error)
 	// Arrivals, if set, returns a relay's log of when a router's bytes arrived. It is called with the
 	// addresses of a connection to a stub server and returns nil if there is no relay.
 	Arrivals func(router int, from, to string) *arrival.Log
@@ -48,34 +48,34 @@
 	// Variant, if set, returns the environment for a router of a variant, in addition to its configuration.
 	// The settings of every variant but "" contain its name, so that the routers report different settings.
 	Variant func(variant string) (env []string)
-	// Ended, if set, is called when a router's process ends without a signal and before the end of the day.
-	Ended func(router int, how string)
-	// Lost, if set, is called for each request whose connection ended without a complete answer, with a
+	// ProcessEnded, if set, is called when a router's process ends without a signal and before the end of the day.
+	ProcessEnded func(router int, how string)
+	// RequestLost, if set, is called for each request whose connection ended without a complete answer, with a
 	// description that contains the request's ID.
-	Lost func(router int, text string)
+	RequestLost func(router int, text string)
 	// Steps are run in addition to the day's faults. Begun is called when all routers answer, just before the
 	// day starts.
-	Steps []Step
-	Begun func(c Control, at time.Time)
+	Steps   []Step
+	Started func(c Control, at time.Time)
 	// Progress, if set, is called once a second while no step runs.
-	Progress func(now time.Duration, w *model.World, t *tally.Tally)
+	Progress func(now time.Duration, w *model.World, t *tally.Scorer)
 }
 
-// Party is a kind of server that a router talks to.
-type Party string
+// ServerKind is a kind of server that a router talks to.
+type ServerKind string
 
 // The kinds of servers.
 const (
-	Directory Party = "directory"
-	Cache     Party = "cache"
-	Origin    Party = "origin"
+	Discovery ServerKind = "directory"
+	Cache     ServerKind = "cache"
+	Origin    ServerKind = "origin"
 )
 
 // Step is an action at a time of the day, measured from its start with the warm-up included. Do is called with
 // the engine's lock held and must not block.
 type Step struct {
-	At time.Duration
-	Do func()
+	At     time.Duration
+	Action func()
 }
 
 // Control controls the routers' processes. Its methods return at once. All but Aside and Interrupt must be
@@ -89,24 +89,24 @@
 	// KillTerminated kills a process that has not ended after SIGTERM. The requests that it has not answered
 	// are lost.
 	KillTerminated(router int)
-	// Crowd opens idle connections to a router and closes them when release is called.
-	Crowd(router, connections int) (release func())
+	// OpenIdleConns opens idle connections to a router and closes them when release is called.
+	OpenIdleConns(router, connections int) (release func())
 	Start(router int)
 	// Replace terminates a router's process and starts another one of the given variant when it has ended.
 	// Then it calls done with the error, if any.
 	Replace(router int, variant string, done func(error))
-	// Shows returns the digest of settings that routers of a variant report.
-	Shows(variant string) (string, error)
-	// Cache returns the name of the nth slot cache in discovery, counted from 0.
-	Cache(n int) string
-	// HeldBack records that a relay starts or stops delaying what a router sends to servers.
-	HeldBack(router int, on bool)
-	// Unreachable records that a relay starts or stops resetting all connections of a router to cache servers.
-	Unreachable(router int, on bool)
-	// Disturbed records that a relay starts or stops any fault on a router's paths to servers.
-	Disturbed(router int, on bool)
-	// Aside records that a router declares to send a slot cache nothing new, or that it revokes this.
-	Aside(router int, cache string, yes bool)
+	// SettingsDigest returns the digest of settings that routers of a variant report.
+	SettingsDigest(variant string) (string, error)
+	// CacheName returns the name of the nth slot cache in discovery, counted from 0.
+	CacheName(n int) string
+	// RelayDelaying records that a relay starts or stops delaying what a router sends to servers.
+	RelayDelaying(router int, on bool)
+	// RouterUnreachable records that a relay starts or stops resetting all connections of a router to cache servers.
+	RouterUnreachable(router int, on bool)
+	// RelayFaultChanged records that a relay starts or stops any fault on a router's paths to servers.
+	RelayFaultChanged(router int, on bool)
+	// ServerDrained records that a router declares to send a slot cache nothing new, or that it revokes this.
+	ServerDrained(router int, cache string, yes bool)
 }
 
 // slack extends the time limits of the invariants on sockets, because events are observed here later than they
@@ -126,7 +126,7 @@
 	startedAt time.Time
 
 	mu sync.Mutex
-	tally.Judge
+	tally.Recorder
 	nodes         []*routerNode
 	requests      map[string]*clientRequest     // by ID, open requests
 	endedRequests map[string]endedRequest       // by ID, requests that have ended
@@ -161,24 +161,24 @@
 		endedRequests: map[string]endedRequest{}, requestByTry: map[*model.Try]*clientRequest{},
 		closers: map[io.Closer]bool{}, startedAt: time.Now()}
 	checkedDay := *day
-	checkedDay.Rules.Drain += unit.Duration(slack)
-	checkedDay.Rules.Grace += unit.Duration(slack)
-	checkedDay.Rules.TimeSlack += unit.Duration(slack)
-	checkedDay.Rules.Copies = true // link.checkOverlap checks overlapping calls instead
-	e.Check = rules.New(&checkedDay)
-	e.Tally = tally.New(day, opt.Series)
+	checkedDay.Invariants.Drain += unit.Duration(slack)
+	checkedDay.Invariants.Grace += unit.Duration(slack)
+	checkedDay.Invariants.TimeSlack += unit.Duration(slack)
+	checkedDay.Invariants.AllowsHedge = true // link.checkOverlap checks overlapping calls instead
+	e.Checker = rules.New(&checkedDay)
+	e.Scorer = tally.New(day, opt.Series)
 	defer e.running.Wait()
 	defer e.close()
 	defer cancel()
 	e.World = model.New(day, (*routerTier)(e), (*routerControl)(e), observer{e})
-	if day.Fill {
-		e.World.Fill(sim.ZoneHomes(day, sim.Hoptiller, e.World.Directory.Present()))
+	if day.FillCaches {
+		e.World.FillCaches(sim.ZoneHomes(day, sim.Hoptiller, e.World.Discovery.Members()))
 	}
 	if err := e.listen(); err != nil {
 		return nil, err
 	}
 	for _, s := range opt.Steps {
-		e.World.At(s.At, s.Do)
+		e.World.At(s.At, s.Action)
 	}
 	for _, n := range e.nodes {
 		if opt.Router == "" {
@@ -214,8 +214,8 @@
 	e.mu.Lock()
 	e.startedAt = time.Now()
 	e.mu.Unlock()
-	if e.options.Begun != nil {
-		e.options.Begun((*routerControl)(e), e.startedAt)
+	if e.options.Started != nil {
+		e.options.Started((*routerControl)(e), e.startedAt)
 	}
 	longestDeadline := time.Duration(0)
 	for _, c := range e.day.Classes {
@@ -237,15 +237,15 @@
 		now := e.World.Now()
 		if now >= nextSecond && now < e.World.End()+time.Second {
 			nextSecond += time.Second
-			e.Tally.Sample(e.World)
+			e.Scorer.Sample(e.World)
 			if e.options.Progress != nil {
-				e.options.Progress(now, e.World, e.Tally)
+				e.options.Progress(now, e.World, e.Scorer)
 			}
 		}
 		next, scheduled := e.World.Due()
 		if now >= end {
-			e.Check.Finish(now)
-			result := e.Tally.Result(e.World, e.Check)
+			e.Checker.Finish(now)
+			result := e.Scorer.Result(e.World, e.Checker)
 			e.closing = true
 			e.mu.Unlock()
 			return result, nil
@@ -364,7 +364,7 @@
 	e.nextID++
 	op := &model.Operation{ID: e.nextID, Class: class, Key: keyNumber, Work: work, Size: 1, Write: write, CreatedAt: e.World.Now()}
 	request := &clientRequest{callArrivedAt: map[*model.Call]time.Duration{}, callEndedAt: map[*model.Call]time.Time{},
-		try: &model.Try{Op: op, At: e.World.Now()}, id: id, number: uint32(e.nextID)}
+		try: &model.Try{Op: op, SentAt: e.World.Now()}, id: id, number: uint32(e.nextID)}
 	e.requests[id] = request
 	e.World.After(e.day.Classes[class].Deadline.Std(), func() { delete(e.requests, id) })
 	return request
--- a/internal/lab/standin/faulty_router_test.go
+++ b/internal/lab/standin/faulty_router_test.go
@@ -132,10 +132,10 @@
 		refusesEverything: rules.Serving} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			day := model.Prairie()
-			day.Warm, day.Length, day.Fleet.Caches, day.Load.Level = toDuration(0.5), toDuration(1), 2, 0.35
+			day := model.DefaultDay()
+			day.WarmUp, day.Length, day.Fleet.Caches, day.Load.Level = toDuration(0.5), toDuration(1), 2, 0.35
 			if fault == refusesEverything {
-				day.Warm = toDuration(5)
+				day.WarmUp = toDuration(5)
 			}
 			for i := range day.Classes {
 				day.Classes[i].Aim, day.Classes[i].Deadline = toDuration(1), toDuration(3)
@@ -150,7 +150,7 @@
 			detected := slices.ContainsFunc(result.Violations, func(v rules.Violation) bool { return v.Rule == rule })
 			others := slices.DeleteFunc(slices.Clone(result.Violations), func(v rules.Violation) bool { return v.Rule == rule })
 			if detected != (rule != "") || len(others) > 0 {
-				t.Errorf("%d violations in %d requests: detected %v, others %v", result.Broken, result.Taken, detected, others)
+				t.Errorf("%d violations in %d requests: detected %v, others %v", result.ViolationCount, result.RequestsTaken, detected, others)
 			}
 		})
 	}
@@ -164,7 +164,7 @@
 			t.Parallel()
 			_, result := playByHand(t, func(c Control) {
 				e := (*Engine)(c.(*routerControl))
-				e.Check.Taken(e.World.Now(), 0, uint32(e.nextID), 0, e.World.Now()+remaining) // the attempt states a second
+				e.Checker.RequestTaken(e.World.Now(), 0, uint32(e.nextID), 0, e.World.Now()+remaining) // the attempt states a second
 			})
 			detected := slices.ContainsFunc(result.Violations, func(v rules.Violation) bool { return v.Rule == rules.TimeLeft })
 			if detected != (remaining < time.Second) {
--- a/internal/lab/standin/long_answers_test.go
+++ b/internal/lab/standin/long_answers_test.go
@@ -23,16 +23,16 @@
 	for name, unsized := range map[string]float64{"all with length": 0, "half without length": 0.5, "all without length": 1} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			day := model.Prairie()
-			day.Warm, day.Length, day.Fleet.Caches, day.Routers, day.Load.Level = 0, toDuration(6), 4, 1, 0
-			day.Load.Bytes, day.Origin.Unsized = maxValueBytes, unsized
+			day := model.DefaultDay()
+			day.WarmUp, day.Length, day.Fleet.Caches, day.Routers, day.Load.Level = 0, toDuration(6), 4, 1, 0
+			day.Load.Bytes, day.Origin.UnsizedShare = maxValueBytes, unsized
 			for i := range day.Classes {
 				day.Classes[i].Deadline = toDuration(2)
 			}
 			dir := t.TempDir()
 			begun, ended := make(chan time.Time, 1), make(chan *tally.Result, 1)
 			go func() {
-				result, err := Run(context.Background(), &day, Options{Dir: dir, Begun: func(_ Control, at time.Time) { begun <- at }})
+				result, err := Run(context.Background(), &day, Options{Dir: dir, Started: func(_ Control, at time.Time) { begun <- at }})
 				if err != nil {
 					t.Error(err)
 				}
@@ -43,8 +43,8 @@
 			if reads.Served == 0 || reads.Lost > 0 || reads.Failed > 0 {
 				t.Errorf("%+v", reads)
 			}
-			if result := testprog.Await(t, ended, "the end of the day"); result != nil && result.Broken > 0 {
-				t.Errorf("%d violations, first %v", result.Broken, result.Violations[0])
+			if result := testprog.Await(t, ended, "the end of the day"); result != nil && result.ViolationCount > 0 {
+				t.Errorf("%d violations, first %v", result.ViolationCount, result.Violations[0])
 			}
 		})
 	}
--- a/internal/lab/standin/node.go
+++ b/internal/lab/standin/node.go
@@ -78,11 +78,11 @@
 		n.dir = dir
 	}
 	e.mu.Lock()
-	present := model.Update{Full: true, Members: e.World.Directory.Present()}
+	present := model.ListUpdate{Complete: true, Members: e.World.Discovery.Members()}
 	known := n.listingFor(present)
 	n.incarnation++
-	e.Check.Begins(n.index)
-	e.Check.Told(e.World.Now(), n.index, present)
+	e.Checker.ProcessStarted(n.index)
+	e.Checker.UpdateReceived(e.World.Now(), n.index, present)
 	e.mu.Unlock()
 	configuration := map[string]any{
 		"name": fmt.Sprintf("n%d", n.index), "listen": n.addr, "discovery": n.discoveryAddr,
@@ -175,8 +175,8 @@
 		cmd.Env = append(cmd.Env, n.engine.options.Variant(n.variant)...)
 	}
 	log := n.engine.options.Log
-	if n.engine.options.Logs != nil {
-		log = n.engine.options.Logs(n.index)
+	if n.engine.options.RouterLog != nil {
+		log = n.engine.options.RouterLog(n.index)
 	}
 	n.output = &lastOutput{forward: log}
 	cmd.Stdout, cmd.Stderr = n.output, n.output
@@ -189,8 +189,8 @@
 	n.process.Store(cmd.Process)
 	go func() {
 		cmd.Wait()
-		if !n.expectedToEnd.Load() && n.engine.options.Ended != nil {
-			n.engine.options.Ended(n.index, cmd.ProcessState.String())
+		if !n.expectedToEnd.Load() && n.engine.options.ProcessEnded != nil {
+			n.engine.options.ProcessEnded(n.index, cmd.ProcessState.String())
 		}
 		close(ended)
 	}()
@@ -285,7 +285,7 @@
 }
 
 // listingFor returns an update in the format of discovery. Engine.mu must be held.
-func (n *routerNode) listingFor(update model.Update) map[string]any {
+func (n *routerNode) listingFor(update model.ListUpdate) map[string]any {
 	list := []map[string]any{}
 	for _, m := range update.Members {
 		addr, known := n.advertised[m.Addr]
@@ -304,15 +304,15 @@
 		}
 		list = append(list, entry)
 	}
-	return map[string]any{"version": n.engine.World.Directory.Version(), "full": update.Full, "servers": list}
+	return map[string]any{"version": n.engine.World.Discovery.Version(), "full": update.Complete, "servers": list}
 }
 
 // addressFor returns the address that the router uses instead of a listener's own address.
-func (n *routerNode) addressFor(to Party, l net.Listener) (string, error) {
-	if n.engine.options.Way == nil {
+func (n *routerNode) addressFor(to ServerKind, l net.Listener) (string, error) {
+	if n.engine.options.AddressFor == nil {
 		return l.Addr().String(), nil
 	}
-	return n.engine.options.Way(n.index, to, l.Addr().String())
+	return n.engine.options.AddressFor(n.index, to, l.Addr().String())
 }
 
 func zoneName(i int) string { return fmt.Sprintf("z%d", i) }
@@ -323,7 +323,7 @@
 	if err != nil {
 		return err
 	}
-	if n.discoveryAddr, err = n.addressFor(Directory, l); err != nil {
+	if n.discoveryAddr, err = n.addressFor(Discovery, l); err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
@@ -340,13 +340,13 @@
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	updates := make(chan []byte, 256) // the text of each update; nil ends the response
 	var incarnation int               // of the process that sent the request; later updates do not reach the next process
-	notify := func(u model.Update) {
+	notify := func(u model.ListUpdate) {
 		var text []byte
 		if !u.Failed {
 			text, _ = json.Marshal(n.listingFor(u))
 		}
 		if incarnation == n.incarnation {
-			e.Check.Told(e.World.Now(), n.index, u)
+			e.Checker.UpdateReceived(e.World.Now(), n.index, u)
 		}
 		select {
 		case updates <- text:
@@ -356,18 +356,18 @@
 	e.do(func() {
 		incarnation = n.incarnation
 		if watching {
-			e.World.Directory.Join(n.index, after, notify)
-			e.Check.Watches(n.index, true)
+			e.World.Discovery.Register(n.index, after, notify)
+			e.Checker.WatchChanged(n.index, true)
 		}
-		e.World.Directory.Ask(n.index, !watching, watching, notify)
+		e.World.Discovery.Request(n.index, !watching, watching, notify)
 	})
 	if watching {
 		defer e.do(func() {
 			if incarnation != n.incarnation {
 				return
 			}
-			e.Check.Watches(n.index, false)
-			e.World.Directory.Ask(n.index, false, false, nil)
+			e.Checker.WatchChanged(n.index, false)
+			e.World.Discovery.Request(n.index, false, false, nil)
 		})
 	}
 	controller := http.NewResponseController(w)
--- a/internal/lab/standin/overlap.go
+++ b/internal/lab/standin/overlap.go
@@ -23,7 +23,7 @@
 	e, previous := l.node.engine, request.latestCall
 	latest := &tracedCall{call, l, at, &rules.CallTrace{Attempt: call.Attempt, Server: l.server, Connected: l.acceptedAt,
 		Written: at.Sub(e.startedAt), Read: e.World.Now()}}
-	if request.latestCall = latest; previous == nil || e.day.Rules.Copies {
+	if request.latestCall = latest; previous == nil || e.day.Invariants.AllowsHedge {
 		return
 	}
 	e.World.After(slack, func() {
@@ -31,7 +31,7 @@
 			return
 		}
 		now := time.Since(e.startedAt)
-		e.Check.CallsOverlapped(e.World.Now(), l.node.index, request.number, previous.trace, latest.trace, l.node.lag.max(now),
+		e.Checker.CallsOverlapped(e.World.Now(), l.node.index, request.number, previous.trace, latest.trace, l.node.lag.max(now),
 			e.lag.max(now))
 	})
 }
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -223,7 +223,7 @@
 			class, _ := meta.LookupFact([]byte(a.facts), "c")
 			request = e.newForeignRequest(a.id, string(class), number, a.write)
 			request.incarnation = l.node.incarnation
-			e.Check.Taken(e.World.Now(), l.node.index, request.number, request.try.Op.Class, e.World.Now()+time.Hour)
+			e.Checker.RequestTaken(e.World.Now(), l.node.index, request.number, request.try.Op.Class, e.World.Now()+time.Hour)
 		}
 		if request == nil { // the request has ended
 			l.checkAttemptAfterEnd(a)
@@ -240,12 +240,12 @@
 		server := e.World.Occupant(l.server)
 		// Calls of an earlier process do not count against the current one.
 		if request.incarnation == l.node.incarnation && !l.node.wasKilled(request) {
-			e.Check.Sent(e.World.Now(), l.node.index, request.number, server)
+			e.Checker.CallSent(e.World.Now(), l.node.index, request.number, server)
 			l.checkTimeLeft(request, a)
 			l.checkOverlap(request, call, a.at)
 		}
 		m := e.World.Member(server)
-		e.Tally.Called(m.Zone != l.node.index%e.day.Zones)
+		e.Scorer.CallSent(m.Zone != l.node.index%e.day.Zones)
 		l.conn.Send(call)
 	})
 }
@@ -260,9 +260,9 @@
 	if e.options.Router == "" {
 		return
 	}
-	e.Check.Lag = l.node.recentLag()
+	e.Checker.Lag = l.node.recentLag()
 	stated, err := parseTimeLeft(a.facts)
-	e.Check.TimeTold(a.at.Sub(e.startedAt), l.node.index, request.number, stated, err)
+	e.Checker.TimeLeftReceived(a.at.Sub(e.startedAt), l.node.index, request.number, stated, err)
 }
 
 func (l *link) enqueue(cache, origin []byte) {
@@ -299,8 +299,8 @@
 	e := l.node.engine
 	request.callEndedAt[call] = time.Now()
 	request.callSummary.callEnded(status, e.World.Now()-request.callArrivedAt[call], e.day.Classes[request.try.Op.Class].Aim.Std())
-	e.Check.Ended(e.World.Now(), l.node.index, request.number, call.Attempt, status)
-	e.Tally.Closed(e.World.Now(), status, e.World.Now()-request.callArrivedAt[call])
+	e.Checker.CallEnded(e.World.Now(), l.node.index, request.number, call.Attempt, status)
+	e.Scorer.CallEnded(e.World.Now(), status, e.World.Now()-request.callArrivedAt[call])
 	return request
 }
 
@@ -308,10 +308,10 @@
 func (l *link) Opened(*model.Conn) { l.openedOnce.Do(func() { close(l.opened) }) }
 
 // Refused implements model.ConnHandler.
-func (l *link) Refused(*model.Conn) { l.Lost(nil) }
+func (l *link) Refused(*model.Conn) { l.Closed(nil) }
 
-// Lost implements model.ConnHandler.
-func (l *link) Lost(*model.Conn) {
+// Closed implements model.ConnHandler.
+func (l *link) Closed(*model.Conn) {
 	l.brokenByServer = true
 	l.finishAll(hoptiller.Reset)
 	if tcp, ok := l.socket.(*net.TCPConn); ok {
--- a/internal/lab/standin/settings.go
+++ b/internal/lab/standin/settings.go
@@ -33,7 +33,7 @@
 		"kinds": append(kinds, "origin"), "failureDomains": zones, "membershipMode": "on_request",
 		"overShareWorth": settings.OverShareWorth, "period": micros(settings.TickInterval),
 		"familyInfo": map[string]any{"mode": "aside", "ordered": settings.OrderedAnswers, "originKind": settings.OriginKind},
-		"bounds": map[string]any{"connIdle": micros(day.Fleet.IdleFor.Std()), "connectTimeout": micros(settings.ConnectTimeout),
+		"bounds": map[string]any{"connIdle": micros(day.Fleet.IdleTimeout.Std()), "connectTimeout": micros(settings.ConnectTimeout),
 			"mayCancel": settings.AllowsCancel, "mostTries": settings.MaxAttempts, "maxRetryAfter": micros(settings.MaxRetryAfter),
 			"mayTell": true, "retryAfter": settings.SendsRetryAfter, "secondCopies": settings.Hedging, "streamsPerConn": 100},
 		"fees": map[string]any{"connection": 0.04, "handshake": 0.04}, // the fees of the first site, where connections are shared
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -42,23 +42,23 @@
 // TestDay checks that a day on sockets is served as well as in virtual time, through a crash, a killed router,
 // a stopped router, a cache that joins and one that leaves, and that no invariant is violated.
 func TestDay(t *testing.T) {
-	day := model.Prairie()
-	day.Warm, day.Length, day.Fleet.Caches, day.Load.Level = toDuration(3), toDuration(6), 6, 0.35
-	day.Directory.Notice = [2]unit.Duration{toDuration(0.1), toDuration(0.3)}
-	day.Clients.Notice = toDuration(0.3)
+	day := model.DefaultDay()
+	day.WarmUp, day.Length, day.Fleet.Caches, day.Load.Level = toDuration(3), toDuration(6), 6, 0.35
+	day.Discovery.NoticeDelay = [2]unit.Duration{toDuration(0.1), toDuration(0.3)}
+	day.Clients.DeadRouterNotice = toDuration(0.3)
 	day.Classes[0].Work, day.Classes[1].Deadline, day.Classes[0].Deadline = toDuration(0.05), toDuration(2), toDuration(2)
 	for _, faults := range [][]model.Fault{
 		nil,
-		{{Kind: "crash", At: toDuration(1), For: toDuration(2), Part: 0.2},
-			{Kind: "router_kill", At: toDuration(2), For: toDuration(1)}},
+		{{Kind: "crash", At: toDuration(1), Duration: toDuration(2), Share: 0.2},
+			{Kind: "router_kill", At: toDuration(2), Duration: toDuration(1)}},
 		{{Kind: "add", At: toDuration(1)}, {Kind: "drain", At: toDuration(2)}, {Kind: "router_restart", At: toDuration(1)},
-			{Kind: "resets", At: toDuration(3), For: toDuration(1), Size: 10}},
+			{Kind: "resets", At: toDuration(3), Duration: toDuration(1), Severity: 10}},
 	} {
 		t.Run(fmt.Sprint(len(faults)), func(t *testing.T) {
 			t.Parallel()
 			day := day
 			day.Faults = faults
-			if err := day.Check(); err != nil {
+			if err := day.Validate(); err != nil {
 				t.Fatal(err)
 			}
 			result, err := Run(context.Background(), &day, Options{Router: routerProgram, Series: true})
@@ -69,8 +69,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if result.Broken > 0 {
-				t.Errorf("%d violations, first %v", result.Broken, result.Violations[0])
+			if result.ViolationCount > 0 {
+				t.Errorf("%d violations, first %v", result.ViolationCount, result.Violations[0])
 			}
 			// A machine that is busy with other tests lags, so the bound is loose. A separate measurement
 			// compares the two closely.
@@ -83,7 +83,7 @@
 
 // TestBadRouter checks that starting a program that is no router is an error.
 func TestBadRouter(t *testing.T) {
-	day := model.Prairie()
+	day := model.DefaultDay()
 	for program, want := range map[string]string{"/bin/false": "has ended", "/no/such/program": "starting the router"} {
 		if _, err := Run(context.Background(), &day, Options{Router: program}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", program, err)
@@ -103,8 +103,8 @@
 		ends := test.ends && !test.late
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			day := model.Prairie()
-			day.Warm, day.Length, day.Fleet.Caches, day.Routers, day.Load.Level = 0, toDuration(1), 2, 1, 0
+			day := model.DefaultDay()
+			day.WarmUp, day.Length, day.Fleet.Caches, day.Routers, day.Load.Level = 0, toDuration(1), 2, 1, 0
 			day.Classes[0].Work = toDuration(1.4)
 			for i := range day.Classes {
 				day.Classes[i].Deadline = toDuration(1.6)
@@ -163,8 +163,8 @@
 
 // TestSettings checks that the real router reads the same settings that a simulated one gets.
 func TestSettings(t *testing.T) {
-	day := model.Prairie()
-	day.Round, day.Rules.Copies = toDuration(0.005), true
+	day := model.DefaultDay()
+	day.EventInterval, day.Invariants.AllowsHedge = toDuration(0.005), true
 	text, err := json.Marshal(SettingsJSON(&day, 1))
 	if err != nil {
 		t.Fatal(err)
@@ -187,8 +187,8 @@
 // pipeline of two calls: the first belongs to an open request of the router, the second to one that has ended.
 // before runs ahead of that.
 func playByHand(t *testing.T, before func(c Control)) (answers [2]string, result *tally.Result) {
-	day := model.Prairie()
-	day.Warm, day.Length, day.Fleet.Caches, day.Routers, day.Load.Level = 0, toDuration(2), 1, 1, 0
+	day := model.DefaultDay()
+	day.WarmUp, day.Length, day.Fleet.Caches, day.Routers, day.Load.Level = 0, toDuration(2), 1, 1, 0
 	for i := range day.Classes {
 		day.Classes[i].Deadline = toDuration(2)
 	}
@@ -196,18 +196,18 @@
 	var cache string
 	var e *Engine
 	opt := Options{Router: routerProgram,
-		Way: func(_ int, to Party, addr string) (string, error) {
+		AddressFor: func(_ int, to ServerKind, addr string) (string, error) {
 			if to == Cache {
 				cache = addr
 			}
 			return addr, nil
 		},
-		Begun: func(c Control, _ time.Time) { e = (*Engine)(c.(*routerControl)) },
-		Steps: []Step{{At: 100 * time.Millisecond, Do: func() {
-			try := &model.Try{Op: &model.Operation{Key: 0xaa, Work: 0.2, Size: 1, CreatedAt: e.World.Now()}, At: e.World.Now()}
+		Started: func(c Control, _ time.Time) { e = (*Engine)(c.(*routerControl)) },
+		Steps: []Step{{At: 100 * time.Millisecond, Action: func() {
+			try := &model.Try{Op: &model.Operation{Key: 0xaa, Work: 0.2, Size: 1, CreatedAt: e.World.Now()}, SentAt: e.World.Now()}
 			request := e.newRequest(try)
 			request.incarnation = e.nodes[0].incarnation
-			e.Check.Taken(e.World.Now(), 0, request.number, 0, e.World.Now()+time.Second)
+			e.Checker.RequestTaken(e.World.Now(), 0, request.number, 0, e.World.Now()+time.Second)
 			before((*routerControl)(e))
 			go func() {
 				defer close(lines)
@@ -225,7 +225,7 @@
 					line, _ := answers.ReadString('\n')
 					lines <- strings.Fields(line + " nothing")[0]
 				}
-				e.do(func() { e.Check.Left(0, request.number) })
+				e.do(func() { e.Checker.ClientDisconnected(0, request.number) })
 			}()
 		}}}}
 	result, err := Run(context.Background(), &day, opt)
@@ -248,7 +248,7 @@
 // happens through a relay, and is no violation.
 func TestCallOfKilledRouter(t *testing.T) {
 	answers, result := playByHand(t, func(c Control) { c.Kill(0) })
-	if answers[0] != "EN" || result.Broken > 0 {
+	if answers[0] != "EN" || result.ViolationCount > 0 {
 		t.Errorf("answers %q, violations %v", answers, result.Violations)
 	}
 }
@@ -291,7 +291,7 @@
 	got := make(chan error, 1)
 	playByHand(t, func(c Control) {
 		e := (*Engine)(c.(*routerControl))
-		request := e.newRequest(&model.Try{Op: &model.Operation{Key: 0xab, CreatedAt: e.World.Now()}, At: e.World.Now()})
+		request := e.newRequest(&model.Try{Op: &model.Operation{Key: 0xab, CreatedAt: e.World.Now()}, SentAt: e.World.Now()})
 		request.incarnation = e.nodes[0].incarnation
 		near, far := net.Pipe()
 		far.Close()
@@ -327,7 +327,7 @@
 			playByHand(t, func(c Control) {
 				e := (*Engine)(c.(*routerControl))
 				n, now := e.nodes[0], e.World.Now()
-				e.Check.Told(now, 0, model.Update{Members: []model.Member{{Index: 7, Phase: model.Ready}}})
+				e.Checker.UpdateReceived(now, 0, model.ListUpdate{Members: []model.Member{{ServerIndex: 7, Phase: model.Ready}}})
 				incarnation := n.incarnation
 				restarted := make(chan struct{})
 				go func() {
@@ -339,11 +339,11 @@
 						return n.incarnation > incarnation && n.process.Load() != nil
 					})
 					e.do(func() {
-						before := e.Check.ViolationCount
-						e.Check.Taken(e.World.Now(), 0, 99, 0, e.World.Now()+time.Second)
-						e.Check.Sent(e.World.Now(), 0, 99, 7)
-						if e.Check.ViolationCount != before+1 || e.Check.Violations[len(e.Check.Violations)-1].Rule != rules.Listed {
-							t.Errorf("a list that only the previous process received counts for the next one: %v", e.Check.Violations)
+						before := e.Checker.ViolationCount
+						e.Checker.RequestTaken(e.World.Now(), 0, 99, 0, e.World.Now()+time.Second)
+						e.Checker.CallSent(e.World.Now(), 0, 99, 7)
+						if e.Checker.ViolationCount != before+1 || e.Checker.Violations[len(e.Checker.Violations)-1].Rule != rules.Listed {
+							t.Errorf("a list that only the previous process received counts for the next one: %v", e.Checker.Violations)
 						}
 					})
 				}()
--- a/internal/lab/tally/recorder.go
+++ b/internal/lab/tally/recorder.go
@@ -5,43 +5,43 @@
 	"hoptiller/internal/lab/rules"
 )
 
-// Judge observes what really happens in a world, whichever engine plays it. It passes the events to the
+// Recorder observes what really happens in a world, whichever engine plays it. It passes the events to the
 // scoring and to the checks of the invariants. It implements model.Observer. Like the world, it is not safe
 // for concurrent use.
-type Judge struct {
-	World *model.World // set after the world is made; the world lists its first servers before that
-	Check *rules.Checker
-	Tally *Tally
+type Recorder struct {
+	World   *model.World // set after the world is made; the world lists its first servers before that
+	Checker *rules.Checker
+	Scorer  *Scorer
 }
 
-// Ended implements model.Observer.
-func (j *Judge) Ended(op *model.Operation) { j.Tally.OperationEnded(op) }
+// OperationEnded implements model.Observer.
+func (j *Recorder) OperationEnded(op *model.Operation) { j.Scorer.OperationEnded(op) }
 
-// Fetched implements model.Observer.
-func (j *Judge) Fetched(call *model.Call) { j.Tally.OriginCall(j.World.Now(), call) }
+// OriginCalled implements model.Observer.
+func (j *Recorder) OriginCalled(call *model.Call) { j.Scorer.OriginCall(j.World.Now(), call) }
 
-// Ran implements model.Observer.
-func (j *Judge) Ran(call *model.Call) {
-	j.Check.WriteExecuted(j.World.Now(), call.Conn.Router, call.Try.Op.ID, call.Try.Op.Class)
+// WriteExecuted implements model.Observer.
+func (j *Recorder) WriteExecuted(call *model.Call) {
+	j.Checker.WriteExecuted(j.World.Now(), call.Conn.Router, call.Try.Op.ID, call.Try.Op.Class)
 }
 
-// FellOver implements model.Observer.
-func (j *Judge) FellOver(collapse *model.Collapse) {
-	j.Tally.CacheCollapsed()
-	j.Check.CacheCollapsed(j.World.Now(), collapse)
+// CacheCollapsed implements model.Observer.
+func (j *Recorder) CacheCollapsed(collapse *model.Collapse) {
+	j.Scorer.CacheCollapsed()
+	j.Checker.CacheCollapsed(j.World.Now(), collapse)
 }
 
 // OriginStopped implements model.Observer.
-func (j *Judge) OriginStopped(coldShare, ratio float64) {
-	j.Check.OriginStopped(j.World.Now(), coldShare, ratio)
+func (j *Recorder) OriginStopped(coldShare, ratio float64) {
+	j.Checker.OriginStopped(j.World.Now(), coldShare, ratio)
 }
 
 // Listed implements model.Observer.
-func (j *Judge) Listed(m model.Member) {
+func (j *Recorder) Listed(m model.Member) {
 	if j.World != nil {
-		j.Check.Listed(j.World.Now(), m)
+		j.Checker.Listed(j.World.Now(), m)
 	}
 }
 
-// Fault implements model.Observer.
-func (j *Judge) Fault(text string) { j.Tally.FaultChanged(j.World.Now(), text) }
+// FaultChanged implements model.Observer.
+func (j *Recorder) FaultChanged(text string) { j.Scorer.FaultChanged(j.World.Now(), text) }
--- a/internal/lab/tally/tally.go
+++ b/internal/lab/tally/tally.go
@@ -28,17 +28,17 @@
 	// Unexplained is the share of accepted requests that were refused, failed, lost or late with no cause but
 	// their router.
 	Unexplained float64 `json:"unexplained"`
-	// ByTheMoment is the share of accepted requests that were refused, failed, lost or late and that only a
+	// ExplainedByTiming is the share of accepted requests that were refused, failed, lost or late and that only a
 	// fault at the same time explains, with no sign that the fault affected the request.
-	ByTheMoment float64        `json:"by_the_moment"`
-	Asked       int            `json:"asked"`    // operations of clients, not counting retries
-	Tries       float64        `json:"tries"`    // mean number of a client's tries per operation
-	Taken       int            `json:"taken"`    // requests accepted by routers, warm-up included
-	Calls       float64        `json:"calls"`    // per accepted request
-	CallP50     float64        `json:"call_p50"` // ms until a call was answered
-	CallP99     float64        `json:"call_p99"`
-	Answers     map[string]int `json:"answers"`  // final answers of routers, by kind
-	Outcomes    map[string]int `json:"outcomes"` // calls, by how they ended
+	ExplainedByTiming float64        `json:"by_the_moment"`
+	Asked             int            `json:"asked"`    // operations of clients, not counting retries
+	Tries             float64        `json:"tries"`    // mean number of a client's tries per operation
+	RequestsTaken     int            `json:"taken"`    // requests accepted by routers, warm-up included
+	Calls             float64        `json:"calls"`    // per accepted request
+	CallP50           float64        `json:"call_p50"` // ms until a call was answered
+	CallP99           float64        `json:"call_p99"`
+	Answers           map[string]int `json:"answers"`  // final answers of routers, by kind
+	Outcomes          map[string]int `json:"outcomes"` // calls, by how they ended
 
 	Fetches   float64 `json:"fetches"`    // per second
 	FetchPeak float64 `json:"fetch_peak"` // largest number of fetches in one second, over the mean
@@ -47,17 +47,17 @@
 	CrossZone float64 `json:"cross_zone"` // calls to other zones, per accepted request
 	PeerBytes float64 `json:"peer_bytes"` // bytes between routers, per accepted request
 	// ColdPeak is the largest work received by a cold cache in one second, over its capacity at that time.
-	ColdPeak float64           `json:"cold_peak"`
-	Stops    int               `json:"stops"` // how often the origin stopped under its load or by a fault
-	Falls    int               `json:"falls"` // collapses of cold caches
-	Courses  []rules.Violation `json:"-"`     // descriptions of the collapses, whether or not they are violations
+	ColdPeak       float64           `json:"cold_peak"`
+	OriginStops    int               `json:"stops"` // how often the origin stopped under its load or by a fault
+	Collapses      int               `json:"falls"` // collapses of cold caches
+	CollapseTraces []rules.Violation `json:"-"`     // descriptions of the collapses, whether or not they are violations
 
-	Classes    []ClassResult     `json:"classes"`
-	Broken     int               `json:"broken"` // number of violations of the invariants
-	Violations []rules.Violation `json:"violations,omitempty"`
+	Classes        []ClassResult     `json:"classes"`
+	ViolationCount int               `json:"broken"` // number of violations of the invariants
+	Violations     []rules.Violation `json:"violations,omitempty"`
 
 	Series *Series  `json:"series,omitempty"`
-	Story  []string `json:"-"`
+	Trace  []string `json:"-"`
 	Log    []string `json:"-"`
 }
 
@@ -91,8 +91,8 @@
 	Text string  `json:"text"`
 }
 
-// Tally counts the events of a day. Create one with New; it is not safe for concurrent use.
-type Tally struct {
+// Scorer counts the events of a day. Create one with New; it is not safe for concurrent use.
+type Scorer struct {
 	day               *model.Day
 	series            *Series
 	measuredFrom      time.Duration // end of the warm-up
@@ -134,8 +134,8 @@
 }
 
 // New returns a Tally of a day; series says whether to keep values for each second.
-func New(day *model.Day, series bool) *Tally {
-	t := &Tally{day: day, measuredFrom: day.Warm.Std(), sampledAt: day.Warm.Std(), callTimes: hdrhistogram.New(1, 600e6, 3)}
+func New(day *model.Day, series bool) *Scorer {
+	t := &Scorer{day: day, measuredFrom: day.WarmUp.Std(), sampledAt: day.WarmUp.Std(), callTimes: hdrhistogram.New(1, 600e6, 3)}
 	t.seconds = make([]secondCounts, int(day.Length.Seconds())+1)
 	for range day.Classes {
 		t.classes = append(t.classes, classCounts{times: hdrhistogram.New(1, 600e6, 3)})
@@ -147,7 +147,7 @@
 }
 
 // secondAt returns the counts of the second that contains a time, or nil outside the measured time.
-func (t *Tally) secondAt(now time.Duration) *secondCounts {
+func (t *Scorer) secondAt(now time.Duration) *secondCounts {
 	if i := int((now - t.measuredFrom) / time.Second); now >= t.measuredFrom && i < len(t.seconds) {
 		return &t.seconds[i]
 	}
@@ -155,7 +155,7 @@
 }
 
 // OperationEnded counts the end of a client's operation.
-func (t *Tally) OperationEnded(op *model.Operation) {
+func (t *Scorer) OperationEnded(op *model.Operation) {
 	counts := t.secondAt(op.CreatedAt)
 	if counts == nil {
 		return
@@ -180,29 +180,29 @@
 	class.answered++
 	class.times.RecordValue(max(1, took.Microseconds()))
 	if took > settings.Aim.Std() {
-		worth *= settings.Late
+		worth *= settings.LateShare
 	}
 	counts.worthServed += worth
 	class.worthServed += worth
 }
 
-// Answered counts a router's final answer.
-func (t *Tally) Answered(now time.Duration, answer model.Final) {
+// FinalAnswer counts a router's final answer.
+func (t *Scorer) FinalAnswer(now time.Duration, answer model.FinalAnswer) {
 	t.finalAnswers[answer]++
-	if s := t.secondAt(now); s != nil && answer == model.Refused {
+	if s := t.secondAt(now); s != nil && answer == model.FinalRefused {
 		s.refused++
 	}
 }
 
 // OriginCall counts a call that the origin has received.
-func (t *Tally) OriginCall(now time.Duration, call *model.Call) {
+func (t *Scorer) OriginCall(now time.Duration, call *model.Call) {
 	if s := t.secondAt(now); s != nil && !call.Try.Op.Write {
 		s.fetches++
 	}
 }
 
-// Taken counts a request that a router has accepted.
-func (t *Tally) Taken(now time.Duration) {
+// RequestTaken counts a request that a router has accepted.
+func (t *Scorer) RequestTaken(now time.Duration) {
 	t.requestsTaken++
 	if t.secondAt(now) != nil {
 		t.measuredRequests++
@@ -210,7 +210,7 @@
 }
 
 // RequestUnexplained counts a request that was refused, failed, lost or late with no cause but its router.
-func (t *Tally) RequestUnexplained(now time.Duration) {
+func (t *Scorer) RequestUnexplained(now time.Duration) {
 	if t.secondAt(now) != nil {
 		t.unexplained++
 	}
@@ -218,22 +218,22 @@
 
 // RequestExplainedByTiming counts a request that was refused, failed, lost or late and that only a fault at
 // the same time explains.
-func (t *Tally) RequestExplainedByTiming(now time.Duration) {
+func (t *Scorer) RequestExplainedByTiming(now time.Duration) {
 	if t.secondAt(now) != nil {
 		t.explainedByTiming++
 	}
 }
 
-// Called counts a call; crossZone says whether it goes to another zone.
-func (t *Tally) Called(crossZone bool) {
+// CallSent counts a call; crossZone says whether it goes to another zone.
+func (t *Scorer) CallSent(crossZone bool) {
 	t.calls++
 	if crossZone {
 		t.crossZoneCalls++
 	}
 }
 
-// Closed counts the end of a call and its duration.
-func (t *Tally) Closed(now time.Duration, status hoptiller.Status, took time.Duration) {
+// CallEnded counts the end of a call and its duration.
+func (t *Scorer) CallEnded(now time.Duration, status hoptiller.Status, took time.Duration) {
 	t.callResults[status]++
 	if status != hoptiller.OK && status != hoptiller.Miss || now < t.measuredFrom {
 		return
@@ -246,27 +246,27 @@
 }
 
 // CacheCollapsed counts the collapse of a cold cache.
-func (t *Tally) CacheCollapsed() { t.collapses++ }
+func (t *Scorer) CacheCollapsed() { t.collapses++ }
 
-// Told counts the bytes of a message between routers.
-func (t *Tally) Told(bytes int) { t.peerBytes += bytes }
+// PeerMessage counts the bytes of a message between routers.
+func (t *Scorer) PeerMessage(bytes int) { t.peerBytes += bytes }
 
 // FaultChanged records the start or end of a fault.
-func (t *Tally) FaultChanged(now time.Duration, text string) {
+func (t *Scorer) FaultChanged(now time.Duration, text string) {
 	if t.series != nil {
 		t.series.Faults = append(t.series.Faults, SeriesFault{(now - t.measuredFrom).Seconds(), text})
 	}
 }
 
-// Log keeps the first 200 lines that routers log.
-func (t *Tally) Log(now time.Duration, router int, text string) {
+// RouterLog keeps the first 200 lines that routers log.
+func (t *Scorer) RouterLog(now time.Duration, router int, text string) {
 	if len(t.logLines) < 200 {
 		t.logLines = append(t.logLines, fmt.Sprintf("%10.3f s  router %d: %s", (now-t.measuredFrom).Seconds(), router, text))
 	}
 }
 
 // Sample measures the caches once a second.
-func (t *Tally) Sample(w *model.World) {
+func (t *Scorer) Sample(w *model.World) {
 	now := w.Now()
 	if now < t.sampledAt+time.Second {
 		if now <= t.measuredFrom { // work received in the warm-up does not count for the first second
@@ -309,7 +309,7 @@
 }
 
 // Second returns the summary of a second, counted from 0; ok is false outside the measured time.
-func (t *Tally) Second(i int) (summary Second, ok bool) {
+func (t *Scorer) Second(i int) (summary Second, ok bool) {
 	if i < 0 || i >= len(t.seconds) {
 		return summary, false
 	}
@@ -326,14 +326,14 @@
 }
 
 // Result returns the outcome when the day is over.
-func (t *Tally) Result(w *model.World, check *rules.Checker) *Result {
-	result := &Result{Asked: t.operations, Tries: float64(t.tries) / float64(max(t.operations, 1)), Taken: t.requestsTaken,
-		Waste: w.WastedWork / max(t.workAsked, 1e-9),
-		Stops: w.Origin.StopCount, Falls: t.collapses, Broken: check.ViolationCount, Violations: check.Violations,
-		Courses: check.Collapses, ColdPeak: t.coldPeak,
+func (t *Scorer) Result(w *model.World, check *rules.Checker) *Result {
+	result := &Result{Asked: t.operations, Tries: float64(t.tries) / float64(max(t.operations, 1)), RequestsTaken: t.requestsTaken,
+		Waste:       w.WastedWork / max(t.workAsked, 1e-9),
+		OriginStops: w.Origin.StopCount, Collapses: t.collapses, ViolationCount: check.ViolationCount, Violations: check.Violations,
+		CollapseTraces: check.Collapses, ColdPeak: t.coldPeak,
 		Answers: map[string]int{}, Outcomes: map[string]int{}, Log: t.logLines, Series: t.series,
-		Unexplained: float64(t.unexplained) / float64(max(t.measuredRequests, 1)),
-		ByTheMoment: float64(t.explainedByTiming) / float64(max(t.measuredRequests, 1))}
+		Unexplained:       float64(t.unexplained) / float64(max(t.measuredRequests, 1)),
+		ExplainedByTiming: float64(t.explainedByTiming) / float64(max(t.measuredRequests, 1))}
 	taken := float64(max(t.requestsTaken, 1))
 	result.Calls, result.CrossZone = float64(t.calls)/taken, float64(t.crossZoneCalls)/taken
 	result.CallP50, result.CallP99 = float64(t.callTimes.ValueAtQuantile(50))/1000, float64(t.callTimes.ValueAtQuantile(99))/1000
@@ -342,7 +342,7 @@
 		result.Answers[name] = t.finalAnswers[answer]
 	}
 	for status, n := range t.callResults {
-		result.Outcomes[StatusNames[status]] = n
+		result.Outcomes[CallResultNames[status]] = n
 	}
 	var asked, served float64
 	fetches, peak := 0, 0
@@ -386,7 +386,7 @@
 	return result
 }
 
-// StatusNames are the names of the results of a call.
-var StatusNames = [...]string{hoptiller.OK: "served", hoptiller.ServerError: "error", hoptiller.TurnedAway: "turned away",
+// CallResultNames are the names of the results of a call.
+var CallResultNames = [...]string{hoptiller.OK: "served", hoptiller.ServerError: "error", hoptiller.TurnedAway: "turned away",
 	hoptiller.Timeout: "timed out", hoptiller.ConnectFailed: "no connection", hoptiller.Reset: "reset",
 	hoptiller.Cancelled: "cancelled", hoptiller.NotSent: "moot", hoptiller.Miss: "miss"}
--- a/internal/lab/tally/tally_test.go
+++ b/internal/lab/tally/tally_test.go
@@ -14,14 +14,14 @@
 // noRouters stands for the routers of a day that has none.
 type noRouters struct{ model.Observer }
 
-func (noRouters) Take(*model.Try) bool   { return true }
-func (noRouters) Leave(*model.Try)       {}
-func (noRouters) Kill(int)               {}
-func (noRouters) Stop(int)               {}
-func (noRouters) Start(int)              {}
-func (noRouters) Listed(model.Member)    {}
-func (noRouters) Ended(*model.Operation) {}
-func (noRouters) Fault(string)           {}
+func (noRouters) Deliver(*model.Try) bool         { return true }
+func (noRouters) ClientDisconnected(*model.Try)   {}
+func (noRouters) Kill(int)                        {}
+func (noRouters) Stop(int)                        {}
+func (noRouters) Start(int)                       {}
+func (noRouters) Listed(model.Member)             {}
+func (noRouters) OperationEnded(*model.Operation) {}
+func (noRouters) FaultChanged(string)             {}
 
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
@@ -29,8 +29,8 @@
 // the second in which it was asked for. The warm-up does not count. The score combines the service of the
 // whole day, of the worst ten seconds and of the worst class.
 func TestResult(t *testing.T) {
-	day := model.Prairie()
-	day.Warm, day.Length = unit.Duration(time.Second), unit.Duration(20*time.Second)
+	day := model.DefaultDay()
+	day.WarmUp, day.Length = unit.Duration(time.Second), unit.Duration(20*time.Second)
 	day.Load.Level = 0
 	world := model.New(&day, noRouters{}, noRouters{}, noRouters{})
 	scorer := New(&day, true)
@@ -50,13 +50,13 @@
 	// A served booking.
 	scorer.OperationEnded(&model.Operation{CreatedAt: 3 * time.Second, Work: 1, Class: 1, TryCount: 1,
 		AnsweredAt: 3*time.Second + 1e9})
-	scorer.Taken(2 * time.Second)
-	scorer.Called(true)
-	scorer.Called(false)
-	scorer.Closed(2*time.Second, hoptiller.Miss, 40*time.Millisecond)
-	scorer.Closed(2*time.Second, hoptiller.Timeout, time.Second)
-	scorer.Closed(0, hoptiller.OK, time.Second)
-	scorer.Answered(2*time.Second, model.Refused)
+	scorer.RequestTaken(2 * time.Second)
+	scorer.CallSent(true)
+	scorer.CallSent(false)
+	scorer.CallEnded(2*time.Second, hoptiller.Miss, 40*time.Millisecond)
+	scorer.CallEnded(2*time.Second, hoptiller.Timeout, time.Second)
+	scorer.CallEnded(0, hoptiller.OK, time.Second)
+	scorer.FinalAnswer(2*time.Second, model.FinalRefused)
 	scorer.RequestUnexplained(500 * time.Millisecond) // in the warm-up
 	world.RunUntil(2 * time.Second)
 	world.Caches[3].WorkReceived += 7
@@ -68,8 +68,8 @@
 	if result.Unexplained != 1 {
 		t.Errorf("unexplained share is %v, want 1", result.Unexplained)
 	}
-	if result.ByTheMoment != 1 {
-		t.Errorf("share explained by timing is %v, want 1", result.ByTheMoment)
+	if result.ExplainedByTiming != 1 {
+		t.Errorf("share explained by timing is %v, want 1", result.ExplainedByTiming)
 	}
 	asked, served := 20+3*1.5, 15.0+3
 	worstWindow, worstClass := (5.0+3)/(10+4.5), 3/4.5
