--- a/cmd/hoplab/drill.go
+++ b/cmd/hoplab/drill.go
@@ -121,10 +121,10 @@
 func (c *drillCmd) play(ctx context.Context, w io.Writer, f *drill.File, base string, random bool) (holds bool, err error) {
 	var r *drill.Report
 	for n := 1; ; n++ {
-		if r, err = drill.Play(ctx, f, drill.Options{Router: c.Router}); err != nil {
+		if r, err = drill.Play(ctx, f, drill.Options{RouterProgram: c.Router}); err != nil {
 			return false, err
 		}
-		if !r.Busy() {
+		if !r.MachineTooBusy() {
 			break
 		}
 		fmt.Fprintf(w, "%s: the machine kept the drill from running for %v: played again\n", f.Name, r.Lag.Round(1e6))
@@ -134,7 +134,7 @@
 	}
 	fmt.Fprintf(w, "%s: %s\n", f.Name, f.Title)
 	for _, v := range r.Verdicts {
-		fmt.Fprintf(w, "  %-6s %-8s %s\n", map[bool]string{true: "holds", false: "BROKEN"}[v.Holds], v.Claim.Kind, v.Why)
+		fmt.Fprintf(w, "  %-6s %-8s %s\n", map[bool]string{true: "holds", false: "BROKEN"}[v.Holds], v.Claim.Kind, v.Reason)
 	}
 	fmt.Fprintf(w, "  over the day %.3f of %d requests' worth was served, %d cold servers were pushed over\n",
 		r.Result.Service, r.Result.Asked, r.Result.Collapses)
@@ -142,18 +142,18 @@
 	if err != nil {
 		return false, err
 	}
-	if err := errors.Join(drill.Write(out, r.Events), out.Close()); err != nil {
+	if err := errors.Join(drill.WriteEvents(out, r.Events), out.Close()); err != nil {
 		return false, err
 	}
 	if err := plot.Timeline(f.Title, r.Events, f.Day.Routers, r.Result.Series.Service, base+".svg"); err != nil {
 		return false, err
 	}
-	if len(r.Broken()) == 0 {
+	if len(r.FailedClaims()) == 0 {
 		return true, nil
 	}
 	replayCommand := fmt.Sprintf("hoplab drill %s --seed %d", f.Name+".toml", f.Day.Seed)
 	if random {
-		text, err := drill.Text(f)
+		text, err := drill.Encode(f)
 		if err == nil {
 			err = os.WriteFile(base+".toml", text, 0o644)
 		}
--- a/cmd/hoplab/scale.go
+++ b/cmd/hoplab/scale.go
@@ -117,9 +117,9 @@
 	if commit == "" {
 		commit = programCommit(ctx)
 	}
-	options := scale.Options{Program: c.Router, Commit: commit, Said: func(text string) { fmt.Fprintf(progress, "  %s\n", text) }}
+	options := scale.Options{Program: c.Router, Commit: commit, OnPhaseEnd: func(text string) { fmt.Fprintf(progress, "  %s\n", text) }}
 	for _, run := range runs {
-		fmt.Fprintf(progress, "%s: %d routers, %d of them real, seed %d\n", f.Name, run.Size, run.Real, run.Seed)
+		fmt.Fprintf(progress, "%s: %d routers, %d of them real, seed %d\n", f.Name, run.Size, run.Processes, run.Seed)
 		r, err := scale.Play(ctx, run, options)
 		if ctx.Err() != nil {
 			return records, errors.New("interrupted: the result of the current run is not kept")
@@ -128,7 +128,7 @@
 			return records, err
 		}
 		records = append(records, r)
-		if err := scale.Write(out, r); err != nil {
+		if err := scale.WriteRecord(out, r); err != nil {
 			return records, err
 		}
 	}
@@ -137,7 +137,7 @@
 
 // report prints the tables and, if --plot is given, writes the plot. The error is command.ErrFinding if a run failed.
 func (c *scaleCmd) report(records []*scale.Record) error {
-	hollow := slices.DeleteFunc(slices.Clone(records), (*scale.Record).AllReal)
+	hollow := slices.DeleteFunc(slices.Clone(records), (*scale.Record).ProcessesOnly)
 	if calibration := scale.Calibrate(records); len(calibration) > 0 {
 		scale.WriteCalibration(os.Stdout, calibration)
 		fmt.Println()
--- a/cmd/hoplab/soak.go
+++ b/cmd/hoplab/soak.go
@@ -45,7 +45,7 @@
 	for i := range c.Seeds {
 		g.Go(func() error {
 			f := drill.Soak(c.Seed + uint64(i))
-			report, err := drill.Play(ctx, f, drill.Options{Router: c.Router})
+			report, err := drill.Play(ctx, f, drill.Options{RouterProgram: c.Router})
 			if ctx.Err() != nil {
 				return nil
 			}
@@ -62,9 +62,9 @@
 			played++
 			keepFiles := c.Keep
 			switch {
-			case report.Busy():
+			case report.MachineTooBusy():
 				unclear++
-			case len(report.Broken()) > 0:
+			case len(report.FailedClaims()) > 0:
 				broken++
 				keepFiles = true
 			}
@@ -124,12 +124,12 @@
 		faults = append(faults, "caches "+fault.Kind)
 	}
 	verdict := "none"
-	if r.Busy() {
+	if r.MachineTooBusy() {
 		verdict = "no verdict"
-	} else if len(r.Broken()) > 0 {
+	} else if len(r.FailedClaims()) > 0 {
 		var texts []string
-		for _, v := range r.Broken() {
-			texts = append(texts, v.Claim.Kind+": "+v.Why)
+		for _, v := range r.FailedClaims() {
+			texts = append(texts, v.Claim.Kind+": "+v.Reason)
 		}
 		verdict = strings.Join(texts, "; ")
 	}
@@ -142,7 +142,7 @@
 // keep writes a day as a drill file that can be run again, and the timeline of its events.
 func (c *soakCmd) keep(f *drill.File, r *drill.Report) error {
 	base := filepath.Join(c.Out, f.Name)
-	text, err := drill.Text(f)
+	text, err := drill.Encode(f)
 	if err != nil {
 		return err
 	}
@@ -153,5 +153,5 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(drill.Write(out, r.Events), out.Close())
+	return errors.Join(drill.WriteEvents(out, r.Events), out.Close())
 }
--- a/internal/lab/arrival/arrival.go
+++ b/internal/lab/arrival/arrival.go
@@ -86,8 +86,8 @@
 	return l.lastReceived
 }
 
-// At returns when the byte at an offset arrived. The byte must have been read. Later calls must not use a smaller offset.
-func (l *Log) At(offset int64) time.Time {
+// ArrivalTime returns when the byte at an offset arrived. The byte must have been read. Later calls must not use a smaller offset.
+func (l *Log) ArrivalTime(offset int64) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.arrivals) > 1 && l.arrivals[0].end <= offset {
@@ -99,8 +99,8 @@
 	return l.arrivals[0].at
 }
 
-// EndsNow must be called by the holder of the connection just before it closes the connection.
-func (l *Log) EndsNow() {
+// MarkClosing must be called by the holder of the connection just before it closes the connection.
+func (l *Log) MarkClosing() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.checkEnded(); l.ended.IsZero() {
@@ -108,16 +108,16 @@
 	}
 }
 
-// Closed reports whether the holder of the connection closed it before the peer ended it.
-func (l *Log) Closed() bool {
+// ClosedLocally reports whether the holder of the connection closed it before the peer ended it.
+func (l *Log) ClosedLocally() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closedLocally
 }
 
-// End returns when the peer ended the connection or its holder closed it, or false if it is open. If the peer reset the
+// EndTime returns when the peer ended the connection or its holder closed it, or false if it is open. If the peer reset the
 // connection this is the time of the last segment before the reset, because the kernel records no other.
-func (l *Log) End() (at time.Time, ended bool) {
+func (l *Log) EndTime() (at time.Time, ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.checkEnded()
--- a/internal/lab/arrival/arrival_test.go
+++ b/internal/lab/arrival/arrival_test.go
@@ -13,7 +13,7 @@
 // pair opens a TCP connection. What is written to far can be read from near.
 func pair(t *testing.T) (near *Log, far net.Conn) {
 	l := testprog.Listen(t)
-	KeepTimes(l)
+	EnableTimestamps(l)
 	far, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 		}
 	}
 	for offset := range int64(6) {
-		at, i := near.At(offset), offset/3
+		at, i := near.ArrivalTime(offset), offset/3
 		if at.Before(before[i].Add(-Uncertainty)) || at.After(after[i].Add(Uncertainty)) {
 			t.Errorf("byte %d came at %v, written between %v and %v", offset, at, before[i], after[i])
 		}
@@ -86,7 +86,7 @@
 		if _, err := io.ReadFull(near, b); err != nil {
 			t.Fatal(err)
 		}
-		at := near.At(offset)
+		at := near.ArrivalTime(offset)
 		if at.Before(before.Add(-tolerance)) || at.After(after.Add(Uncertainty)) {
 			t.Errorf("byte %d came at %v after its write began, which took %v", offset, at.Sub(before), after.Sub(before))
 		}
@@ -105,20 +105,20 @@
 // End returns the time at which the peer ended a connection, even if nobody has read from it since.
 func TestEnd(t *testing.T) {
 	near, far := pair(t)
-	if _, ended := near.End(); ended {
+	if _, ended := near.EndTime(); ended {
 		t.Fatal("an open connection has ended")
 	}
 	before := time.Now()
 	far.Close()
 	after := time.Now()
 	testprog.Until(t, "50 ms later", func() bool { return time.Since(after) >= 50*time.Millisecond })
-	at, ended := near.End()
+	at, ended := near.EndTime()
 	if !ended || at.Before(before.Add(-Uncertainty)) || at.After(after.Add(Uncertainty)) {
 		t.Errorf("ended %v at %v, closed between %v and %v", ended, at, before, after)
 	}
 	near.Close()
-	near.EndsNow()
-	if again, _ := near.End(); again != at || near.Closed() {
+	near.MarkClosing()
+	if again, _ := near.EndTime(); again != at || near.ClosedLocally() {
 		t.Errorf("it ended at %v, and at %v once it is closed", at, again)
 	}
 }
@@ -127,9 +127,9 @@
 func TestEndsNow(t *testing.T) {
 	near, _ := pair(t)
 	before := time.Now()
-	near.EndsNow()
+	near.MarkClosing()
 	near.Close()
-	if at, ended := near.End(); !ended || at.Before(before) || !near.Closed() {
+	if at, ended := near.EndTime(); !ended || at.Before(before) || !near.ClosedLocally() {
 		t.Errorf("ended %v at %v, closed at %v", ended, at, before)
 	}
 }
--- a/internal/lab/arrival/receive.go
+++ b/internal/lab/arrival/receive.go
@@ -19,9 +19,9 @@
 // is the software timestamp.
 var timestampMessageSize = syscall.CmsgSpace(3 * int(unsafe.Sizeof(syscall.Timespec{})))
 
-// KeepTimes asks the kernel to record when bytes arrive on the connections of a listener, including those that wait to be
+// EnableTimestamps asks the kernel to record when bytes arrive on the connections of a listener, including those that wait to be
 // accepted. If the kernel doesn't, arrival times are exact only to a tick of its clock.
-func KeepTimes(l net.Listener) {
+func EnableTimestamps(l net.Listener) {
 	if holder, ok := l.(syscall.Conn); ok {
 		enableTimestamps(holder)
 	}
--- a/internal/lab/drill/check.go
+++ b/internal/lab/drill/check.go
@@ -13,9 +13,9 @@
 
 // Verdict is the result of checking a claim: whether it holds and why.
 type Verdict struct {
-	Claim Claim
-	Holds bool
-	Why   string
+	Claim  Claim
+	Holds  bool
+	Reason string
 }
 
 // serviceSeconds is the number of consecutive seconds that must reach the claimed service.
@@ -78,7 +78,7 @@
 // checkAlive checks that no process has ended without a step or fault that ends it.
 func checkAlive(events []Event) (bool, string) {
 	for _, e := range events {
-		if e.From == "watch" && strings.HasPrefix(e.Text, unexpectedEndPrefix) {
+		if e.Source == "watch" && strings.HasPrefix(e.Text, unexpectedEndPrefix) {
 			return false, fmt.Sprintf("router %d at %.3f s: %s", e.Router-1, e.At, e.Text)
 		}
 	}
@@ -145,7 +145,7 @@
 			}
 		}
 		switch {
-		case e.From == "router":
+		case e.Source == "router":
 			what, begins, ends := classify(e)
 			if begins {
 				begun[key{e.Router, what}] = e.At + e.Uncertainty
@@ -153,15 +153,15 @@
 				delete(leaseExpiry, e.Router)
 				endOutage(key{e.Router, what}, e.At-e.Uncertainty)
 			}
-		case e.From == "drill" && strings.HasPrefix(e.Text, commandPrefix):
+		case e.Source == "drill" && strings.HasPrefix(e.Text, commandPrefix):
 			replaced[e.Router] = true
-		case e.From == "watch" && e.Text == "ready" && replaced[e.Router]:
+		case e.Source == "watch" && e.Text == "ready" && replaced[e.Router]:
 			delete(replaced, e.Router)
 			endAll(e.Router, e.At-e.Uncertainty)
-		case e.From == "drill" && e.Text == "term: true" && replaced[e.Router]:
-		case e.From == "drill" && (e.Text == "kill: true" || e.Text == "term: true"):
+		case e.Source == "drill" && e.Text == "term: true" && replaced[e.Router]:
+		case e.Source == "drill" && (e.Text == "kill: true" || e.Text == "term: true"):
 			endAll(e.Router, e.At-e.Uncertainty)
-		case e.From == "drill" && e.Text == "paused: true":
+		case e.Source == "drill" && e.Text == "paused: true":
 			leaseExpiry[e.Router] = e.At + permit.MaxLease.Seconds()
 		}
 	}
@@ -212,7 +212,7 @@
 func checkNeverLogged(c Claim, events []Event) (bool, string) {
 	pattern := regexp.MustCompile(c.Pattern)
 	for _, e := range events {
-		if e.From == "router" && c.appliesTo(e.Router) && pattern.MatchString(e.Text) {
+		if e.Source == "router" && c.appliesTo(e.Router) && pattern.MatchString(e.Text) {
 			return false, fmt.Sprintf("router %d at %.3f s: %s", e.Router-1, e.At, e.Text)
 		}
 	}
@@ -230,7 +230,7 @@
 			continue
 		}
 		at := slices.IndexFunc(events, func(e Event) bool {
-			return e.From == source && e.Router == i+1 && e.At+e.Uncertainty >= from && pattern.MatchString(e.Text)
+			return e.Source == source && e.Router == i+1 && e.At+e.Uncertainty >= from && pattern.MatchString(e.Text)
 		})
 		if at < 0 || events[at].At-events[at].Uncertainty > to {
 			return false, fmt.Sprintf("router %d said nothing of it by %.1f s", i, to)
@@ -251,7 +251,7 @@
 		}
 		since, isReady := 0.0, false
 		for _, e := range events {
-			if e.From == "watch" && e.Router == i+1 && e.At <= f.Day.Length.Seconds() && !strings.HasPrefix(e.Text, unexpectedEndPrefix) {
+			if e.Source == "watch" && e.Router == i+1 && e.At <= f.Day.Length.Seconds() && !strings.HasPrefix(e.Text, unexpectedEndPrefix) {
 				since, isReady = e.At-e.Uncertainty, e.Text == "ready"
 			}
 		}
@@ -285,7 +285,7 @@
 		}
 		since, text := 0.0, "nothing"
 		for _, e := range events {
-			if e.From == "view" && e.Router == i+1 && e.At <= f.Day.Length.Seconds() {
+			if e.Source == "view" && e.Router == i+1 && e.At <= f.Day.Length.Seconds() {
 				routers, _, _ := strings.Cut(e.Text, ";") // observations of slot caches expire by themselves
 				if routers != text {
 					since, text = e.At-e.Uncertainty, routers
@@ -333,7 +333,7 @@
 	pattern := regexp.MustCompile(c.Pattern)
 	runCounts := map[int]int{}
 	for _, e := range events {
-		if rest, ok := strings.CutPrefix(e.Text, commandPrefix); ok && e.From == "drill" && pattern.MatchString(rest) {
+		if rest, ok := strings.CutPrefix(e.Text, commandPrefix); ok && e.Source == "drill" && pattern.MatchString(rest) {
 			runCounts[e.Router-1]++
 		}
 	}
@@ -358,7 +358,7 @@
 	pattern, to := regexp.MustCompile(c.Pattern), (f.lastFaultEnd() + c.Within.Std()).Seconds()
 	last := ""
 	for _, e := range events {
-		if e.From != "release" {
+		if e.Source != "release" {
 			continue
 		}
 		if last = e.Text; pattern.MatchString(e.Text) && e.At-e.Uncertainty <= to {
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -74,7 +74,7 @@
 	}
 	for seed := range uint64(50) {
 		f := Random(seed)
-		text, err := Text(f)
+		text, err := Encode(f)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,35 +91,35 @@
 
 // permitLines returns the log lines of two routers that are out of service by permit between the given times, in seconds.
 func permitLines(from1, to1, from2, to2 float64) []Event {
-	return []Event{{At: from1, From: "router", Router: 1, Text: permitHeldLine},
-		{At: from2, From: "router", Router: 2, Text: permitHeldLine},
-		{At: to1, From: "router", Router: 1, Text: `msg="permit given back"`},
-		{At: to2, From: "router", Router: 2, Text: `msg="permit lost, serving again"`}}
+	return []Event{{At: from1, Source: "router", Router: 1, Text: permitHeldLine},
+		{At: from2, Source: "router", Router: 2, Text: permitHeldLine},
+		{At: to1, Source: "router", Router: 1, Text: `msg="permit given back"`},
+		{At: to2, Source: "router", Router: 2, Text: `msg="permit lost, serving again"`}}
 }
 
 // replacement returns the events of a router that a release replaces and that is ready again at one time, and of another
 // router that gets its permit at the time next, in seconds.
 func replacement(ready, next float64) []Event {
-	return []Event{{At: 2, From: "router", Router: 1, Text: permitHeldLine},
-		{At: 3, From: "drill", Router: 1, Text: commandPrefix + "new"},
-		{At: 3, From: "drill", Router: 1, Text: "term: true"}, {At: ready, From: "watch", Router: 1, Text: "ready"},
-		{At: next, From: "router", Router: 2, Text: permitHeldLine},
-		{At: 12, From: "router", Router: 2, Text: `msg="permit given back"`}}
+	return []Event{{At: 2, Source: "router", Router: 1, Text: permitHeldLine},
+		{At: 3, Source: "drill", Router: 1, Text: commandPrefix + "new"},
+		{At: 3, Source: "drill", Router: 1, Text: "term: true"}, {At: ready, Source: "watch", Router: 1, Text: "ready"},
+		{At: next, Source: "router", Router: 2, Text: permitHeldLine},
+		{At: 12, Source: "router", Router: 2, Text: `msg="permit given back"`}}
 }
 
 // drainLines returns the log lines of two routers that have slot cache a and slot cache b drained at the same time.
 func drainLines(a, b string) []Event {
 	line := func(cache, what string) string { return `msg="slot cache ` + cache + " " + what + `"` }
-	return []Event{{At: 2, From: "router", Router: 1, Text: line(a, "drained")},
-		{At: 3, From: "router", Router: 2, Text: line(b, "drained")},
-		{At: 5, From: "router", Router: 1, Text: line(a, "drained no more")},
-		{At: 6, From: "router", Router: 2, Text: line(b, "drained no more")}}
+	return []Event{{At: 2, Source: "router", Router: 1, Text: line(a, "drained")},
+		{At: 3, Source: "router", Router: 2, Text: line(b, "drained")},
+		{At: 5, Source: "router", Router: 1, Text: line(a, "drained no more")},
+		{At: 6, Source: "router", Router: 2, Text: line(b, "drained no more")}}
 }
 
 // releaseCommands returns an event for a command of the release for each of the routers, counted from 1.
 func releaseCommands(routers ...int) (all []Event) {
 	for i, n := range routers {
-		all = append(all, Event{At: float64(i), From: "drill", Router: n, Text: commandPrefix + "new"})
+		all = append(all, Event{At: float64(i), Source: "drill", Router: n, Text: commandPrefix + "new"})
 	}
 	return all
 }
@@ -130,10 +130,10 @@
 func TestCheckClaims(t *testing.T) {
 	f := &File{Day: SmallDay(), Steps: []Step{{Kind: "pause", At: seconds(2), Duration: seconds(3), Routers: []int{1}}}}
 	f.Day.Routers = 2
-	bothReady := []Event{{At: -1, From: "watch", Router: 1, Text: "ready"}, {At: -1, From: "watch", Router: 2, Text: "ready"}}
+	bothReady := []Event{{At: -1, Source: "watch", Router: 1, Text: "ready"}, {At: -1, Source: "watch", Router: 2, Text: "ready"}}
 	views := func(first, second string) []Event {
-		return []Event{{At: 6, Uncertainty: 0.1, From: "view", Router: 1, Text: first},
-			{At: 6, Uncertainty: 0.1, From: "view", Router: 2, Text: second}}
+		return []Event{{At: 6, Uncertainty: 0.1, Source: "view", Router: 1, Text: first},
+			{At: 6, Uncertainty: 0.1, Source: "view", Router: 2, Text: second}}
 	}
 	goodResult := &tally.Result{Series: &tally.Series{Service: []float64{1, 1, 0, 0, 0, 0.9, 0.95, 1, 1, 1, 1}}}
 	byTime := func(a, b Event) int { return cmp.Compare(a.At, b.At) }
@@ -146,18 +146,18 @@
 		"no violations":                    {Claim{Kind: "rules"}, nil, goodResult, true},
 		"a violation":                      {Claim{Kind: "rules"}, nil, &tally.Result{ViolationCount: 1, Violations: []rules.Violation{{Rule: "drain"}}}, false},
 		"all alive":                        {Claim{Kind: "alive"}, bothReady, goodResult, true},
-		"a process ended by itself":        {Claim{Kind: "alive"}, append(bothReady, Event{At: 4, From: "watch", Router: 1, Text: unexpectedEndPrefix + "exit status 2"}), goodResult, false},
-		"line never logged":                {Claim{Kind: "never", Pattern: "panic"}, []Event{{From: "drill", Text: "panic"}}, goodResult, true},
-		"line was logged":                  {Claim{Kind: "never", Pattern: "panic"}, []Event{{At: 1, From: "router", Router: 2, Text: "a panic"}}, goodResult, false},
-		"line logged by another router":    {Claim{Kind: "never", Pattern: "panic", Routers: []int{0}}, []Event{{At: 1, From: "router", Router: 2, Text: "a panic"}}, goodResult, true},
-		"line logged by both":              {Claim{Kind: "said", Pattern: "back", Within: seconds(2)}, []Event{{At: 3, From: "router", Router: 1, Text: "back"}, {At: 6, From: "router", Router: 2, Text: "back"}}, goodResult, true},
-		"line logged by one":               {Claim{Kind: "said", Pattern: "back", Within: seconds(2)}, []Event{{At: 3, From: "router", Router: 1, Text: "back"}}, goodResult, false},
-		"line logged too late":             {Claim{Kind: "said", Pattern: "back", Within: seconds(2), Routers: []int{0}}, []Event{{At: 7.5, From: "router", Router: 1, Text: "back"}}, goodResult, false},
-		"line logged before the step":      {Claim{Kind: "said", Pattern: "back", Within: seconds(2), Routers: []int{0}}, []Event{{At: 1, From: "router", Router: 1, Text: "back"}}, goodResult, false},
-		"ready":                            {Claim{Kind: "ready", Within: seconds(1)}, append(bothReady, Event{At: 3, From: "watch", Router: 2, Text: "not ready"}, Event{At: 5.5, Uncertainty: 0.2, From: "watch", Router: 2, Text: "ready"}), goodResult, true},
-		"ready too late":                   {Claim{Kind: "ready", Within: seconds(1)}, append(bothReady, Event{At: 3, From: "watch", Router: 2, Text: "not ready"}, Event{At: 6.5, Uncertainty: 0.2, From: "watch", Router: 2, Text: "ready"}), goodResult, false},
-		"ready, then not ready":            {Claim{Kind: "ready", Within: seconds(1)}, append(bothReady, Event{At: 9, From: "watch", Router: 2, Text: "not ready"}), goodResult, false},
-		"not ready after the day's end":    {Claim{Kind: "ready", Within: seconds(1)}, append(bothReady, Event{At: 24, From: "watch", Router: 2, Text: "not ready"}), goodResult, true},
+		"a process ended by itself":        {Claim{Kind: "alive"}, append(bothReady, Event{At: 4, Source: "watch", Router: 1, Text: unexpectedEndPrefix + "exit status 2"}), goodResult, false},
+		"line never logged":                {Claim{Kind: "never", Pattern: "panic"}, []Event{{Source: "drill", Text: "panic"}}, goodResult, true},
+		"line was logged":                  {Claim{Kind: "never", Pattern: "panic"}, []Event{{At: 1, Source: "router", Router: 2, Text: "a panic"}}, goodResult, false},
+		"line logged by another router":    {Claim{Kind: "never", Pattern: "panic", Routers: []int{0}}, []Event{{At: 1, Source: "router", Router: 2, Text: "a panic"}}, goodResult, true},
+		"line logged by both":              {Claim{Kind: "said", Pattern: "back", Within: seconds(2)}, []Event{{At: 3, Source: "router", Router: 1, Text: "back"}, {At: 6, Source: "router", Router: 2, Text: "back"}}, goodResult, true},
+		"line logged by one":               {Claim{Kind: "said", Pattern: "back", Within: seconds(2)}, []Event{{At: 3, Source: "router", Router: 1, Text: "back"}}, goodResult, false},
+		"line logged too late":             {Claim{Kind: "said", Pattern: "back", Within: seconds(2), Routers: []int{0}}, []Event{{At: 7.5, Source: "router", Router: 1, Text: "back"}}, goodResult, false},
+		"line logged before the step":      {Claim{Kind: "said", Pattern: "back", Within: seconds(2), Routers: []int{0}}, []Event{{At: 1, Source: "router", Router: 1, Text: "back"}}, goodResult, false},
+		"ready":                            {Claim{Kind: "ready", Within: seconds(1)}, append(bothReady, Event{At: 3, Source: "watch", Router: 2, Text: "not ready"}, Event{At: 5.5, Uncertainty: 0.2, Source: "watch", Router: 2, Text: "ready"}), goodResult, true},
+		"ready too late":                   {Claim{Kind: "ready", Within: seconds(1)}, append(bothReady, Event{At: 3, Source: "watch", Router: 2, Text: "not ready"}, Event{At: 6.5, Uncertainty: 0.2, Source: "watch", Router: 2, Text: "ready"}), goodResult, false},
+		"ready, then not ready":            {Claim{Kind: "ready", Within: seconds(1)}, append(bothReady, Event{At: 9, Source: "watch", Router: 2, Text: "not ready"}), goodResult, false},
+		"not ready after the day's end":    {Claim{Kind: "ready", Within: seconds(1)}, append(bothReady, Event{At: 24, Source: "watch", Router: 2, Text: "not ready"}), goodResult, true},
 		"one out of service at a time":     {Claim{Kind: "permits", MaxAtOnce: 1}, permitLines(2, 4, 5, 8), goodResult, true},
 		"two out of service at once":       {Claim{Kind: "permits", MaxAtOnce: 1}, permitLines(2, 6, 5, 8), goodResult, false},
 		"two may be out of service":        {Claim{Kind: "permits", MaxAtOnce: 2}, permitLines(2, 6, 5, 8), goodResult, true},
@@ -172,12 +172,12 @@
 		"one command twice":                {Claim{Kind: "replaced", Pattern: "new", Routers: []int{0}}, releaseCommands(1, 1), goodResult, false},
 		"command for another router":       {Claim{Kind: "replaced", Pattern: "new", Routers: []int{0}}, releaseCommands(1, 2), goodResult, false},
 		"command never run":                {Claim{Kind: "replaced", Pattern: "former", Routers: []int{0}}, releaseCommands(1), goodResult, false},
-		"release output matches":           {Claim{Kind: "told", Pattern: "halts", Within: seconds(1)}, []Event{{At: 4, From: "release", Text: "halts: x"}}, goodResult, true},
-		"release output too late":          {Claim{Kind: "told", Pattern: "halts", Within: seconds(1)}, []Event{{At: 7, From: "release", Text: "halts: x"}}, goodResult, false},
-		"output of a router":               {Claim{Kind: "told", Pattern: "halts", Within: seconds(1)}, []Event{{At: 4, From: "router", Text: "halts: x"}}, goodResult, false},
-		"one is killed, another goes out":  {Claim{Kind: "permits", MaxAtOnce: 1}, append(permitLines(2, 9, 5, 8), Event{At: 4, From: "drill", Router: 1, Text: "kill: true"}), goodResult, true},
+		"release output matches":           {Claim{Kind: "told", Pattern: "halts", Within: seconds(1)}, []Event{{At: 4, Source: "release", Text: "halts: x"}}, goodResult, true},
+		"release output too late":          {Claim{Kind: "told", Pattern: "halts", Within: seconds(1)}, []Event{{At: 7, Source: "release", Text: "halts: x"}}, goodResult, false},
+		"output of a router":               {Claim{Kind: "told", Pattern: "halts", Within: seconds(1)}, []Event{{At: 4, Source: "router", Text: "halts: x"}}, goodResult, false},
+		"one is killed, another goes out":  {Claim{Kind: "permits", MaxAtOnce: 1}, append(permitLines(2, 9, 5, 8), Event{At: 4, Source: "drill", Router: 1, Text: "kill: true"}), goodResult, true},
 		"views agree":                      {Claim{Kind: "view", Within: seconds(2)}, views("a alive alive", "a alive alive"), goodResult, true},
-		"an observation has expired":       {Claim{Kind: "view", Within: seconds(2)}, append(views("a alive alive; s-1 back", "a alive alive"), Event{At: 9, Uncertainty: 0.1, From: "view", Router: 1, Text: "a alive alive"}), goodResult, true},
+		"an observation has expired":       {Claim{Kind: "view", Within: seconds(2)}, append(views("a alive alive; s-1 back", "a alive alive"), Event{At: 9, Uncertainty: 0.1, Source: "view", Router: 1, Text: "a alive alive"}), goodResult, true},
 		"views agree too late":             {Claim{Kind: "view", Within: seconds(0.5)}, views("a alive alive", "a alive alive"), goodResult, false},
 		"one is seen dead":                 {Claim{Kind: "view", Within: seconds(2)}, views("a alive dead", "a alive dead"), goodResult, false},
 		"checksums differ":                 {Claim{Kind: "view", Within: seconds(2)}, views("a alive alive", "b alive alive"), goodResult, false},
@@ -197,8 +197,8 @@
 	} {
 		f.Claims = []Claim{c.claim}
 		slices.SortStableFunc(c.events, byTime)
-		if v := checkClaims(f, c.events, c.result)[0]; v.Holds != c.holds || v.Why == "" {
-			t.Errorf("%s: holds %v, %s", name, v.Holds, v.Why)
+		if v := checkClaims(f, c.events, c.result)[0]; v.Holds != c.holds || v.Reason == "" {
+			t.Errorf("%s: holds %v, %s", name, v.Holds, v.Reason)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 	tl.setWarmUpEnd(from)
 	a.Write([]byte("cond\ntime=2026-12-01T11:59:59.000Z msg=before\n"))
 	var text bytes.Buffer
-	if err := Write(&text, tl.Events()); err != nil {
+	if err := WriteEvents(&text, tl.Events()); err != nil {
 		t.Fatal(err)
 	}
 	want := `{"at":-1,"sure":0.001,"from":"router","router":1,"text":"time=2026-12-01T11:59:59.000Z msg=before"}
@@ -241,23 +241,23 @@
 		{Kind: "never", Pattern: `msg="router lost"`}}}
 	f.Day.Length = seconds(9)
 	for n := 0; ; n++ {
-		r, err := Play(t.Context(), f, Options{Router: routerProgram})
+		r, err := Play(t.Context(), f, Options{RouterProgram: routerProgram})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Busy() && n < 3 {
+		if r.MachineTooBusy() && n < 3 {
 			t.Logf("the machine kept the drill from running for %v: played again", r.Lag)
 			continue
 		}
-		for _, v := range r.Broken() {
-			t.Errorf("%s: %s", v.Claim.Kind, v.Why)
+		for _, v := range r.FailedClaims() {
+			t.Errorf("%s: %s", v.Claim.Kind, v.Reason)
 		}
 		steps, paused := 0, false
 		for _, e := range r.Events {
-			if e.From == "drill" && e.Router == 0 {
+			if e.Source == "drill" && e.Router == 0 {
 				steps++
 			}
-			paused = paused || e.From == "watch" && e.Router == 1 && e.Text == "not ready"
+			paused = paused || e.Source == "watch" && e.Router == 1 && e.Text == "not ready"
 		}
 		if steps != 10 || !paused {
 			t.Errorf("%d beginnings and ends of steps, the pause was seen: %v", steps, paused)
@@ -278,7 +278,7 @@
 	defer cancel()
 	var addrs []string
 	recordAddr := func(addr string) { addrs = append(addrs, addr) }
-	options := Options{Router: routerProgram, onAdminAddr: recordAddr, onBegin: cancel}
+	options := Options{RouterProgram: routerProgram, onAdminAddr: recordAddr, onBegin: cancel}
 	if _, err := Play(ctx, f, options); !errors.Is(err, context.Canceled) {
 		t.Fatalf("interrupted: %v", err)
 	}
--- a/internal/lab/drill/known_red_test.go
+++ b/internal/lab/drill/known_red_test.go
@@ -33,11 +33,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	report, err := Play(t.Context(), f, Options{Router: routerProgram})
+	report, err := Play(t.Context(), f, Options{RouterProgram: routerProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, v := range report.Broken() {
-		t.Errorf("%s: %s", v.Claim.Kind, v.Why)
+	for _, v := range report.FailedClaims() {
+		t.Errorf("%s: %s", v.Claim.Kind, v.Reason)
 	}
 }
--- a/internal/lab/drill/play.go
+++ b/internal/lab/drill/play.go
@@ -25,7 +25,7 @@
 
 // Options configures how a drill is played.
 type Options struct {
-	Router string // path of the router's program
+	RouterProgram string // path of the router's program
 
 	onAdminAddr func(admin string) // for tests: called with the admin address of each router; may be nil
 	onBegin     func()             // for tests: called when the day has begun; may be nil
@@ -43,11 +43,11 @@
 // which is no fault of the router.
 const maxLag = 400 * time.Millisecond
 
-// Busy reports whether the machine was too busy for the verdicts to count.
-func (r *Report) Busy() bool { return r.Lag > maxLag }
+// MachineTooBusy reports whether the machine was too busy for the verdicts to count.
+func (r *Report) MachineTooBusy() bool { return r.Lag > maxLag }
 
-// Broken returns the verdicts of the claims that don't hold.
-func (r *Report) Broken() (all []Verdict) {
+// FailedClaims returns the verdicts of the claims that don't hold.
+func (r *Report) FailedClaims() (all []Verdict) {
 	for _, v := range r.Verdicts {
 		if !v.Holds {
 			all = append(all, v)
@@ -98,9 +98,9 @@
 	if err := p.writeFiles(); err != nil {
 		return nil, err
 	}
-	p.program = opt.Router
+	p.program = opt.RouterProgram
 	for i := range f.Day.Routers {
-		addr, err := loopback.Leave(loopback.Admin, i)
+		addr, err := loopback.Reserve(loopback.Admin, i)
 		if err != nil {
 			return nil, err
 		}
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	day := f.Day
-	o := standin.Options{Router: opt.Router, Series: true, AddressFor: p.openProxy, Arrivals: p.arrivals,
+	o := standin.Options{Router: opt.RouterProgram, Series: true, AddressFor: p.openProxy, Arrivals: p.arrivals,
 		RouterLog: func(i int) io.Writer { return &lineWriter{timeline: p.timeline, router: i, onLine: p.onLogLine} },
 		Peers:     p.peerSettings, Self: f.assignedNumber,
 		Admin:       func(i int) string { return p.adminAddrs[i] },
@@ -187,7 +187,7 @@
 
 // openProxy opens a proxy from a router to the address of a party and returns the proxy's address.
 func (p *player) openProxy(router int, party standin.ServerKind, addr string) (string, error) {
-	host, err := loopback.Host(loopback.Parties, router)
+	host, err := loopback.Host(loopback.StandIns, router)
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/drill/random.go
+++ b/internal/lab/drill/random.go
@@ -96,8 +96,8 @@
 	return f
 }
 
-// Text returns the text of a drill file that Parse reads as the same drill.
-func Text(f *File) ([]byte, error) {
+// Encode returns the text of a drill file that Parse reads as the same drill.
+func Encode(f *File) ([]byte, error) {
 	day, err := experiment.Differing(&f.Day)
 	if err != nil {
 		return nil, err
--- a/internal/lab/drill/soak_test.go
+++ b/internal/lab/drill/soak_test.go
@@ -10,11 +10,11 @@
 func TestSoakDays(t *testing.T) {
 	for seed := range uint64(300) {
 		f := Soak(seed)
-		text, err := Text(f)
+		text, err := Encode(f)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		again, err := Text(Soak(seed))
+		again, err := Encode(Soak(seed))
 		if err != nil || !bytes.Equal(text, again) {
 			t.Fatalf("seed %d gives two days, %v", seed, err)
 		}
--- a/internal/lab/drill/timeline.go
+++ b/internal/lab/drill/timeline.go
@@ -16,7 +16,7 @@
 type Event struct {
 	At          float64 `json:"at"`
 	Uncertainty float64 `json:"sure"`             // the event may have been earlier or later by up to this
-	From        string  `json:"from"`             // who reported it: router, drill, watch, view, release, client or rules
+	Source      string  `json:"from"`             // who reported it: router, drill, watch, view, release, client or rules
 	Router      int     `json:"router,omitempty"` // number from 1 of the router that it concerns; 0: none
 	Text        string  `json:"text"`
 }
@@ -71,8 +71,8 @@
 	return all
 }
 
-// Write writes the events as lines of JSON.
-func Write(w io.Writer, events []Event) error {
+// WriteEvents writes the events as lines of JSON.
+func WriteEvents(w io.Writer, events []Event) error {
 	e := json.NewEncoder(w)
 	for _, x := range events {
 		if err := e.Encode(x); err != nil {
--- a/internal/lab/faultproxy/mesh.go
+++ b/internal/lab/faultproxy/mesh.go
@@ -92,7 +92,7 @@
 			continue
 		}
 		m.pairs[i][j].rng = rand.New(rand.NewPCG(seed, uint64(i)<<32|uint64(j)))
-		if m.sockets[i][j], err = listen(loopback.Parties, i); err != nil {
+		if m.sockets[i][j], err = listen(loopback.StandIns, i); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	arrival.KeepTimes(listener)
+	arrival.EnableTimestamps(listener)
 	p := &StreamProxy{listener: listener, target: target, changed: make(chan struct{}), open: map[*connection]bool{}}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	p.connections.Go(p.accept)
@@ -157,7 +157,7 @@
 	directions.Go(func() { p.copy(c, c.server, c.client) })
 	directions.Go(func() { p.copy(c, c.client.Conn, c.server) })
 	directions.Wait()
-	c.client.EndsNow()
+	c.client.MarkClosing()
 	c.client.Close()
 	c.server.Close()
 	p.mu.Lock()
@@ -259,7 +259,7 @@
 
 // reset ends both sides with a TCP reset, as when a process is killed.
 func (c *connection) reset() {
-	c.client.EndsNow()
+	c.client.MarkClosing()
 	for _, side := range []net.Conn{c.client.Conn, c.server} {
 		if tcp, ok := side.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -16,10 +16,10 @@
 
 // The uses of addresses.
 const (
-	Parties Use = iota // stand-ins and proxies, which ask for free ports all the time
-	Serve              // the router's own listener for clients
-	Admin              // the router's listener for operators' calls
-	Peers              // the router's listener for its peers
+	StandIns Use = iota // stand-ins and proxies, which ask for free ports all the time
+	Clients             // the router's own listener for clients
+	Admin               // the router's listener for operators' calls
+	Peers               // the router's listener for its peers
 	useCount
 )
 
@@ -77,9 +77,9 @@
 // even if one in two is reserved.
 const maxReserveAttempts = 100
 
-// Leave finds a free port of a router's address and reserves it for the router's process. No other call in this process
+// Reserve finds a free port of a router's address and reserves it for the router's process. No other call in this process
 // returns the same address until Release, although the port looks free while the router's process is down or starting.
-func Leave(use Use, router int) (string, error) {
+func Reserve(use Use, router int) (string, error) {
 	reserved.Lock()
 	defer reserved.Unlock()
 	for range maxReserveAttempts {
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -11,7 +11,7 @@
 // Another process of the lab that runs beside this one gets a network of its own, and no two uses share a host.
 func TestHost(t *testing.T) {
 	if os.Getenv("LOOPBACK_CHILD") != "" {
-		host, err := Host(Serve, 0)
+		host, err := Host(Clients, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,7 +29,7 @@
 		}
 	}
 	for _, router := range []int{-1, 1 << 20} {
-		if _, err := Host(Serve, router); err == nil {
+		if _, err := Host(Clients, router); err == nil {
 			t.Errorf("router %d has an address", router)
 		}
 	}
@@ -45,13 +45,13 @@
 	if err != nil || !found || seen[host] {
 		t.Errorf("beside this process another one has %q: %v", out, err)
 	}
-	addr, err := Leave(Serve, 0)
+	addr, err := Reserve(Clients, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer Release(addr)
 	for range 200 { // callers that ask for many free ports don't get the reserved one
-		l, err := Listen(Parties, 0)
+		l, err := Listen(StandIns, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,7 +69,7 @@
 	const addresses = 600 // without a check two of this many random ports out of some thousands would be the same
 	seen := map[string]bool{}
 	for range addresses {
-		addr, err := Leave(Serve, 1)
+		addr, err := Reserve(Clients, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/plot/timeline.go
+++ b/internal/lab/plot/timeline.go
@@ -75,7 +75,7 @@
 // addSteps adds a vertical line for each step of the drill that doesn't concern a single router.
 func addSteps(p *plot.Plot, events []drill.Event) error {
 	for _, e := range events {
-		if e.From != fromDrill || e.Router != 0 {
+		if e.Source != fromDrill || e.Router != 0 {
 			continue
 		}
 		l, err := plotter.NewLine(plotter.XYs{{X: e.At, Y: p.Y.Min}, {X: e.At, Y: p.Y.Max}})
@@ -117,7 +117,7 @@
 		return nil
 	}
 	for _, e := range events {
-		if e.From != fromWatch || e.Router != router+1 {
+		if e.Source != fromWatch || e.Router != router+1 {
 			continue
 		}
 		if err := addUntil(min(e.At, end)); err != nil {
@@ -135,9 +135,9 @@
 	for _, e := range events {
 		switch {
 		case e.Router != router+1 || e.At > end:
-		case e.From == fromDrill:
+		case e.Source == fromDrill:
 			steps = append(steps, plotter.XY{X: e.At, Y: y})
-		case e.From == fromRouter && isWarning(e.Text):
+		case e.Source == fromRouter && isWarning(e.Text):
 			warnings = append(warnings, plotter.XY{X: e.At, Y: y + logOffset})
 		}
 	}
--- a/internal/lab/scale/bounds.go
+++ b/internal/lab/scale/bounds.go
@@ -77,14 +77,14 @@
 
 // Error implements error.
 func (e *BoundError) Error() string {
-	return fmt.Sprintf("%d routers, %d of them real: %s", e.Run.Size, e.Run.Real, e.Reason)
+	return fmt.Sprintf("%d routers, %d of them real: %s", e.Run.Size, e.Run.Processes, e.Reason)
 }
 
 // Check returns a *BoundError if the run would exceed a bound on the machine.
 func (r Run) Check(m Machine) error {
 	refuse := func(format string, args ...any) error { return &BoundError{r, fmt.Sprintf(format, args...)} }
-	if r.Real > MaxProcesses {
-		return refuse("%d processes, and %d may run", r.Real, MaxProcesses)
+	if r.Processes > MaxProcesses {
+		return refuse("%d processes, and %d may run", r.Processes, MaxProcesses)
 	}
 	if memory, limit := r.estimateMemory(), int64(memoryFraction*float64(m.Memory)); memory >= limit {
 		return refuse("about %d MB of memory, and less than %d MB may be taken: half of the machine's", memory>>20, limit>>20)
@@ -98,19 +98,19 @@
 	return nil
 }
 
-func (r Run) hollowCount() int64 { return int64(r.Size - r.Real) }
+func (r Run) hollowCount() int64 { return int64(r.Size - r.Processes) }
 
 // estimateMemory estimates the memory that a run needs, in bytes.
 func (r Run) estimateMemory() int64 {
 	size := int64(r.Size)
 	return baseMemory + r.hollowCount()*(hollowMemory+size*hollowMemoryPerPeer) +
-		int64(r.Real)*(processMemory+size*processMemoryPerPeer)
+		int64(r.Processes)*(processMemory+size*processMemoryPerPeer)
 }
 
 // estimateSockets estimates the file descriptors that this process needs: those of hollow routers, and a proxy for each pair
 // of router processes.
 func (r Run) estimateSockets() int64 {
-	return baseSockets + int64(r.File.Caches) + r.hollowCount()*socketsPerHollow + int64(r.Real)*int64(r.Real)
+	return baseSockets + int64(r.File.Caches) + r.hollowCount()*socketsPerHollow + int64(r.Processes)*int64(r.Processes)
 }
 
 // estimateDuration estimates how long a run takes.
--- a/internal/lab/scale/calibrate.go
+++ b/internal/lab/scale/calibrate.go
@@ -43,7 +43,7 @@
 		for _, r := range records {
 			switch {
 			case r.Size != size:
-			case r.AllReal():
+			case r.ProcessesOnly():
 				allProcesses = append(allProcesses, r)
 			default:
 				mostlyHollow = append(mostlyHollow, r)
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listener, err := loopback.Listen(loopback.Parties, standinHost)
+	listener, err := loopback.Listen(loopback.StandIns, standinHost)
 	if err != nil {
 		return nil, err
 	}
@@ -104,7 +104,7 @@
 	c := &cacheListeners{}
 	var servers []serverEntry
 	for i := range count + 1 {
-		listener, err := loopback.Listen(loopback.Parties, standinHost)
+		listener, err := loopback.Listen(loopback.StandIns, standinHost)
 		if err != nil {
 			c.close()
 			return nil, nil, err
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -137,10 +137,10 @@
 
 // Run is one run of a scenario with one fleet size and one seed.
 type Run struct {
-	File *File
-	Size int
-	Real int // processes of the router's program; the other routers are hollow
-	Seed uint64
+	File      *File
+	Size      int
+	Processes int // processes of the router's program; the other routers are hollow
+	Seed      uint64
 }
 
 // Runs returns all runs of a scenario in their order. They go seed by seed, so that an interrupted scenario has run as many
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -62,7 +62,7 @@
 
 // processNumber returns the router number of the k-th process. Processes are spread over the fleet, and with that over voters,
 // zones and regions.
-func (r Run) processNumber(k int) int { return k * r.Size / r.Real }
+func (r Run) processNumber(k int) int { return k * r.Size / r.Processes }
 
 // newFleet prepares a fleet. It starts the stand-ins but no router yet.
 func newFleet(run Run, program string) (*fleet, error) {
@@ -95,7 +95,7 @@
 	if f.folder, err = os.MkdirTemp("", "hopscale"); err != nil {
 		return err
 	}
-	if f.mesh, err = faultproxy.NewMesh(f.run.Real, f.run.Seed); err != nil {
+	if f.mesh, err = faultproxy.NewMesh(f.run.Processes, f.run.Seed); err != nil {
 		return err
 	}
 	peerAddrs, isProcess, err := f.peerAddrs()
@@ -113,19 +113,19 @@
 // peerAddrs returns the addresses at which routers listen for their peers, and which of the routers are processes.
 func (f *fleet) peerAddrs() (addrs []netip.AddrPort, isProcess []bool, err error) {
 	addrs, isProcess = make([]netip.AddrPort, f.run.Size), make([]bool, f.run.Size)
-	for k := range f.run.Real {
+	for k := range f.run.Processes {
 		number := f.run.processNumber(k)
 		isProcess[number] = true
 		if addrs[number], err = netip.ParseAddrPort(f.mesh.RouterAddr(k)); err != nil {
 			return nil, nil, err
 		}
 	}
-	next := f.run.Real // the mesh uses the hosts with lower numbers
+	next := f.run.Processes // the mesh uses the hosts with lower numbers
 	for number := range addrs {
 		if isProcess[number] {
 			continue
 		}
-		text, err := loopback.Leave(loopback.Peers, next)
+		text, err := loopback.Reserve(loopback.Peers, next)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -184,10 +184,10 @@
 		c.Peers[f.run.processNumber(k)] = addr
 	}
 	var err error
-	if c.Listen, err = loopback.Leave(loopback.Serve, index); err != nil {
+	if c.Listen, err = loopback.Reserve(loopback.Clients, index); err != nil {
 		return nil, err
 	}
-	if c.Admin, err = loopback.Leave(loopback.Admin, index); err != nil {
+	if c.Admin, err = loopback.Reserve(loopback.Admin, index); err != nil {
 		return nil, err
 	}
 	text, err := c.encode()
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -13,9 +13,9 @@
 
 // Options configures how runs are played.
 type Options struct {
-	Program string       // path of the router's program
-	Commit  string       // that the program was built from
-	Said    func(string) // called with a line of text at the end of each phase; may be nil
+	Program    string       // path of the router's program
+	Commit     string       // that the program was built from
+	OnPhaseEnd func(string) // called with a line of text at the end of each phase; may be nil
 }
 
 // Times within a run.
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(ctx, MaxDuration)
 	defer cancel()
 	begun := time.Now()
-	r := &Record{Scenario: run.File.Name, Size: run.Size, Real: run.Real, Seed: run.Seed, Commit: o.Commit,
+	r := &Record{Scenario: run.File.Name, Size: run.Size, Processes: run.Processes, Seed: run.Seed, Commit: o.Commit,
 		Started: begun.UTC().Format(time.RFC3339), MachineLoad: MachineLoad{Cores: runtime.NumCPU(), LoadBefore: loadAverage()}}
 	f, err := newFleet(run, o.Program)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 	defer f.close()
 	p := &player{fleet: f, meter: &meter{fleet: f}, record: r, rng: rand.New(rand.NewPCG(run.Seed, uint64(run.Size))),
-		onProgress: o.Said}
+		onProgress: o.OnPhaseEnd}
 	watching, endWatch := context.WithCancel(ctx)
 	defer endWatch()
 	var watches sync.WaitGroup
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -78,7 +78,7 @@
 
 // Name describes the run of a record.
 func (r *Record) Name() string {
-	return fmt.Sprintf("%s, %d routers, %d real, seed %d", r.Scenario, r.Size, r.Real, r.Seed)
+	return fmt.Sprintf("%s, %d routers, %d real, seed %d", r.Scenario, r.Size, r.Processes, r.Seed)
 }
 
 func distinctSizes(records []*Record) (all []int) {
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -70,7 +70,7 @@
 type Record struct {
 	Scenario    string      `json:"scenario"`
 	Size        int         `json:"size"`
-	Real        int         `json:"real"`
+	Processes   int         `json:"real"`
 	Seed        uint64      `json:"seed"`
 	Commit      string      `json:"commit"`
 	Started     string      `json:"started"`
@@ -80,8 +80,8 @@
 	Figures     []Figure    `json:"figures"`
 }
 
-// AllReal reports whether the run had no hollow routers.
-func (r *Record) AllReal() bool { return r.Real == r.Size }
+// ProcessesOnly reports whether the run had no hollow routers.
+func (r *Record) ProcessesOnly() bool { return r.Processes == r.Size }
 
 // Value returns the mean of a figure over all repetitions of its phase.
 func (r *Record) Value(phase, name string) (mean float64, ok bool) {
@@ -119,8 +119,8 @@
 	return names
 }
 
-// Write writes a record as a line of JSON.
-func Write(w io.Writer, r *Record) error {
+// WriteRecord writes a record as a line of JSON.
+func WriteRecord(w io.Writer, r *Record) error {
 	line, err := json.Marshal(r)
 	if err != nil {
 		return err
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -162,7 +162,7 @@
 }
 
 func record(size, processes int, busy bool, figures ...Figure) *Record {
-	return &Record{Scenario: "x", Size: size, Real: processes, MachineLoad: MachineLoad{Cores: 8, Busy: busy}, Figures: figures}
+	return &Record{Scenario: "x", Size: size, Processes: processes, MachineLoad: MachineLoad{Cores: 8, Busy: busy}, Figures: figures}
 }
 
 // Records are read as they were written. Reports show exceeded budgets, calibrations, and runs that don't count.
@@ -173,7 +173,7 @@
 	path := filepath.Join(t.TempDir(), "x.jsonl")
 	var text bytes.Buffer
 	for _, r := range records {
-		if err := Write(&text, r); err != nil {
+		if err := WriteRecord(&text, r); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/lab/standin/arrival_test.go
+++ b/internal/lab/standin/arrival_test.go
@@ -56,14 +56,14 @@
 		if err != nil || string(buffer[:n]) != want {
 			t.Errorf("%q, %v", buffer[:n], err)
 		}
-		if i == 0 && reader.log.At(0).After(written) { // the second piece may be logged a little after it is written
+		if i == 0 && reader.log.ArrivalTime(0).After(written) { // the second piece may be logged a little after it is written
 			t.Error("the arrival was logged when it was read")
 		}
 	}
-	second := reader.log.At(3)
+	second := reader.log.ArrivalTime(3)
 	io.WriteString(far, "three")
 	io.ReadFull(reader, buffer[:2])
-	if !reader.log.At(6).After(second) {
+	if !reader.log.ArrivalTime(6).After(second) {
 		t.Error("a later piece has no later arrival time")
 	}
 	far.Close()
@@ -104,7 +104,7 @@
 	if r.valueLink.isBroken() {
 		t.Error("the broken connection of an earlier call counts")
 	}
-	answering.sourceLog.EndsNow() // a relay closes the connection
+	answering.sourceLog.MarkClosing() // a relay closes the connection
 	if !r.valueLink.isBroken() {
 		t.Error("the connection of the answer does not count although a relay has closed it")
 	}
--- a/internal/lab/standin/node.go
+++ b/internal/lab/standin/node.go
@@ -138,7 +138,7 @@
 		return nil
 	}
 	var err error
-	n.addr, err = loopback.Leave(loopback.Serve, n.index)
+	n.addr, err = loopback.Reserve(loopback.Clients, n.index)
 	return err
 }
 
@@ -319,7 +319,7 @@
 
 // listenDiscovery serves discovery to one router.
 func (n *routerNode) listenDiscovery() error {
-	l, err := loopback.Listen(loopback.Parties, n.index)
+	l, err := loopback.Listen(loopback.StandIns, n.index)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/standin/overlap.go
+++ b/internal/lab/standin/overlap.go
@@ -49,7 +49,7 @@
 // connection. ended is false if the call is still in flight.
 func (r *clientRequest) callEnd(traced *tracedCall) (endedAt time.Time, ended bool) {
 	endedAt, ended = r.callEndedAt[traced.call]
-	if closed, known := traced.link.sourceLog.End(); known && (!ended || closed.Before(endedAt)) {
+	if closed, known := traced.link.sourceLog.EndTime(); known && (!ended || closed.Before(endedAt)) {
 		return closed, true
 	}
 	return endedAt, ended
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -27,11 +27,11 @@
 }
 
 func (n *routerNode) listenServerLocked(server int) error {
-	l, err := loopback.Listen(loopback.Parties, n.index)
+	l, err := loopback.Listen(loopback.StandIns, n.index)
 	if err != nil {
 		return err
 	}
-	arrival.KeepTimes(l)
+	arrival.EnableTimestamps(l)
 	party := Cache
 	if server == 0 {
 		party = Origin
@@ -182,7 +182,7 @@
 			}
 			l.forward(attempt{id: string(command.ID), key: string(command.Key), facts: string(command.Facts),
 				write: command.Verb == meta.Set,
-				at:    l.sourceLog.At(offset)})
+				at:    l.sourceLog.ArrivalTime(offset)})
 			pending, offset = pending[used:], offset+int64(used)
 		}
 		n, err := r.Read(buffer)
@@ -197,7 +197,7 @@
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		arrivedAt := l.sourceLog.At(reader.delivered - int64(r.Buffered()))
+		arrivedAt := l.sourceLog.ArrivalTime(reader.delivered - int64(r.Buffered()))
 		request, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -251,7 +251,7 @@
 }
 
 // isBroken reports whether the server or a relay has broken the connection. Engine.mu must be held.
-func (l *link) isBroken() bool { return l.brokenByServer || l.sourceLog.Closed() }
+func (l *link) isBroken() bool { return l.brokenByServer || l.sourceLog.ClosedLocally() }
 
 // checkTimeLeft checks the remaining time that an attempt states. For a request of a foreign client the real
 // remaining time is not known here.
