--- a/cmd/hoplab/lab.go
+++ b/cmd/hoplab/lab.go
@@ -214,7 +214,7 @@
 		fmt.Printf("%d runs are in one of the results only\n", missing)
 	}
 	for _, r := range rows {
-		if r.Figure == "score" && r.Difference.Mean+r.Difference.Half < -c.Fall {
+		if r.Figure == "score" && r.Difference.Mean+r.Difference.HalfWidth < -c.Fall {
 			fmt.Printf("%s has fallen at %s\n", r.Policy, r.Point)
 			err = command.ErrFinding
 		}
@@ -282,20 +282,20 @@
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return err
 	}
-	h := &experiment.Hunt{Policy: c.Policy, Rivals: c.Rivals, Margin: c.Margin, Seed: c.Seed, Cores: c.Cores, Shrink: 30}
+	h := &experiment.Hunt{Policy: c.Policy, Rivals: c.Rivals, Margin: c.Margin, Seed: c.Seed, Cores: c.Cores, MaxSimplifications: 30}
 	counts := map[string]int{}
 	var failed error
 	played, err := h.Run(ctx, c.Days, func(f *experiment.Finding) {
-		if counts[f.What]++; counts[f.What] > c.Most {
+		if counts[f.Reason]++; counts[f.Reason] > c.Most {
 			return
 		}
-		name := fmt.Sprintf("%s-%d-%d.toml", strings.ReplaceAll(f.What, " ", "-"), c.Seed, f.Number)
+		name := fmt.Sprintf("%s-%d-%d.toml", strings.ReplaceAll(f.Reason, " ", "-"), c.Seed, f.Number)
 		policies := []string{c.Policy}
 		if f.Rival != "" {
 			policies = append(policies, f.Rival)
 		}
-		title := fmt.Sprintf("Found: %s %s (hunt seed %d, day %d)", c.Policy, f.What, c.Seed, f.Number)
-		text, err := experiment.Write(title, policies, &f.Day)
+		title := fmt.Sprintf("Found: %s %s (hunt seed %d, day %d)", c.Policy, f.Reason, c.Seed, f.Number)
+		text, err := experiment.Marshal(title, policies, &f.Day)
 		if err == nil {
 			err = os.WriteFile(filepath.Join(c.Out, name), text, 0o644)
 		}
@@ -353,7 +353,7 @@
 	if c.Seed == 0 {
 		c.Seed = f.Day.Seed
 	}
-	r, err := f.Story(ctx, c.Policy, c.Seed, at, sim.Subject{Router: c.Router, Request: c.Request})
+	r, err := f.Trace(ctx, c.Policy, c.Seed, at, sim.TracedRequest{Router: c.Router, Request: c.Request})
 	if err != nil {
 		return err
 	}
--- a/cmd/hoplab/permits.go
+++ b/cmd/hoplab/permits.go
@@ -24,7 +24,7 @@
 	const walkSteps = 300
 	violated := false
 	report := func(name string, s *leasesearch.Search, err error, more string) {
-		fmt.Printf("%s: %d states in %v%s", name, s.States, s.Took.Round(time.Millisecond), more)
+		fmt.Printf("%s: %d states in %v%s", name, s.States, s.Duration.Round(time.Millisecond), more)
 		if err != nil {
 			fmt.Printf(": %.160s", err)
 		}
--- a/cmd/hoplab/sockets.go
+++ b/cmd/hoplab/sockets.go
@@ -146,7 +146,7 @@
 // Run sends the load and prints a report; on a terminal it also shows progress.
 func (c *loadCmd) Run(ctx context.Context) error {
 	plan := load.Plan{Addrs: c.Addrs, Rate: c.Rate, For: c.For, Conns: c.Conns, Keys: c.Keys, Zipf: c.Zipf, Offset: 3, Seed: c.Seed,
-		Retries: c.Retries, Value: 2}
+		MaxRetries: c.Retries, ValueSize: 2}
 	day := model.DefaultDay()
 	for _, class := range day.Classes {
 		plan.Classes = append(plan.Classes, load.Class{Name: class.Name, Share: class.Share, Aim: class.Aim.Std(),
--- a/cmd/hoplab/view.go
+++ b/cmd/hoplab/view.go
@@ -142,7 +142,7 @@
 		s := &membership.Search{Routers: 3, Depth: c.Search, MaxCrashes: 2, MaxInFlight: 4, ClockSetBack: setBack}
 		err := s.Run()
 		fmt.Printf("clocks of new lives set back %v: %d states to a depth of %d, from %d of them all views agreed, %v\n",
-			setBack, s.States, s.Depth, s.Converged, s.Took.Round(time.Millisecond))
+			setBack, s.States, s.Depth, s.Converged, s.Duration.Round(time.Millisecond))
 		if err != nil {
 			fmt.Println(err)
 			return command.ErrFinding
--- a/cmd/hoptiller/disconnect_test.go
+++ b/cmd/hoptiller/disconnect_test.go
@@ -15,7 +15,7 @@
 // startWithDelayedCache starts the program in an environment where connections to p1 are established only after listen is
 // called. The connect timeout in the settings is long enough for that.
 func startWithDelayedCache(t *testing.T) (w *environment, listen func() net.Listener) {
-	addr, listen := testprog.Late(t)
+	addr, listen := testprog.ListenWithFullQueue(t)
 	w = startProgramWith(t, nil, "", `"known":{"version":1,"full":true,"servers":[`,
 		fmt.Sprintf(`"known":{"version":1,"full":true,"servers":[{"id":"s-00000001","addr":%q,"zone":"x","kind":"cache","cell":0,"state":"active","weight":1},`, addr),
 		`"connectTimeout":250000`, `"connectTimeout":9000000`)
@@ -80,7 +80,7 @@
 // connection to the origin is established. Nothing must be fetched for it.
 func TestClientDisconnectsAfterMiss(t *testing.T) {
 	t.Parallel()
-	addr, listen := testprog.Late(t)
+	addr, listen := testprog.ListenWithFullQueue(t)
 	w := startProgramWith(t, []string{"p1"}, "", `"known":{"version":1,"full":true,"servers":[`,
 		fmt.Sprintf(`"known":{"version":1,"full":true,"servers":[{"id":"s-0000000e","addr":%q,"zone":"x","kind":"origin","cell":0,"state":"active","weight":1},`, addr),
 		`"connectTimeout":250000`, `"connectTimeout":9000000`, `{o active 0},`, ``)
--- a/cmd/hoptiller/early_kill_test.go
+++ b/cmd/hoptiller/early_kill_test.go
@@ -119,7 +119,7 @@
 		conn := dial(t, w.actors["program"].addr)
 		running.Go(func() { lastRequests[i] = requestUntilClosed(conn, i) })
 	}
-	testprog.Until(t, "all clients send requests", func() bool {
+	testprog.Eventually(t, "all clients send requests", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return len(forwarded) >= 10*clients
--- a/cmd/hoptiller/large_fleet_test.go
+++ b/cmd/hoptiller/large_fleet_test.go
@@ -153,7 +153,7 @@
 			runView(b, self, addrs)
 		}
 		f := startLargeFleet(b, addrs, caches)
-		testprog.Until(b, "the router knows its fleet", func() bool {
+		testprog.Eventually(b, "the router knows its fleet", func() bool {
 			m := f.metrics(b)
 			return m.Members == caches && m.Fleet != nil && m.Fleet.Alive == routers
 		})
--- a/cmd/hoptiller/outage_start_test.go
+++ b/cmd/hoptiller/outage_start_test.go
@@ -34,7 +34,7 @@
 		})
 		return l.Addr().String()
 	}
-	unconnected, _ := testprog.Late(t)
+	unconnected, _ := testprog.ListenWithFullQueue(t)
 	for name, discovery := range map[string]string{"down": closed(), "silent": answering(""), "unreachable": unconnected,
 		"too many callers": answering("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/hoptiller/paused_process_test.go
+++ b/cmd/hoptiller/paused_process_test.go
@@ -19,7 +19,7 @@
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	testprog.Until(t, "the program is paused", func() bool { return isStopped(t, process.Pid) })
+	testprog.Eventually(t, "the program is paused", func() bool { return isStopped(t, process.Pid) })
 	during()
 	if err := process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
--- a/cmd/hoptiller/server_list_test.go
+++ b/cmd/hoptiller/server_list_test.go
@@ -171,7 +171,7 @@
 	w.runScenario(t, t.Name(), strings.Split(`
 		d wait <closed>`, "\n"))
 	asked := 0
-	testprog.Until(t, "the list of the last service is in use", func() bool {
+	testprog.Eventually(t, "the list of the last service is in use", func() bool {
 		asked++
 		fmt.Fprintf(dial(t, w.actors["program"].addr), "mg k1 v O%d Pc=read,d=9000\r\n", asked)
 		return len(w.actors["p2"].lines) > 0
--- a/internal/admission/middleware/middleware_test.go
+++ b/internal/admission/middleware/middleware_test.go
@@ -65,7 +65,7 @@
 
 // awaitWaiting waits until n requests wait in a queue.
 func awaitWaiting(t *testing.T, h *Handler, n int) {
-	testprog.Until(t, fmt.Sprint(n, " wait"), func() bool { _, waiting := h.Counts(); return waiting == n })
+	testprog.Eventually(t, fmt.Sprint(n, " wait"), func() bool { _, waiting := h.Counts(); return waiting == n })
 }
 
 // One request is admitted, the next waits until the first is answered, the third is rejected at once.
--- a/internal/buffer/arrival_test.go
+++ b/internal/buffer/arrival_test.go
@@ -61,7 +61,7 @@
 	read(1)
 	first := r.LastRead
 	io.WriteString(client, "yz")
-	testprog.Until(t, "more bytes have arrived", r.MoreArrived)
+	testprog.Eventually(t, "more bytes have arrived", r.MoreArrived)
 	conn.SetReadDeadline(time.Unix(1, 0))
 	if err := r.Next(func(b []byte) int { return len(b) }); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a read after its deadline: %v", err)
--- a/internal/buffer/awaitend_test.go
+++ b/internal/buffer/awaitend_test.go
@@ -37,13 +37,13 @@
 			if err := r.AwaitPeerClose(); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("waiting for an end that does not come returned %v", err)
 			}
-			conn.SetReadDeadline(time.Now().Add(testprog.Patience))
+			conn.SetReadDeadline(time.Now().Add(testprog.WaitTimeout))
 			conn.(*net.TCPConn).CloseWrite()
 			peer.(*net.TCPConn).CloseWrite()
 			if err := r.AwaitPeerClose(); err != nil {
 				t.Errorf("waiting for an end that comes returned %v", err)
 			}
-			conn.SetReadDeadline(time.Now().Add(testprog.Patience))
+			conn.SetReadDeadline(time.Now().Add(testprog.WaitTimeout))
 			got := ""
 			r.Next(func(b []byte) int { got = string(b); return len(b) })
 			if got != sent {
--- a/internal/buffer/reader_test.go
+++ b/internal/buffer/reader_test.go
@@ -66,7 +66,7 @@
 		t.Fatal("bytes are waiting on a new connection", err)
 	}
 	io.WriteString(client, "x")
-	testprog.Until(t, "a byte waits", r.MoreArrived)
+	testprog.Eventually(t, "a byte waits", r.MoreArrived)
 	got := ""
 	if err := r.Next(func(b []byte) int { got += string(b); return len(b) }); got != "x" || err != nil || r.MoreArrived() {
 		t.Errorf("read %q, %v", got, err)
--- a/internal/discovery/watch_order_test.go
+++ b/internal/discovery/watch_order_test.go
@@ -131,7 +131,7 @@
 	if err := old.onUpdate(update(9, true, "active")); !errors.Is(err, errSourceReplaced) {
 		t.Errorf("the old service after the new one has spoken: %v", err)
 	}
-	testprog.Give(t, list.answer, update(10, true, "active"), "the old service's answer")
+	testprog.Send(t, list.answer, update(10, true, "active"), "the old service's answer")
 	if text := testprog.Await(t, updates, "end of the call to the old service"); text != fmt.Sprint(hoptiller.ListFailed) {
 		t.Errorf("the listener received %q", text)
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -33,7 +33,7 @@
 func TestWatchThatFallsSilentLate(t *testing.T) {
 	t.Parallel()
 	const endless = 1 << 20
-	limits := Timeouts{Connect: testprog.Patience, Head: time.Second, First: time.Second, Silence: time.Second}
+	limits := Timeouts{Connect: testprog.WaitTimeout, Head: time.Second, First: time.Second, Silence: time.Second}
 	for name, c := range map[string]struct {
 		line  string
 		times int
@@ -81,7 +81,7 @@
 		}
 	}
 	drain(8)
-	testprog.Give(t, refused.ended, errors.New("refused"), "end of the first watch of the new service")
+	testprog.Send(t, refused.ended, errors.New("refused"), "end of the first watch of the new service")
 	if text := testprog.Await(t, updates, "refusal"); text != fmt.Sprint(hoptiller.ListFailed) {
 		t.Errorf("the listener received %q", text)
 	}
--- a/internal/fleet/peers/many_test.go
+++ b/internal/fleet/peers/many_test.go
@@ -89,7 +89,7 @@
 			unknown[member.Number] = member.State == "unknown"
 		}
 	}
-	testprog.Until(t, "all routers are known", func() bool {
+	testprog.Eventually(t, "all routers are known", func() bool {
 		updateUnknown()
 		senders.send(t, func(router int) bool { return unknown[router] }) // again, because a full socket buffer loses datagrams
 		return p.Summary().Unknown == 0
@@ -101,7 +101,7 @@
 	for range rounds {
 		received := p.Summary().Received
 		senders.send(t, func(int) bool { return true })
-		testprog.Until(t, "datagrams are received", func() bool { return p.Summary().Received > received })
+		testprog.Eventually(t, "datagrams are received", func() bool { return p.Summary().Received > received })
 	}
 	s := p.Summary()
 	if heapAfter := heapBytes(); heapAfter > heapWhenKnown+maxGrowth {
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -70,13 +70,13 @@
 		}
 		return true
 	}
-	testprog.Until(t, "three views agree", func() bool { return agree(a, b, c) })
+	testprog.Eventually(t, "three views agree", func() bool { return agree(a, b, c) })
 	if lines := Differences([]FetchResult{{Addr: "a", Report: a.Report()}, {Addr: "b", Report: b.Report()}}); len(lines) > 0 {
 		t.Errorf("views that agree have differences: %v", lines)
 	}
 	next, _ := run(t, 2, addrs)
 	leave()
-	testprog.Until(t, "the next process is known", func() bool {
+	testprog.Eventually(t, "the next process is known", func() bool {
 		r := a.Report()
 		return r.Alive == 3 && r.Members[2].Incarnation == next.Report().Members[2].Incarnation
 	})
@@ -161,7 +161,7 @@
 	for i := range all {
 		all[i], _ = run(b, i, addrs)
 	}
-	testprog.Until(b, "300 routers know each other", func() bool {
+	testprog.Eventually(b, "300 routers know each other", func() bool {
 		for _, p := range all {
 			if p.Summary().Alive != routers {
 				return false
--- a/internal/fleet/rollout/driver_test.go
+++ b/internal/fleet/rollout/driver_test.go
@@ -100,7 +100,7 @@
 	if err := d.startCommand(1, []string{"sh", filepath.Join(d.folder, "wait.sh")}); err != nil {
 		t.Fatal(err)
 	}
-	testprog.Until(t, "the command begins", func() bool { return d.commandsBegun(1) == 1 })
+	testprog.Eventually(t, "the command begins", func() bool { return d.commandsBegun(1) == 1 })
 	next := New(d.plan, io.Discard)
 	if !next.commandRuns(1) || next.commandsBegun(1) != 1 {
 		t.Error("the next driver does not see that the command has begun and runs")
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -96,7 +96,7 @@
 // awaitOpen waits until n requests are open.
 func awaitOpen(t *testing.T, f *Front, n int) {
 	t.Helper()
-	testprog.Until(t, fmt.Sprint(n, " requests are open"), func() bool {
+	testprog.Eventually(t, fmt.Sprint(n, " requests are open"), func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return len(f.openIDs) == n
@@ -168,7 +168,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(testprog.Patience))
+	conn.SetDeadline(time.Now().Add(testprog.WaitTimeout))
 	r := bufio.NewReader(conn)
 	request := func(id int) {
 		fmt.Fprintf(conn, "mg k v O%d Pc=read,d=900\r\n", id)
@@ -179,7 +179,7 @@
 	}
 	request(1)
 	f.Lifecycle.Apply(lifecycle.Stop)
-	testprog.Until(t, "no new client is accepted", func() bool {
+	testprog.Eventually(t, "no new client is accepted", func() bool {
 		other, err := net.Dial("tcp", l.Addr().String())
 		if err == nil {
 			other.Close()
@@ -209,7 +209,7 @@
 		bufio.NewReader(idleConns[i]).ReadString('\n')
 		// The answer may arrive before its connection counts as idle. Without this wait the next connection could count as
 		// idle for longer.
-		testprog.Until(t, "the connection is idle", func() bool {
+		testprog.Eventually(t, "the connection is idle", func() bool {
 			f.conns.mu.Lock()
 			defer f.conns.mu.Unlock()
 			return f.conns.lists[idle].Len() == i+1
--- a/internal/front/listener_test.go
+++ b/internal/front/listener_test.go
@@ -47,7 +47,7 @@
 func TestBacklogIsServedWhenTheListenerCloses(t *testing.T) {
 	paused := &pausedListener{resume: make(chan struct{}), stopped: make(chan struct{})}
 	f := &Front{MaxConns: 4, MaxOpenRequests: 4, Server: &concurrencyServer{}, Lifecycle: lifecycle.New(), AcceptDuration: time.Millisecond,
-		ServeDuration: testprog.Patience}
+		ServeDuration: testprog.WaitTimeout}
 	connect := startWithListener(t, f, func(l net.Listener) net.Listener {
 		paused.TCPListener = l.(*net.TCPListener)
 		return paused
@@ -61,7 +61,7 @@
 	testprog.Await(t, paused.stopped, "the listener's end")
 	close(paused.resume)
 	for i, client := range clients {
-		client.SetReadDeadline(time.Now().Add(testprog.Patience))
+		client.SetReadDeadline(time.Now().Add(testprog.WaitTimeout))
 		if line, err := bufio.NewReader(client).ReadString('\n'); line != fmt.Sprintf("VA 1 O%d\r\n", i) {
 			t.Errorf("client %d got %q, %v", i, line, err)
 		}
@@ -95,7 +95,7 @@
 			s.recordClosed()
 			return
 		}
-		conn.SetDeadline(time.Now().Add(testprog.Patience))
+		conn.SetDeadline(time.Now().Add(testprog.WaitTimeout))
 		fmt.Fprintf(conn, "mg k v O%d-%d Pc=read,d=900\r\n", clientNumber, n)
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		conn.Close()
@@ -146,7 +146,7 @@
 	for i := range 16 {
 		clients.Go(func() { results[i%2].requestUntilClosed(addrs[i%2], i) })
 	}
-	testprog.Until(t, "both listeners serve", func() bool {
+	testprog.Eventually(t, "both listeners serve", func() bool {
 		results[0].mu.Lock()
 		defer results[0].mu.Unlock()
 		results[1].mu.Lock()
@@ -196,7 +196,7 @@
 	close(stop)
 	stopAccepting(l)
 	testprog.Await(t, served, "the listener's end")
-	other.(*net.TCPListener).SetDeadline(time.Now().Add(testprog.Patience))
+	other.(*net.TCPListener).SetDeadline(time.Now().Add(testprog.WaitTimeout))
 	taken, err := other.Accept()
 	if err != nil {
 		t.Fatalf("the other process finds no client to accept: %v", err)
--- a/internal/front/long_value_test.go
+++ b/internal/front/long_value_test.go
@@ -46,7 +46,7 @@
 		t.Fatalf("%.9q of %d bytes", got, len(got))
 	}
 	go send(second, 2)
-	testprog.Until(t, "a connection that waits for memory counts as busy", func() bool { // so it is not evicted
+	testprog.Eventually(t, "a connection that waits for memory counts as busy", func() bool { // so it is not evicted
 		f.conns.mu.Lock()
 		defer f.conns.mu.Unlock()
 		return f.conns.lists[busy].Len() == 2
@@ -60,14 +60,14 @@
 		t.Errorf("%.9q is held in memory as well", got)
 	default:
 	}
-	testprog.Give(t, server.replies, "c1", "reply text")
+	testprog.Send(t, server.replies, "c1", "reply text")
 	if line, err := bufio.NewReader(first).ReadString('\n'); line != "HD O1 cc1\r\n" {
 		t.Errorf("%q, %v", line, err)
 	}
 	if got := testprog.Await(t, server.arrived, "request"); got != "2 "+value {
 		t.Fatalf("%.9q of %d bytes", got, len(got))
 	}
-	testprog.Give(t, server.replies, "c2", "reply text")
+	testprog.Send(t, server.replies, "c2", "reply text")
 	if line, err := bufio.NewReader(second).ReadString('\n'); line != "HD O2 cc2\r\n" {
 		t.Errorf("%q, %v", line, err)
 	}
@@ -88,7 +88,7 @@
 	bad := connect()
 	fmt.Fprint(bad, head+value+"xx")
 	server.replies <- "c1"
-	testprog.Until(t, "the id of the last client that disconnected is free", func() bool {
+	testprog.Eventually(t, "the id of the last client that disconnected is free", func() bool {
 		conn := connect()
 		io.WriteString(conn, head+value+"\r\n")
 		line, _ := bufio.NewReader(conn).ReadString('\n')
--- a/internal/front/partial_command_test.go
+++ b/internal/front/partial_command_test.go
@@ -47,7 +47,7 @@
 			client := start(t, f)()
 			fmt.Fprintf(client, "%smg k v O2 Pc=re", first)
 			var c *conn
-			testprog.Until(t, "half a command has arrived", func() bool {
+			testprog.Eventually(t, "half a command has arrived", func() bool {
 				if all := f.conns.all(); len(all) == 1 {
 					c = all[0]
 					c.mu.Lock()
--- a/internal/front/race_test.go
+++ b/internal/front/race_test.go
@@ -87,7 +87,7 @@
 			fmt.Fprintf(conn, "mg k v O%d Pc=read,x=%s,d=900\r\n", i, strings.Repeat("x", 100))
 		}
 	}()
-	testprog.Until(t, "the read-ahead bound is reached", func() bool { return f.readAheadBytes.Load() >= maxReadAheadPerConn })
+	testprog.Eventually(t, "the read-ahead bound is reached", func() bool { return f.readAheadBytes.Load() >= maxReadAheadPerConn })
 	close(hold)
 	r := bufio.NewReader(conn)
 	for i := range commands {
@@ -97,7 +97,7 @@
 		}
 	}
 	conn.Close()
-	testprog.Until(t, "no bytes count as read ahead", func() bool { return f.readAheadBytes.Load() == 0 })
+	testprog.Eventually(t, "no bytes count as read ahead", func() bool { return f.readAheadBytes.Load() == 0 })
 }
 
 // Race: a client connects, sends a request and disconnects before the router reads any of it. The request is not passed on.
@@ -126,12 +126,12 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(testprog.Patience))
+	conn.SetDeadline(time.Now().Add(testprog.WaitTimeout))
 	fmt.Fprint(conn, "mn\r\n")
 	if line, err := bufio.NewReader(conn).ReadString('\n'); line != "MN\r\n" {
 		t.Fatalf("got %q, %v", line, err)
 	}
-	testprog.Until(t, "the other connections have ended", func() bool { return len(f.conns.all()) == 1 })
+	testprog.Eventually(t, "the other connections have ended", func() bool { return len(f.conns.all()) == 1 })
 	if n := len(server.arrived); n > 0 {
 		t.Errorf("%d requests of disconnected clients were passed on", n)
 	}
@@ -148,7 +148,7 @@
 	f := &Front{MaxConns: 4, MaxOpenRequests: 4, Server: hold}
 	conn := start(t, f)().(*net.TCPConn)
 	fmt.Fprint(conn, "mg k v O1 Pc=read,d=900\r\n")
-	testprog.Until(t, "the connection is idle after its answer", func() bool {
+	testprog.Eventually(t, "the connection is idle after its answer", func() bool {
 		f.conns.mu.Lock()
 		defer f.conns.mu.Unlock()
 		return f.conns.lists[idle].Len() == 1
@@ -158,7 +158,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testprog.Until(t, "the end of the connection has arrived at the client", func() bool {
+	testprog.Eventually(t, "the end of the connection has arrived at the client", func() bool {
 		const closeWait = 8 // the TCP state CLOSE_WAIT, which is the first byte of TCP_INFO
 		state := 0
 		raw.Control(func(fd uintptr) { state, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO) })
@@ -218,7 +218,7 @@
 	}
 	conn = start(t, f)()
 	fmt.Fprintf(conn, "ms k %d O1 Pc=read,d=900\r\n", waitingLength)
-	testprog.Until(t, "the value waits for memory", func() bool {
+	testprog.Eventually(t, "the value waits for memory", func() bool {
 		f.conns.mu.Lock()
 		defer f.conns.mu.Unlock()
 		return f.conns.lists[busy].Len() == 1
@@ -227,7 +227,7 @@
 		t.Helper()
 		conn.Close()
 		f.ValueMemory.Release(meta.MaxLongValue)
-		testprog.Until(t, "the connection has ended", func() bool { return len(f.conns.all()) == 0 })
+		testprog.Eventually(t, "the connection has ended", func() bool { return len(f.conns.all()) == 0 })
 		if n := len(served.arrived); n > 0 {
 			t.Error("the request was passed on")
 		}
--- a/internal/lab/arrival/arrival_test.go
+++ b/internal/lab/arrival/arrival_test.go
@@ -35,7 +35,7 @@
 	near, far := pair(t)
 	io.WriteString(far, "x")
 	written := time.Now()
-	testprog.Until(t, "what came is 50 ms old", func() bool { return sinceReceived(near) >= 50*time.Millisecond })
+	testprog.Eventually(t, "what came is 50 ms old", func() bool { return sinceReceived(near) >= 50*time.Millisecond })
 	if age, most := sinceReceived(near), time.Since(written)+time.Second; age > most {
 		t.Errorf("what came at most %v ago is %v old", most, age)
 	}
@@ -50,7 +50,7 @@
 		before[i] = time.Now()
 		io.WriteString(far, text)
 		after[i] = time.Now()
-		testprog.Until(t, "what came is 50 ms old", func() bool { return sinceReceived(near) >= 50*time.Millisecond })
+		testprog.Eventually(t, "what came is 50 ms old", func() bool { return sinceReceived(near) >= 50*time.Millisecond })
 		if _, err := io.ReadFull(near, b); err != nil {
 			t.Fatal(err)
 		}
@@ -78,11 +78,11 @@
 	draw := rand.New(rand.NewPCG(1, 2))
 	for offset := first; offset < first+bytes; offset++ {
 		phase := time.Now().Add(time.Duration(draw.Int64N(int64(tick))))
-		testprog.Until(t, "a drawn part of a tick", func() bool { return time.Now().After(phase) })
+		testprog.Eventually(t, "a drawn part of a tick", func() bool { return time.Now().After(phase) })
 		before := time.Now()
 		far.Write(b)
 		after := time.Now()
-		testprog.Until(t, "what came is two ticks old", func() bool { return time.Since(after) >= 2*tick })
+		testprog.Eventually(t, "what came is two ticks old", func() bool { return time.Since(after) >= 2*tick })
 		if _, err := io.ReadFull(near, b); err != nil {
 			t.Fatal(err)
 		}
@@ -95,7 +95,7 @@
 
 // awaitTimes waits until the kernel records arrival times. It begins to do so some time after it is asked to.
 func awaitTimes(t *testing.T, near *Log, far net.Conn) {
-	testprog.Until(t, "a byte that has a time", func() bool {
+	testprog.Eventually(t, "a byte that has a time", func() bool {
 		far.Write([]byte{0})
 		_, at, err := receive(near.Conn.(*net.TCPConn), make([]byte, 1))
 		return err == nil && !at.IsZero()
@@ -111,7 +111,7 @@
 	before := time.Now()
 	far.Close()
 	after := time.Now()
-	testprog.Until(t, "50 ms later", func() bool { return time.Since(after) >= 50*time.Millisecond })
+	testprog.Eventually(t, "50 ms later", func() bool { return time.Since(after) >= 50*time.Millisecond })
 	at, ended := near.EndTime()
 	if !ended || at.Before(before.Add(-Uncertainty)) || at.After(after.Add(Uncertainty)) {
 		t.Errorf("ended %v at %v, closed between %v and %v", ended, at, before, after)
--- a/internal/lab/drill/file.go
+++ b/internal/lab/drill/file.go
@@ -139,19 +139,19 @@
 // Parse reads and checks the text of a drill. Its errors name path, the line and the setting.
 func Parse(path string, text []byte) (*File, error) {
 	f := &File{Day: model.DefaultDay(), path: path, text: text}
-	if err := experiment.Strict(path, text, f); err != nil {
+	if err := experiment.DecodeFile(path, text, f); err != nil {
 		return nil, err
 	}
 	f.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	if err := f.Day.Validate(); err != nil {
-		return nil, experiment.FaultOf(path, text, err)
+		return nil, experiment.DayError(path, text, err)
 	}
 	if f.Day.Routers > 60 {
-		return nil, experiment.Fault(path, text, "day.routers",
+		return nil, experiment.FigureError(path, text, "day.routers",
 			fmt.Sprintf("routers is %d: a machine has room for 60 processes", f.Day.Routers))
 	}
 	if f.AbsentRouters < 0 || f.AbsentRouters > 1000 {
-		return nil, experiment.Fault(path, text, "absent", fmt.Sprintf("absent is %d: 0 to 1000 is possible", f.AbsentRouters))
+		return nil, experiment.FigureError(path, text, "absent", fmt.Sprintf("absent is %d: 0 to 1000 is possible", f.AbsentRouters))
 	}
 	for i, l := range f.PeerListFaults {
 		about := append([]int{l.Router}, l.SwappedRouters...)
@@ -159,26 +159,26 @@
 			about = append(about, *l.Impersonates)
 		}
 		if why := checkNumbers(about, &f.Day); why != "" || len(l.SwappedRouters) != 2 && l.Impersonates == nil {
-			return nil, experiment.Fault(path, text, fmt.Sprintf("list %d: router", i+1),
+			return nil, experiment.FigureError(path, text, fmt.Sprintf("list %d: router", i+1),
 				fmt.Sprintf("list %d: swap needs two routers, or as needs one. %s", i+1, why))
 		}
 	}
 	for i, s := range f.Steps {
 		if figure, what := s.validate(&f.Day); what != "" {
-			return nil, experiment.Fault(path, text, fmt.Sprintf("step %d: %s", i+1, figure), fmt.Sprintf("step %d: %s", i+1, what))
+			return nil, experiment.FigureError(path, text, fmt.Sprintf("step %d: %s", i+1, figure), fmt.Sprintf("step %d: %s", i+1, what))
 		}
 	}
 	if i := slices.IndexFunc(f.Steps, func(s Step) bool { return s.Kind == "release" }); i >= 0 && f.Plan == nil {
-		return nil, experiment.Fault(path, text, fmt.Sprintf("step %d: kind", i+1),
+		return nil, experiment.FigureError(path, text, fmt.Sprintf("step %d: kind", i+1),
 			fmt.Sprintf("step %d: a release step needs a plan in [release]", i+1))
 	}
 	for i, c := range f.Claims {
 		if figure, what := c.validate(&f.Day); what != "" {
-			return nil, experiment.Fault(path, text, fmt.Sprintf("claim %d: %s", i+1, figure), fmt.Sprintf("claim %d: %s", i+1, what))
+			return nil, experiment.FigureError(path, text, fmt.Sprintf("claim %d: %s", i+1, figure), fmt.Sprintf("claim %d: %s", i+1, what))
 		}
 	}
 	if len(f.Claims) == 0 {
-		return nil, experiment.Fault(path, text, "title", "no claim: a drill needs at least one")
+		return nil, experiment.FigureError(path, text, "title", "no claim: a drill needs at least one")
 	}
 	return f, nil
 }
--- a/internal/lab/drill/random.go
+++ b/internal/lab/drill/random.go
@@ -98,7 +98,7 @@
 
 // Encode returns the text of a drill file that Parse reads as the same drill.
 func Encode(f *File) ([]byte, error) {
-	day, err := experiment.Differing(&f.Day)
+	day, err := experiment.ChangedFigures(&f.Day)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -14,8 +14,8 @@
 // Estimate is a mean with the half-width of its 95% confidence interval by Student's t-distribution. The half-width is
 // infinite for a single value.
 type Estimate struct {
-	Mean, Half float64
-	N          int // number of values
+	Mean, HalfWidth float64
+	N               int // number of values
 }
 
 // NewEstimate estimates the mean of the distribution from which the values are drawn.
@@ -28,19 +28,19 @@
 	e := Estimate{mean, math.Inf(1), n}
 	if n > 1 {
 		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}
-		e.Half = t.Quantile(0.975) * deviation / math.Sqrt(float64(n))
+		e.HalfWidth = t.Quantile(0.975) * deviation / math.Sqrt(float64(n))
 	}
 	return e
 }
 
 // Significant reports whether the confidence interval excludes 0.
-func (e Estimate) Significant() bool { return math.Abs(e.Mean) > e.Half }
+func (e Estimate) Significant() bool { return math.Abs(e.Mean) > e.HalfWidth }
 
 func (e Estimate) String() string {
-	if math.IsInf(e.Half, 1) {
+	if math.IsInf(e.HalfWidth, 1) {
 		return fmt.Sprintf("%.4f", e.Mean)
 	}
-	return fmt.Sprintf("%.4f ± %.4f", e.Mean, e.Half)
+	return fmt.Sprintf("%.4f ± %.4f", e.Mean, e.HalfWidth)
 }
 
 // Row holds one figure of one policy at one point of the sweep, in two results that are compared.
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -136,7 +136,7 @@
 func TestWrite(t *testing.T) {
 	for n := range 20 {
 		day := Draw(3, n)
-		text, err := Write("drawn", []string{"ring"}, &day)
+		text, err := Marshal("drawn", []string{"ring"}, &day)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -154,7 +154,7 @@
 
 func TestEstimate(t *testing.T) {
 	e := NewEstimate([]float64{1, 2, 3, 4, 5}) // from a table of Student's t: 3 ± 2.776 * 1.5811 / sqrt(5)
-	if math.Abs(e.Mean-3) > 1e-9 || math.Abs(e.Half-1.963) > 0.001 || !e.Significant() {
+	if math.Abs(e.Mean-3) > 1e-9 || math.Abs(e.HalfWidth-1.963) > 0.001 || !e.Significant() {
 		t.Errorf("got %v", e)
 	}
 	if NewEstimate([]float64{4}).Significant() {
@@ -164,7 +164,7 @@
 
 // A hunt against a policy with a known weakness finds it and simplifies the day.
 func TestHunt(t *testing.T) {
-	h := &Hunt{Policy: "random", Rivals: []string{"ring"}, Margin: 0.1, Seed: 5, Cores: 2, Shrink: 6}
+	h := &Hunt{Policy: "random", Rivals: []string{"ring"}, Margin: 0.1, Seed: 5, Cores: 2, MaxSimplifications: 6}
 	var found []*Finding
 	played, err := h.Run(context.Background(), 2, func(f *Finding) { found = append(found, f) })
 	if err != nil || played != 2 || len(found) != 2 {
@@ -172,8 +172,8 @@
 	}
 	for _, f := range found {
 		drawn := Draw(5, f.Number)
-		if len(f.Day.Faults) > len(drawn.Faults) || f.Day.Length > drawn.Length || f.What == "" {
-			t.Errorf("day %d: %s, %+v", f.Number, f.What, f.Day)
+		if len(f.Day.Faults) > len(drawn.Faults) || f.Day.Length > drawn.Length || f.Reason == "" {
+			t.Errorf("day %d: %s, %+v", f.Number, f.Reason, f.Day)
 		}
 	}
 }
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -95,7 +95,7 @@
 		return nil, f.fault("seeds", fmt.Sprintf("seeds is %d: 1 to 100000 is possible", f.Seeds))
 	}
 	if err := f.Day.Validate(); err != nil {
-		return nil, FaultOf(path, text, err)
+		return nil, DayError(path, text, err)
 	}
 	if len(f.Policies) == 0 {
 		f.Policies = []string{"hoptiller"}
@@ -167,23 +167,23 @@
 	return d.Decode(into)
 }
 
-// Strict decodes a TOML file of the lab into a value. Errors, among them keys that the value has no field for, are of
+// DecodeFile decodes a TOML file of the lab into a value. Errors, among them keys that the value has no field for, are of
 // type *Error.
-func Strict(path string, text []byte, into any) error {
+func DecodeFile(path string, text []byte, into any) error {
 	if err := decodeStrict(text, into); err != nil {
 		return locate(path, err)
 	}
 	return nil
 }
 
-// Fault returns an *Error about a figure of a file, such as "day.fleet.caches" or "step 2: at", at the line that sets it.
-func Fault(path string, text []byte, figure, what string) error {
+// FigureError returns an *Error about a figure of a file, such as "day.fleet.caches" or "step 2: at", at the line that sets it.
+func FigureError(path string, text []byte, figure, what string) error {
 	return &Error{Path: path, Line: lineOf(text, figure), Text: what}
 }
 
-// FaultOf returns an *Error for an error of model.Day.Check, at the line that sets the figure.
-func FaultOf(path string, text []byte, err error) error {
-	return Fault(path, text, "day."+figureOf(err), err.Error())
+// DayError returns an *Error for an error of model.Day.Check, at the line that sets the figure.
+func DayError(path string, text []byte, err error) error {
+	return FigureError(path, text, "day."+figureOf(err), err.Error())
 }
 
 // locate converts an error of the decoder to an *Error with its position in the file.
@@ -210,7 +210,7 @@
 
 // fault returns an *Error about a figure of this file, at the line that sets it.
 func (f *File) fault(name, text string) error {
-	return Fault(f.path, f.text, name, text)
+	return FigureError(f.path, f.text, name, text)
 }
 
 // lineOf returns the number of the line that sets a figure such as "day.fleet.caches" or "day.fault 2: zone", or 0 if no
@@ -371,18 +371,18 @@
 	return false
 }
 
-// Write returns the text of an experiment file with this day. The text has only the figures that differ from
+// Marshal returns the text of an experiment file with this day. The text has only the figures that differ from
 // model.Prairie.
-func Write(title string, policies []string, day *model.Day) ([]byte, error) {
-	changed, err := Differing(day)
+func Marshal(title string, policies []string, day *model.Day) ([]byte, error) {
+	changed, err := ChangedFigures(day)
 	if err != nil {
 		return nil, err
 	}
 	return toml.Marshal(map[string]any{"title": title, "policies": policies, "day": changed})
 }
 
-// Differing returns the figures of a day that differ from model.Prairie, as tables of an experiment file.
-func Differing(day *model.Day) (map[string]any, error) {
+// ChangedFigures returns the figures of a day that differ from model.Prairie, as tables of an experiment file.
+func ChangedFigures(day *model.Day) (map[string]any, error) {
 	base := model.DefaultDay()
 	baseTables, err := tree(&base)
 	if err != nil {
--- a/internal/lab/experiment/hunt.go
+++ b/internal/lab/experiment/hunt.go
@@ -17,19 +17,19 @@
 
 // Hunt searches random days for some on which a policy violates an invariant or scores lower than a rival.
 type Hunt struct {
-	Policy string
-	Rivals []string // policies to compare with; one that violates an invariant on a day is ignored for that day
-	Margin float64  // by which the score of a rival must be higher
-	Seed   uint64   // the same seed gives the same n-th day
-	Cores  int      // number of days played at once
-	Shrink int      // maximum number of simplifications of a finding
+	Policy             string
+	Rivals             []string // policies to compare with; one that violates an invariant on a day is ignored for that day
+	Margin             float64  // by which the score of a rival must be higher
+	Seed               uint64   // the same seed gives the same n-th day
+	Cores              int      // number of days played at once
+	MaxSimplifications int      // maximum number of simplifications of a finding
 }
 
 // Finding is a day on which the policy violates an invariant or scores lower than a rival.
 type Finding struct {
 	Day    model.Day
 	Number int    // of the day, as given to Draw
-	What   string // the invariant or the rival
+	Reason string // the invariant or the rival
 	Ours   *tally.Result
 	Rival  string
 	Theirs float64 // score of the rival
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	if ours.ViolationCount > 0 {
-		return &Finding{Day: day, What: "rule " + ours.Violations[0].Rule, Ours: ours}, nil
+		return &Finding{Day: day, Reason: "rule " + ours.Violations[0].Rule, Ours: ours}, nil
 	}
 	f := &Finding{Day: day, Ours: ours}
 	for _, name := range h.Rivals {
@@ -83,7 +83,7 @@
 			return nil, err
 		}
 		if r.ViolationCount == 0 && r.Score > max(f.Theirs, ours.Score+h.Margin) {
-			f.Rival, f.Theirs, f.What = name, r.Score, "behind "+name
+			f.Rival, f.Theirs, f.Reason = name, r.Score, "behind "+name
 		}
 	}
 	if f.Rival == "" {
@@ -98,7 +98,7 @@
 	if f.Rival != "" {
 		sameRival.Rivals = []string{f.Rival}
 	}
-	for range h.Shrink {
+	for range h.MaxSimplifications {
 		smaller := false
 		for _, day := range smallerDays(f.Day) {
 			if day.Validate() != nil {
@@ -108,7 +108,7 @@
 			if err != nil {
 				return f
 			}
-			if g != nil && g.What == f.What {
+			if g != nil && g.Reason == f.Reason {
 				f, smaller = g, true
 				break
 			}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -220,8 +220,8 @@
 	return sim.Run(ctx, day, p, sim.Options{Series: series})
 }
 
-// Story replays one run and records a trace of one request.
-func (f *File) Story(ctx context.Context, policy string, seed uint64, at map[string]any, s sim.Subject) (*tally.Result, error) {
+// Trace replays one run and records a trace of one request.
+func (f *File) Trace(ctx context.Context, policy string, seed uint64, at map[string]any, s sim.TracedRequest) (*tally.Result, error) {
 	day, err := f.dayAt(at)
 	if err != nil {
 		return nil, err
@@ -231,7 +231,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return sim.Run(ctx, &day, p, sim.Options{Story: &s})
+	return sim.Run(ctx, &day, p, sim.Options{Trace: &s})
 }
 
 // playDay plays a day without an experiment file.
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -54,7 +54,7 @@
 // untilProcessed waits until the fate of n datagrams from the first router has been decided, by the faults set then.
 func untilProcessed(t *testing.T, m *Mesh, to, n int) {
 	t.Helper()
-	testprog.Until(t, "the datagram is taken", func() bool {
+	testprog.Eventually(t, "the datagram is taken", func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		return m.pairs[0][to].processed == n
@@ -187,7 +187,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(testprog.Patience))
+		c.SetDeadline(time.Now().Add(testprog.WaitTimeout))
 		return c
 	}
 	ask := func(c net.Conn, text string) (string, error) {
@@ -222,7 +222,7 @@
 	}
 	w.SetFaults(StreamFaults{Reset: true})
 	if c, err := net.Dial("tcp", w.Addr()); err == nil { // the connection may be reset before or just after it opens
-		c.SetDeadline(time.Now().Add(testprog.Patience))
+		c.SetDeadline(time.Now().Add(testprog.WaitTimeout))
 		if got, err := ask(c, "x"); err == nil {
 			t.Errorf("refused: %q", got)
 		}
--- a/internal/lab/leasesearch/search.go
+++ b/internal/lab/leasesearch/search.go
@@ -38,8 +38,8 @@
 	StartDelay  time.Duration
 	DriftMargin time.Duration
 
-	States int // number of visited states
-	Took   time.Duration
+	States   int // number of visited states
+	Duration time.Duration
 }
 
 // New returns a search of the protocol with a start delay and a drift margin that make it safe.
@@ -61,7 +61,7 @@
 // slot has two holders.
 func (s *Search) Run() error {
 	start := time.Now()
-	defer func() { s.Took = time.Since(start) }()
+	defer func() { s.Duration = time.Since(start) }()
 	root := s.root()
 	visited := map[uint64]bool{root.key(): true}
 	level := []*state{root}
@@ -91,7 +91,7 @@
 // permit, summed over all states, and an error that names the path to the first state in which a slot has two holders.
 func (s *Search) RandomWalks(walks int, seed uint64) (holders int, err error) {
 	start := time.Now()
-	defer func() { s.Took = time.Since(start) }()
+	defer func() { s.Duration = time.Since(start) }()
 	for walk := range walks {
 		rng := rand.New(rand.NewPCG(seed, uint64(walk)))
 		n := s.root()
--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -118,7 +118,7 @@
 	remaining := max(1, time.Until(deadline).Milliseconds())
 	id := strconv.FormatUint(q.id<<attemptBits+uint64(attempt), 16)
 	if class.Write {
-		value := strings.Repeat("v", r.plan.Value)
+		value := strings.Repeat("v", r.plan.ValueSize)
 		_, err := fmt.Fprintf(c, "ms %016x %d O%s Pc=%s,d=%d,k=%x\r\n%s\r\n", q.key, len(value), id, class.Name, remaining, q.id, value)
 		return err
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -34,17 +34,17 @@
 
 // Plan describes the requests of a run.
 type Plan struct {
-	Addrs   []string // of the routers; new connections use them in turn
-	Rate    float64  // requests a second; 0: a closed loop, in which each connection sends one request after the other
-	For     time.Duration
-	Conns   int     // maximum number of connections
-	Keys    int     // number of keys
-	Zipf    float64 // exponent of the Zipf distribution of the keys' popularity
-	Offset  float64 // added to the rank of a key in that distribution
-	Seed    uint64
-	Classes []Class
-	Retries int // maximum number of retries of a refused request, each after the time that the router requests
-	Value   int // size of the value of a write, in bytes
+	Addrs      []string // of the routers; new connections use them in turn
+	Rate       float64  // requests a second; 0: a closed loop, in which each connection sends one request after the other
+	For        time.Duration
+	Conns      int     // maximum number of connections
+	Keys       int     // number of keys
+	Zipf       float64 // exponent of the Zipf distribution of the keys' popularity
+	Offset     float64 // added to the rank of a key in that distribution
+	Seed       uint64
+	Classes    []Class
+	MaxRetries int // maximum number of retries of a refused request, each after the time that the router requests
+	ValueSize  int // size of the value of a write, in bytes
 
 	Progress func(*Report) // called once a second; may be nil
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -52,7 +52,7 @@
 }
 
 func testPlan(addr string) Plan {
-	return Plan{Addrs: []string{addr}, Rate: 200, For: time.Second, Conns: 50, Keys: 10, Zipf: 1, Retries: 2, Value: 2,
+	return Plan{Addrs: []string{addr}, Rate: 200, For: time.Second, Conns: 50, Keys: 10, Zipf: 1, MaxRetries: 2, ValueSize: 2,
 		Classes: []Class{{Name: "read", Share: 1, Aim: 100 * time.Millisecond, Deadline: time.Second, Worth: 1}}}
 }
 
--- a/internal/lab/load/request.go
+++ b/internal/lab/load/request.go
@@ -34,7 +34,7 @@
 	for {
 		var retryAfter time.Duration
 		result, retryAfter = r.attempt(q, retries, deadline)
-		if result != refused || retries >= r.plan.Retries || time.Now().Add(retryAfter).After(deadline) {
+		if result != refused || retries >= r.plan.MaxRetries || time.Now().Add(retryAfter).After(deadline) {
 			break
 		}
 		retries++
--- a/internal/lab/membership/search.go
+++ b/internal/lab/membership/search.go
@@ -25,7 +25,7 @@
 	Corrupt        func(n *State) // corrupts a state before it is checked; for tests
 
 	States, Converged int // number of visited states; number of those from which all views converged
-	Took              time.Duration
+	Duration          time.Duration
 }
 
 // State is one state of the fleet in a search.
@@ -54,7 +54,7 @@
 // Run searches breadth-first. It returns an error that names the path to the first state that violates an invariant.
 func (s *Search) Run() error {
 	start := time.Now()
-	defer func() { s.Took = time.Since(start) }()
+	defer func() { s.Duration = time.Since(start) }()
 	root := s.root()
 	visited := map[uint64]bool{root.key(): true}
 	level := []*State{root}
--- a/internal/lab/plot/sweep.go
+++ b/internal/lab/plot/sweep.go
@@ -80,7 +80,7 @@
 	for _, at := range slices.Sorted(maps.Keys(values)) {
 		estimate := experiment.NewEstimate(values[at])
 		points = append(points, plotter.XY{X: at, Y: estimate.Mean})
-		half := estimate.Half
+		half := estimate.HalfWidth
 		if math.IsInf(half, 0) { // a single seed has no interval
 			half = 0
 		}
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -64,12 +64,12 @@
 	f := &File{Seeds: 1, Processes: 8, Caches: 110, Zones: 15, Regions: 4, Settle: unit.Duration(voterStartDelay),
 		Calm: unit.Duration(15 * time.Second),
 		Cut:  unit.Duration(20 * time.Second), Loss: 0.1, Repetitions: 1}
-	if err := experiment.Strict(path, text, f); err != nil {
+	if err := experiment.DecodeFile(path, text, f); err != nil {
 		return nil, err
 	}
 	f.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	if setting, reason := f.validate(); reason != "" {
-		return nil, experiment.Fault(path, text, setting, reason)
+		return nil, experiment.FigureError(path, text, setting, reason)
 	}
 	return f, nil
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -278,7 +278,7 @@
 	}
 	n.cut.Store(true)
 	send(5)
-	testprog.Until(t, "the datagram counts as sent", func() bool { return n.traffic(0).SentBytes == 5 })
+	testprog.Eventually(t, "the datagram counts as sent", func() bool { return n.traffic(0).SentBytes == 5 })
 	hollow.WriteToUDPAddrPort(make([]byte, 9), processAddr)
 	n.cut.Store(false)
 	send(7)
@@ -294,7 +294,7 @@
 		t.Fatal(err)
 	}
 	send(11)
-	testprog.Until(t, "what the dead are sent counts", func() bool { return n.traffic(0).SentBytes == 23 })
+	testprog.Eventually(t, "what the dead are sent counts", func() bool { return n.traffic(0).SentBytes == 23 })
 	down.close()
 	if got, want := n.traffic(0), (Traffic{3, 23, 1, 3}); got != want {
 		t.Errorf("the process: %+v, want %+v", got, want)
@@ -323,9 +323,9 @@
 		t.Fatal(err)
 	}
 	agreed("start")
-	testprog.Until(t, "all watch discovery", func() bool { return f.discovery.openWatches.Load() == 8 })
+	testprog.Eventually(t, "all watch discovery", func() bool { return f.discovery.openWatches.Load() == 8 })
 	f.setCut(true)
-	testprog.Until(t, "each half takes the other for dead", func() bool { return f.hollow[0].current.peers.Summary().Dead == 4 })
+	testprog.Eventually(t, "each half takes the other for dead", func() bool { return f.hollow[0].current.peers.Summary().Dead == 4 })
 	f.setCut(false)
 	agreed("healed")
 	if err := f.crash([]int{3}); err != nil {
@@ -336,7 +336,7 @@
 		t.Errorf("traffic %+v", sum)
 	}
 	f.close()
-	testprog.Until(t, "no watch of discovery is left", func() bool { return f.discovery.openWatches.Load() == 0 })
+	testprog.Eventually(t, "no watch of discovery is left", func() bool { return f.discovery.openWatches.Load() == 0 })
 }
 
 // A run that is interrupted ends the processes that it has started.
@@ -354,7 +354,7 @@
 		ended <- err
 	}()
 	var text []byte
-	testprog.Until(t, "the process runs", func() (ok bool) {
+	testprog.Eventually(t, "the process runs", func() (ok bool) {
 		text, _ = os.ReadFile(pidFile)
 		return len(text) > 0
 	})
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -93,7 +93,7 @@
 
 // trace adds a line to the trace if this request is the one to be traced.
 func (r *router) trace(id uint32, format string, args ...any) {
-	if s := r.tier.opt.Story; s != nil && s.Router == r.index && s.Request == id {
+	if s := r.tier.opt.Trace; s != nil && s.Router == r.index && s.Request == id {
 		r.tier.traceLines = append(r.tier.traceLines, fmt.Sprintf("%12v  ", r.tier.World.Now())+fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -36,12 +36,12 @@
 
 // Options selects what is recorded of a run beyond its totals.
 type Options struct {
-	Series bool     // record time series with one value a second, in Result.Series
-	Story  *Subject // record a trace of one request, in Result.Story; nil: of none
+	Series bool           // record time series with one value a second, in Result.Series
+	Trace  *TracedRequest // record a trace of one request, in Result.Story; nil: of none
 }
 
-// Subject names the request of a router that is to be traced.
-type Subject struct {
+// TracedRequest names the request of a router that is to be traced.
+type TracedRequest struct {
 	Router  int
 	Request uint32
 }
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -54,7 +54,7 @@
 			g.Add(1)
 			run := func() {
 				defer g.Done()
-				r, err := Run(context.Background(), day(), policy, Options{Series: true, Story: &Subject{1, 40}})
+				r, err := Run(context.Background(), day(), policy, Options{Series: true, Trace: &TracedRequest{1, 40}})
 				if err != nil {
 					t.Error(err)
 					return
@@ -355,7 +355,7 @@
 }
 
 func TestTrace(t *testing.T) {
-	r := runDay(t, shortDay(), Hoptiller, Options{Story: &Subject{0, 7}})
+	r := runDay(t, shortDay(), Hoptiller, Options{Trace: &TracedRequest{0, 7}})
 	if len(r.Trace) < 4 || !bytes.Contains([]byte(r.Trace[len(r.Trace)-1]), []byte("final answer")) {
 		t.Errorf("trace %q", r.Trace)
 	}
--- a/internal/lab/speed/speed.go
+++ b/internal/lab/speed/speed.go
@@ -148,7 +148,7 @@
 
 // loadPlan returns the load of one measurement; a rate of 0 measures the maximum throughput.
 func loadPlan(addr string, opt Options, rate float64) load.Plan {
-	return load.Plan{Addrs: []string{addr}, Rate: rate, For: opt.For, Conns: opt.Conns, Keys: 1000, Zipf: 0.5, Seed: 1, Value: 2,
+	return load.Plan{Addrs: []string{addr}, Rate: rate, For: opt.For, Conns: opt.Conns, Keys: 1000, Zipf: 0.5, Seed: 1, ValueSize: 2,
 		Classes: []load.Class{{Name: "slot-view", Share: 1, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}}}
 }
 
--- a/internal/lab/standin/long_answers_test.go
+++ b/internal/lab/standin/long_answers_test.go
@@ -64,7 +64,7 @@
 	defer process.Wait()
 	defer process.Process.Kill()
 	addr := gjson.GetBytes(text, "listen").String()
-	testprog.Until(t, "the router listens", func() bool {
+	testprog.Eventually(t, "the router listens", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			c.Close()
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -140,7 +140,7 @@
 					return
 				}
 				defer second.Close()
-				second.SetDeadline(time.Now().Add(testprog.Patience))
+				second.SetDeadline(time.Now().Add(testprog.WaitTimeout))
 				fmt.Fprint(second, "mg 00000000000000aa v O77 Pc=slot-view,d=800\r\n")
 				if test.late {
 					time.Sleep(overlap)
@@ -217,7 +217,7 @@
 					return
 				}
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(testprog.Patience))
+				c.SetDeadline(time.Now().Add(testprog.WaitTimeout))
 				fmt.Fprintf(c, "mg 00000000000000aa v O%s Pc=slot-view,d=1000\r\nmg 00000000000000bb v Offff Pc=slot-view,d=1000\r\n",
 					request.id)
 				answers := bufio.NewReader(c)
@@ -333,7 +333,7 @@
 				go func() {
 					defer close(restarted)
 					next(c, n)
-					testprog.Until(t, "the next process", func() bool {
+					testprog.Eventually(t, "the next process", func() bool {
 						e.mu.Lock()
 						defer e.mu.Unlock()
 						return n.incarnation > incarnation && n.process.Load() != nil
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -36,7 +36,7 @@
 		fmt.Fprintf(w, "event %d\n", i)
 	}
 	close(out.resume)
-	testprog.Until(t, "the queue is empty", func() bool { return len(w.events) == 0 })
+	testprog.Eventually(t, "the queue is empty", func() bool { return len(w.events) == 0 })
 	w.Close()
 	text := out.written.String()
 	if !strings.HasPrefix(text, "first\n") || !strings.Contains(text, fmt.Sprintf("event %d\n", maxQueuedEvents-1)) {
--- a/internal/origin/crossing_test.go
+++ b/internal/origin/crossing_test.go
@@ -43,7 +43,7 @@
 
 // call makes a call and returns its status and the value or receipt.
 func call(t *testing.T, p *upstream.Pool, req *relay.Request) (status hoptiller.Status, value string) {
-	ctx, cancel := context.WithTimeout(t.Context(), testprog.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testprog.WaitTimeout)
 	defer cancel()
 	r := p.Call(ctx, ctx, 1, req)
 	value = string(r.Data)
@@ -91,7 +91,7 @@
 			if c.reset {
 				go func() {
 					defer close(acquired)
-					testprog.Until(t, "memory is acquired for the value", func() bool {
+					testprog.Eventually(t, "memory is acquired for the value", func() bool {
 						free := memory.TryAcquire(1)
 						if free {
 							memory.Release(1)
--- a/internal/testprog/serve.go
+++ b/internal/testprog/serve.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(Patience))
+		conn.SetDeadline(time.Now().Add(WaitTimeout))
 		t.Cleanup(func() { conn.Close() })
 		return conn
 	}
--- a/internal/upstream/answer_rest_test.go
+++ b/internal/upstream/answer_rest_test.go
@@ -29,7 +29,7 @@
 	pause := time.NewTimer(2 * maxAnswerGap)
 	<-pause.C
 	fmt.Fprint(server, "2\r\n")
-	testprog.Until(t, "the rest has arrived", func() bool { return !c.reader.Quiet() })
+	testprog.Eventually(t, "the rest has arrived", func() bool { return !c.reader.Quiet() })
 	p.mu.Unlock()
 	if r := testprog.Await(t, pending[1].result, "second answer"); r.Status != hoptiller.Miss {
 		t.Errorf("the second call ended with status %d", r.Status)
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -30,7 +30,7 @@
 
 // lateServer returns a pool that knows one server, to which connections are established only once listen is called.
 func lateServer(t *testing.T) (p *Pool, listen func() net.Listener) {
-	addr, listen := testprog.Late(t)
+	addr, listen := testprog.ListenWithFullQueue(t)
 	p = New(Settings{CallsPerConn: 4, MaxConnsPerServer: 4, MaxCallsPerConn: 100, ConnectTimeout: 20 * time.Second}, Meta{})
 	p.Update(listEntry(addr, hoptiller.Ready), false)
 	t.Cleanup(p.Close)
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { server.Close() })
-	server.SetDeadline(time.Now().Add(testprog.Patience))
+	server.SetDeadline(time.Now().Add(testprog.WaitTimeout))
 	reader, err := buffer.NewReader(nc)
 	if err != nil {
 		t.Fatal(err)
@@ -125,7 +125,7 @@
 			if err := disturb(server.(*net.TCPConn)); err != nil {
 				t.Fatal(err)
 			}
-			testprog.Until(t, "the end or the bytes have arrived", func() bool { return !c.reader.Quiet() })
+			testprog.Eventually(t, "the end or the bytes have arrived", func() bool { return !c.reader.Quiet() })
 			sent, status := c.send(t.Context(), t.Context(), &pendingCall{req: readRequest("01"), result: make(chan relay.Result, 1)})
 			if sent || status != hoptiller.OK || !c.closed || p.connCount != 0 {
 				t.Errorf("sent %v, status %d, closed %v, %d connections", sent, status, c.closed, p.connCount)
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	// After that readLoop waits for p.mu. Until then the final check sees the bytes.
-	testprog.Until(t, "the answer has been read", func() bool {
+	testprog.Eventually(t, "the answer has been read", func() bool {
 		return !c.reader.Quiet() && !c.reader.MoreArrived()
 	})
 	call := &pendingCall{req: readRequest("01"), result: make(chan relay.Result, 1), sentAt: time.Now()}
--- a/internal/upstream/dial_timeout_test.go
+++ b/internal/upstream/dial_timeout_test.go
@@ -13,7 +13,7 @@
 // call ends with ConnectFailed, and nothing remains of the connection.
 func TestDialTimeout(t *testing.T) {
 	t.Parallel()
-	addr, _ := testprog.Late(t)
+	addr, _ := testprog.ListenWithFullQueue(t)
 	p := New(Settings{CallsPerConn: 4, MaxConnsPerServer: 4, MaxCallsPerConn: 100, ConnectTimeout: 50 * time.Millisecond}, Meta{})
 	t.Cleanup(p.Close)
 	p.Update(listEntry(addr, hoptiller.Ready), false)
--- a/internal/upstream/final_check_test.go
+++ b/internal/upstream/final_check_test.go
@@ -36,7 +36,7 @@
 	sent := 0
 	p.settings.AttemptSent = func() { sent++ }
 	req := &relay.Request{Key: []byte("k"), ID: []byte("01"), Facts: []byte("c=read,d=9"), Disconnected: disconnected.Load}
-	ctx, cancel := context.WithTimeout(t.Context(), testprog.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testprog.WaitTimeout)
 	defer cancel()
 	if r := p.Call(ctx, ctx, 1, req); r.Status != hoptiller.NotSent || sent > 0 {
 		t.Errorf("status %v, %d calls were sent", r.Status, sent)
@@ -132,7 +132,7 @@
 
 // callContext returns a context that leaves enough time for a call.
 func callContext(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(t.Context(), testprog.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testprog.WaitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -274,7 +274,7 @@
 // until waits until the server reaches a state that the calls in progress bring about.
 func until(t *testing.T, p *Pool, what string, ok func(*server) bool) {
 	t.Helper()
-	testprog.Until(t, what, func() bool {
+	testprog.Eventually(t, what, func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return ok(p.servers[1])
@@ -328,7 +328,7 @@
 		return len(s.conns) == 3 && inFlight == 3
 	})
 	for range 3 {
-		testprog.Give(t, release, true, "the signal to answer")
+		testprog.Send(t, release, true, "the signal to answer")
 	}
 	for range 3 {
 		testprog.Await(t, called, "answer")
@@ -395,7 +395,7 @@
 	})
 	reports := make(chan bool, 10)
 	p.settings.Observed = func(id uint32, up bool) { reports <- up }
-	ctx, cancel := context.WithTimeout(context.Background(), testprog.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testprog.WaitTimeout)
 	defer cancel()
 	call := func(wantDown bool) {
 		isDown.Store(wantDown)
--- a/internal/upstream/stalled_answer_test.go
+++ b/internal/upstream/stalled_answer_test.go
@@ -35,10 +35,10 @@
 					answer("EN O01\r\n")(conn, r)
 				}
 			})
-			ctx, cancel := context.WithTimeout(t.Context(), testprog.Patience)
+			ctx, cancel := context.WithTimeout(t.Context(), testprog.WaitTimeout)
 			defer cancel()
 			began := time.Now()
-			if r := p.Call(ctx, ctx, 1, exampleRead); r.Status != hoptiller.ServerError || time.Since(began) > testprog.Patience/2 {
+			if r := p.Call(ctx, ctx, 1, exampleRead); r.Status != hoptiller.ServerError || time.Since(began) > testprog.WaitTimeout/2 {
 				t.Errorf("status %d after %v", r.Status, time.Since(began))
 			}
 			if r := p.Call(ctx, ctx, 1, exampleRead); r.Status != hoptiller.Miss {
--- a/internal/upstream/stream_body_test.go
+++ b/internal/upstream/stream_body_test.go
@@ -51,7 +51,7 @@
 		behind <- p.Call(ctx, ctx, 1, &relay.Request{Key: []byte("k"), ID: []byte("02"), Facts: []byte("c=read")})
 	}()
 	until(t, p, "two calls on the connection", func(s *server) bool { return len(s.conns[0].pending) == 2 })
-	testprog.Give(t, begin, true, "the signal to answer")
+	testprog.Send(t, begin, true, "the signal to answer")
 	r := testprog.Await(t, results, "head of the value")
 	if r.Body == nil {
 		t.Fatalf("%+v", r)
