--- a/Makefile
+++ b/Makefile
@@ -20,7 +20,7 @@
 	go test -fuzz FuzzLoad -fuzztime 30s ./internal/plan
 	go test -fuzz FuzzReceive -fuzztime 30s ./internal/fleet/view
 	go test -fuzz FuzzParse -fuzztime 30s ./internal/fleet/permit
-	go test -fuzz FuzzParse -fuzztime 30s ./internal/fleet/notes
+	go test -fuzz FuzzParse -fuzztime 30s ./internal/fleet/leases
 	go test -fuzz FuzzReader -fuzztime 30s ./internal/wire
 
 drills: build
--- a/cmd/hoplab/lab.go
+++ b/cmd/hoplab/lab.go
@@ -19,9 +19,9 @@
 	"hoptiller/internal/lab/model"
 	"hoptiller/internal/lab/plot"
 	"hoptiller/internal/lab/rival"
+	"hoptiller/internal/lab/scoring"
 	"hoptiller/internal/lab/sim"
 	"hoptiller/internal/lab/standin"
-	"hoptiller/internal/lab/tally"
 )
 
 // runCmd runs an experiment.
@@ -44,7 +44,7 @@
 		return fmt.Errorf("the router's program: %w", err)
 	}
 	f.Policies, c.Cores = []string{"hoptiller"}, 1
-	f.Engine = func(ctx context.Context, day *model.Day, _ string, series bool) (*tally.Result, error) {
+	f.Engine = func(ctx context.Context, day *model.Day, _ string, series bool) (*scoring.Result, error) {
 		return standin.Run(ctx, day, standin.Options{Router: c.Router, Series: series, Log: os.Stderr})
 	}
 	return nil
--- a/cmd/hoplab/sockets.go
+++ b/cmd/hoplab/sockets.go
@@ -13,9 +13,9 @@
 	"hoptiller/internal/lab/experiment"
 	"hoptiller/internal/lab/load"
 	"hoptiller/internal/lab/model"
+	"hoptiller/internal/lab/scoring"
 	"hoptiller/internal/lab/speed"
 	"hoptiller/internal/lab/standin"
-	"hoptiller/internal/lab/tally"
 	"hoptiller/internal/unit"
 )
 
@@ -73,7 +73,7 @@
 		c.Caches, c.Routers, c.For, c.Level, c.Fault)
 	fmt.Println("      s  asked  within aim  refused  fetches  caches up")
 	r, err := standin.Run(ctx, &day, standin.Options{Router: c.Router, Log: log, Progress: func(now time.Duration, w *model.World,
-		t *tally.Scorer) {
+		t *scoring.Scorer) {
 		second := int((now-day.WarmUp.Std())/time.Second) - 2 // requests sent two seconds ago have been answered
 		stats, ok := t.Second(second)
 		if !ok {
--- a/cmd/hoptiller/calls.go
+++ b/cmd/hoptiller/calls.go
@@ -12,7 +12,7 @@
 	"hoptiller"
 	"hoptiller/internal/admin"
 	"hoptiller/internal/discovery"
-	"hoptiller/internal/fleet/notes"
+	"hoptiller/internal/fleet/leases"
 	"hoptiller/internal/fleet/peers"
 	"hoptiller/internal/front"
 	"hoptiller/internal/lifecycle"
@@ -106,14 +106,14 @@
 
 // errorStatus returns the HTTP status for an error.
 func errorStatus(err error) int {
-	var takenErr *notes.AlreadyManagedError
+	var takenErr *leases.AlreadyManagedError
 	var runsErr *peers.ReleaseRunningError
 	switch {
-	case errors.Is(err, peers.ErrUnknownCache), errors.Is(err, notes.ErrNotFound):
+	case errors.Is(err, peers.ErrUnknownCache), errors.Is(err, leases.ErrNotFound):
 		return http.StatusNotFound
 	case errors.Is(err, peers.ErrReleaseEnded):
 		return http.StatusGone
-	case errors.As(err, &takenErr), errors.As(err, &runsErr), errors.Is(err, notes.ErrFull):
+	case errors.As(err, &takenErr), errors.As(err, &runsErr), errors.Is(err, leases.ErrFull):
 		return http.StatusConflict
 	}
 	return http.StatusBadRequest
--- a/internal/fleet/notes/many_leases_test.go
+++ b/internal/fleet/leases/many_leases_test.go
@@ -1,4 +1,4 @@
-package notes
+package leases
 
 import (
 	"errors"
--- a/internal/fleet/notes/store.go
+++ b/internal/fleet/leases/store.go
@@ -1,4 +1,4 @@
-// Package notes spreads leases through the fleet: records that one router announces and all routers must know, such as that a
+// Package leases spreads leases through the fleet: records that one router announces and all routers must know, such as that a
 // slot cache is out of service or that a release runs. A lease expires by itself: no router needs to be told that it has
 // ended, and nothing of it is left ten seconds after the last announcement.
 //
@@ -8,7 +8,7 @@
 // therefore believes a lease for longer than its owner holds the permit.
 //
 // The package does no I/O and reads no clock.
-package notes
+package leases
 
 import (
 	"cmp"
--- a/internal/fleet/peers/drains.go
+++ b/internal/fleet/peers/drains.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"hoptiller/internal/fleet/drains"
-	"hoptiller/internal/fleet/notes"
+	"hoptiller/internal/fleet/leases"
 	"hoptiller/internal/fleet/permit"
 )
 
@@ -59,12 +59,12 @@
 	now := p.now()
 	current := map[uint32]drains.Drain{}
 	for _, lease := range p.leases.All(now) {
-		if lease.Kind == notes.KindRelease && int(lease.Owner) != p.releaseOwner {
+		if lease.Kind == leases.KindRelease && int(lease.Owner) != p.releaseOwner {
 			// The release has a new owner, which has not heard from the driver yet. Because the driver may still be running,
 			// its DriverTimeout starts anew.
 			p.releaseOwner, p.driverHeardAt = int(lease.Owner), now
 		}
-		if lease.Kind != notes.KindCache {
+		if lease.Kind != leases.KindCache {
 			continue
 		}
 		d := decodeDrain(lease.Body)
@@ -112,7 +112,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.flush()
-	key := notes.Key{Kind: notes.KindCache, ID: server.ID}
+	key := leases.Key{Kind: leases.KindCache, ID: server.ID}
 	return p.leases.Acquire(p.now(), key, p.settings.Agent.CacheGroups(server.Zone),
 		encodeDrain(drains.Drain{Duration: rampTime}), maxDuration)
 }
@@ -123,7 +123,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.flush()
-	key := notes.Key{Kind: notes.KindCache, ID: server.ID}
+	key := leases.Key{Kind: leases.KindCache, ID: server.ID}
 	if !listed { // the slot cache may still be drained
 		key.ID = 0
 		for id, logged := range p.loggedDrains {
@@ -141,15 +141,15 @@
 // reportDrains returns the drained slot caches for a Report. The caller holds p.mu.
 func (p *Peers) reportDrains() (list []CacheDrain) {
 	now := p.now()
-	granted := map[notes.Key]bool{}
+	granted := map[leases.Key]bool{}
 	for _, lease := range p.leases.All(now) {
-		if lease.Kind == notes.KindCache {
+		if lease.Kind == leases.KindCache {
 			granted[lease.Key] = true
 			list = append(list, CacheDrain{Cache: p.cacheName(lease.ID), State: "out", Router: int(lease.Owner), EndsInSeconds: lease.EndsIn.Seconds()})
 		}
 	}
 	for _, key := range p.leases.ManagedKeys() {
-		if key.Kind == notes.KindCache && !granted[key] {
+		if key.Kind == leases.KindCache && !granted[key] {
 			_, reason := p.leases.Status(now, key)
 			list = append(list, CacheDrain{Cache: p.cacheName(key.ID), State: "asking", Reason: reason, Router: p.settings.Self,
 				EndsInSeconds: p.leases.EndsIn(now, key).Seconds()})
@@ -159,7 +159,7 @@
 }
 
 // releaseKey is the key of the fleet's release. There is one release at a time.
-var releaseKey = notes.Key{Kind: notes.KindRelease, ID: 1}
+var releaseKey = leases.Key{Kind: leases.KindRelease, ID: 1}
 
 const (
 	// DriverTimeout is the time after which the driver of a release counts as gone if the router that owns the release has
@@ -233,7 +233,7 @@
 		if lease, _, ok := p.leases.Get(now, releaseKey); ok && lease.Ended {
 			return RunningRelease{}, ErrReleaseEnded
 		}
-		return RunningRelease{}, notes.ErrNotFound
+		return RunningRelease{}, leases.ErrNotFound
 	case !known:
 		if err := p.leases.Acquire(now, releaseKey, []uint16{permit.GroupReleases}, body, releaseDuration); err != nil {
 			return RunningRelease{}, err
@@ -258,7 +258,7 @@
 	defer p.mu.Unlock()
 	defer p.flush()
 	if running, known := p.runningRelease(); !known || running.ID != id {
-		return notes.ErrNotFound
+		return leases.ErrNotFound
 	}
 	return p.leases.End(p.now(), releaseKey)
 }
--- a/internal/fleet/peers/drains_test.go
+++ b/internal/fleet/peers/drains_test.go
@@ -7,7 +7,7 @@
 
 	"hoptiller"
 	"hoptiller/internal/fleet/drains"
-	"hoptiller/internal/fleet/notes"
+	"hoptiller/internal/fleet/leases"
 	"hoptiller/internal/fleet/permit"
 	"hoptiller/internal/fleet/view"
 	"hoptiller/internal/relay"
@@ -55,7 +55,7 @@
 	if _, err := p.DriveRelease("x", "", "", false); err == nil {
 		t.Error("a driver without a name was accepted")
 	}
-	if _, err := p.DriveRelease("x", "a", "begins", true); !errors.Is(err, notes.ErrNotFound) {
+	if _, err := p.DriveRelease("x", "a", "begins", true); !errors.Is(err, leases.ErrNotFound) {
 		t.Errorf("continued a release that nobody has started: %v", err)
 	}
 	if r, err := p.DriveRelease("x", "a", "begins", false); err != nil || r.State != "asking" {
@@ -82,7 +82,7 @@
 	if r, err := p.DriveRelease("x", "b", "forth 1/2", false); err != nil || r.Driver != "b" {
 		t.Errorf("the next driver: %+v, %v", r, err)
 	}
-	if err := p.EndRelease("y"); !errors.Is(err, notes.ErrNotFound) {
+	if err := p.EndRelease("y"); !errors.Is(err, leases.ErrNotFound) {
 		t.Errorf("ended another release: %v", err)
 	}
 	if err := p.EndRelease("x"); err != nil {
@@ -99,7 +99,7 @@
 	if err := p.DrainCache("s-1", time.Hour, 0); !errors.Is(err, ErrUnknownCache) {
 		t.Errorf("drained a slot cache that is not listed: %v", err)
 	}
-	if err := p.ActivateCache("s-00000010"); !errors.Is(err, notes.ErrNotFound) {
+	if err := p.ActivateCache("s-00000010"); !errors.Is(err, leases.ErrNotFound) {
 		t.Errorf("activated a slot cache that is not drained: %v", err)
 	}
 	if err := p.DrainCache("s-00000010", time.Hour, 0); err != nil {
@@ -113,7 +113,7 @@
 	if d := p.Report().Drains; len(d) != 1 || d[0].State != "out" || d[0].Cache != "s-00000010" || !p.settings.Drains.IsDrained(0x10) {
 		t.Errorf("%+v", d)
 	}
-	var taken *notes.AlreadyManagedError
+	var taken *leases.AlreadyManagedError
 	if err := p.DrainCache("s-00000010", time.Hour, 0); !errors.As(err, &taken) {
 		t.Errorf("drained twice: %v", err)
 	}
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -17,7 +17,7 @@
 
 	"hoptiller"
 	"hoptiller/internal/fleet/drains"
-	"hoptiller/internal/fleet/notes"
+	"hoptiller/internal/fleet/leases"
 	"hoptiller/internal/fleet/permit"
 	"hoptiller/internal/fleet/view"
 )
@@ -69,7 +69,7 @@
 	serviceMu    sync.Mutex // held while this router goes out of service or returns; locked before mu
 	outOfService bool       // this router is out of service by its permit
 
-	leases        *notes.Manager          // nil without Agent
+	leases        *leases.Manager         // nil without Agent
 	loggedDrains  map[uint32]*loggedDrain // by slot cache
 	driverHeardAt time.Duration           // when the driver of the release last called this router
 	releaseOwner  int                     // the router that this one knows as the owner of the release's lease; -1 if none
@@ -115,7 +115,7 @@
 	if settings.Agent != nil {
 		settings.Agent.ObserveFleet = p.fleetState
 		settings.Agent.Start(0)
-		p.leases = notes.NewManager(0, settings.Agent)
+		p.leases = leases.NewManager(0, settings.Agent)
 	}
 	p.view = view.New(view.Config{Self: settings.Self, RouterCount: len(settings.Addrs), Start: p.startTime, Seed: settings.Seed, Now: 0})
 	return p, nil
@@ -209,7 +209,7 @@
 	switch {
 	case len(b) > 0 && b[0] == permit.Version && p.settings.Agent != nil:
 		p.settings.Agent.Receive(p.now(), from, b)
-	case len(b) > 0 && b[0] == notes.Version && p.settings.Agent != nil:
+	case len(b) > 0 && b[0] == leases.Version && p.settings.Agent != nil:
 		p.leases.Receive(p.now(), from, b)
 		p.leases.Store.Tick(p.now()) // passes on new leases at once
 	default:
--- a/internal/fleet/rollout/driver_test.go
+++ b/internal/fleet/rollout/driver_test.go
@@ -13,7 +13,7 @@
 	"strings"
 	"testing"
 
-	"hoptiller/internal/fleet/notes"
+	"hoptiller/internal/fleet/leases"
 	"hoptiller/internal/fleet/peers"
 	"hoptiller/internal/fleet/release"
 	"hoptiller/internal/plan"
@@ -213,7 +213,7 @@
 // caches as a fleet can have.
 func TestHoldLease(t *testing.T) {
 	fleetLeases := peers.FleetLeases{Release: &peers.RunningRelease{ID: "x", State: "held"}}
-	for range notes.MaxLeases {
+	for range leases.MaxLeases {
 		fleetLeases.Drains = append(fleetLeases.Drains, peers.CacheDrain{Cache: "s-98cf084c", State: "asking",
 			Reason: "held by another: slot cache s-b0caaea8 has place 0"})
 	}
--- a/internal/lab/drill/check.go
+++ b/internal/lab/drill/check.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"hoptiller/internal/fleet/permit"
-	"hoptiller/internal/lab/tally"
+	"hoptiller/internal/lab/scoring"
 )
 
 // Verdict is the result of checking a claim: whether it holds and why.
@@ -22,7 +22,7 @@
 const serviceSeconds = 5
 
 // checkClaims checks all claims of a drill against its events and its result.
-func checkClaims(f *File, events []Event, result *tally.Result) (all []Verdict) {
+func checkClaims(f *File, events []Event, result *scoring.Result) (all []Verdict) {
 	for _, c := range f.Claims {
 		reason := ""
 		var holds bool
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/rules"
-	"hoptiller/internal/lab/tally"
+	"hoptiller/internal/lab/scoring"
 	"hoptiller/internal/testprog"
 )
 
@@ -135,16 +135,16 @@
 		return []Event{{At: 6, Uncertainty: 0.1, Source: "view", Router: 1, Text: first},
 			{At: 6, Uncertainty: 0.1, Source: "view", Router: 2, Text: second}}
 	}
-	goodResult := &tally.Result{Series: &tally.Series{Service: []float64{1, 1, 0, 0, 0, 0.9, 0.95, 1, 1, 1, 1}}}
+	goodResult := &scoring.Result{Series: &scoring.Series{Service: []float64{1, 1, 0, 0, 0, 0.9, 0.95, 1, 1, 1, 1}}}
 	byTime := func(a, b Event) int { return cmp.Compare(a.At, b.At) }
 	for name, c := range map[string]struct {
 		claim  Claim
 		events []Event
-		result *tally.Result
+		result *scoring.Result
 		holds  bool
 	}{
 		"no violations":                    {Claim{Kind: "rules"}, nil, goodResult, true},
-		"a violation":                      {Claim{Kind: "rules"}, nil, &tally.Result{ViolationCount: 1, Violations: []rules.Violation{{Rule: "drain"}}}, false},
+		"a violation":                      {Claim{Kind: "rules"}, nil, &scoring.Result{ViolationCount: 1, Violations: []invariants.Violation{{Rule: "drain"}}}, false},
 		"all alive":                        {Claim{Kind: "alive"}, bothReady, goodResult, true},
 		"a process ended by itself":        {Claim{Kind: "alive"}, append(bothReady, Event{At: 4, Source: "watch", Router: 1, Text: unexpectedEndPrefix + "exit status 2"}), goodResult, false},
 		"line never logged":                {Claim{Kind: "never", Pattern: "panic"}, []Event{{Source: "drill", Text: "panic"}}, goodResult, true},
@@ -185,15 +185,15 @@
 		"view matches at both":             {Claim{Kind: "viewed", Pattern: "; s-1 back", Within: seconds(2)}, views("a alive alive; s-1 back", "a alive alive; s-1 back"), goodResult, true},
 		"view matches at one":              {Claim{Kind: "viewed", Pattern: "; s-1 back", Within: seconds(2)}, views("a alive alive; s-1 back", "a alive alive"), goodResult, false},
 		"one is never ready":               {Claim{Kind: "ready", Within: seconds(1)}, bothReady[:1], goodResult, false},
-		"unserved at the limit":            {Claim{Kind: "unserved", MaxShare: 0.4}, nil, &tally.Result{Unserved: tally.Unserved{Refused: 0.1, Failed: 0.1, Late: 0.1, Lost: 0.05, Unanswered: 0.05, Disconnected: 0.3, NoRouter: 0.3}}, true},
-		"no overload collapse":             {Claim{Kind: "stands"}, nil, &tally.Result{}, true},
-		"an overload collapse":             {Claim{Kind: "stands"}, nil, &tally.Result{Collapses: 1}, false},
-		"unexplained at the limit":         {Claim{Kind: "unexplained", MaxShare: 0.02}, nil, &tally.Result{Unexplained: 0.02}, true},
-		"unexplained over the limit":       {Claim{Kind: "unexplained", MaxShare: 0.02}, nil, &tally.Result{Unexplained: 0.0201}, false},
-		"unserved over the limit":          {Claim{Kind: "unserved", MaxShare: 0.4}, nil, &tally.Result{Unserved: tally.Unserved{Refused: 0.1, Failed: 0.1, Late: 0.1, Lost: 0.05, Unanswered: 0.051}}, false},
+		"unserved at the limit":            {Claim{Kind: "unserved", MaxShare: 0.4}, nil, &scoring.Result{Unserved: scoring.Unserved{Refused: 0.1, Failed: 0.1, Late: 0.1, Lost: 0.05, Unanswered: 0.05, Disconnected: 0.3, NoRouter: 0.3}}, true},
+		"no overload collapse":             {Claim{Kind: "stands"}, nil, &scoring.Result{}, true},
+		"an overload collapse":             {Claim{Kind: "stands"}, nil, &scoring.Result{Collapses: 1}, false},
+		"unexplained at the limit":         {Claim{Kind: "unexplained", MaxShare: 0.02}, nil, &scoring.Result{Unexplained: 0.02}, true},
+		"unexplained over the limit":       {Claim{Kind: "unexplained", MaxShare: 0.02}, nil, &scoring.Result{Unexplained: 0.0201}, false},
+		"unserved over the limit":          {Claim{Kind: "unserved", MaxShare: 0.4}, nil, &scoring.Result{Unserved: scoring.Unserved{Refused: 0.1, Failed: 0.1, Late: 0.1, Lost: 0.05, Unanswered: 0.051}}, false},
 		"service recovers":                 {Claim{Kind: "service", MinService: 0.9, Within: seconds(1)}, nil, goodResult, true},
 		"service recovers too late":        {Claim{Kind: "service", MinService: 0.94, Within: seconds(0.5)}, nil, goodResult, false},
-		"service never recovers":           {Claim{Kind: "service", MinService: 0.9, Within: seconds(9)}, nil, &tally.Result{Series: &tally.Series{Service: []float64{1, 1, 1, 1, 1, 1, 0.5, 1, 1, 1, 1}}}, false},
+		"service never recovers":           {Claim{Kind: "service", MinService: 0.9, Within: seconds(9)}, nil, &scoring.Result{Series: &scoring.Series{Service: []float64{1, 1, 1, 1, 1, 1, 0.5, 1, 1, 1, 1}}}, false},
 	} {
 		f.Claims = []Claim{c.claim}
 		slices.SortStableFunc(c.events, byTime)
--- a/internal/lab/drill/play.go
+++ b/internal/lab/drill/play.go
@@ -19,8 +19,8 @@
 	"hoptiller/internal/lab/arrival"
 	"hoptiller/internal/lab/faultproxy"
 	"hoptiller/internal/lab/loopback"
+	"hoptiller/internal/lab/scoring"
 	"hoptiller/internal/lab/standin"
-	"hoptiller/internal/lab/tally"
 )
 
 // Options configures how a drill is played.
@@ -36,7 +36,7 @@
 	Verdicts []Verdict
 	Events   []Event
 	Lag      time.Duration // the longest time by which the machine delayed the drill's own process
-	Result   *tally.Result
+	Result   *scoring.Result
 }
 
 // maxLag is the largest lag with which verdicts count. With a larger one the machine may have paused a router for as long,
--- a/internal/lab/experiment/hunt.go
+++ b/internal/lab/experiment/hunt.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/tally"
+	"hoptiller/internal/lab/scoring"
 	"hoptiller/internal/unit"
 )
 
@@ -30,7 +30,7 @@
 	Day    model.Day
 	Number int    // of the day, as given to Draw
 	Reason string // the invariant or the rival
-	Ours   *tally.Result
+	Ours   *scoring.Result
 	Rival  string
 	Theirs float64 // score of the rival
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"hoptiller/internal/lab/model"
+	"hoptiller/internal/lab/scoring"
 	"hoptiller/internal/lab/sim"
-	"hoptiller/internal/lab/tally"
 )
 
 // Record is the result of one run.
@@ -27,7 +27,7 @@
 	Policy     string         `json:"policy"`
 	Seed       uint64         `json:"seed"`
 	At         map[string]any `json:"at,omitempty"` // values of the swept figures
-	*tally.Result
+	*scoring.Result
 }
 
 // Point returns the name of the record's point of the sweep. Equal points have equal names.
@@ -199,7 +199,7 @@
 			complete = false
 			continue
 		}
-		r := &Record{Result: &tally.Result{}}
+		r := &Record{Result: &scoring.Result{}}
 		if err := json.Unmarshal(lines.Bytes(), r); err != nil || r.Policy == "" {
 			return nil, false, &Error{Path: path, Line: n, Text: "this is no result of hoplab run"}
 		}
@@ -209,10 +209,10 @@
 }
 
 // Engine plays one day with the policy of a name. If series is set it records time series.
-type Engine func(ctx context.Context, day *model.Day, policy string, series bool) (*tally.Result, error)
+type Engine func(ctx context.Context, day *model.Day, policy string, series bool) (*scoring.Result, error)
 
 // playVirtual is an Engine that plays a day in virtual time.
-func (f *File) playVirtual(ctx context.Context, day *model.Day, policy string, series bool) (*tally.Result, error) {
+func (f *File) playVirtual(ctx context.Context, day *model.Day, policy string, series bool) (*scoring.Result, error) {
 	p, err := f.policy(policy, day)
 	if err != nil {
 		return nil, err
@@ -221,7 +221,7 @@
 }
 
 // Trace replays one run and records a trace of one request.
-func (f *File) Trace(ctx context.Context, policy string, seed uint64, at map[string]any, s sim.TracedRequest) (*tally.Result, error) {
+func (f *File) Trace(ctx context.Context, policy string, seed uint64, at map[string]any, s sim.TracedRequest) (*scoring.Result, error) {
 	day, err := f.dayAt(at)
 	if err != nil {
 		return nil, err
@@ -235,6 +235,6 @@
 }
 
 // playDay plays a day without an experiment file.
-func playDay(ctx context.Context, day model.Day, policy string) (*tally.Result, error) {
+func playDay(ctx context.Context, day model.Day, policy string) (*scoring.Result, error) {
 	return sim.Run(ctx, &day, Policy(policy), sim.Options{})
 }
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -1,6 +1,6 @@
-// Package rules checks that the routers keep the invariants of the platform, from the events that are reported
+// Package invariants checks that the routers keep the invariants of the platform, from the events that are reported
 // to it. It knows the whole day, decides nothing, does no I/O, and must not be visible to a router.
-package rules
+package invariants
 
 import (
 	"fmt"
--- a/internal/lab/rules/unanswered.go
+++ b/internal/lab/invariants/unanswered.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import "time"
 
--- a/internal/lab/plot/series.go
+++ b/internal/lab/plot/series.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"hoptiller/internal/lab/experiment"
-	"hoptiller/internal/lab/tally"
+	"hoptiller/internal/lab/scoring"
 )
 
 // maxLoadShare caps the plotted load of a cache server, which is its work divided by its capacity.
@@ -41,7 +41,7 @@
 }
 
 // seriesLines returns the lines of a metric and the label of its axis.
-func seriesLines(s *tally.Series, metric string) (lines []plotter.XYs, label string, err error) {
+func seriesLines(s *scoring.Series, metric string) (lines []plotter.XYs, label string, err error) {
 	switch metric {
 	case "service":
 		return []plotter.XYs{perSecond(s.Service)}, metric, nil
@@ -69,7 +69,7 @@
 }
 
 // addFaults marks the beginning and end of each fault with a labelled vertical line.
-func addFaults(p *plot.Plot, faults []tally.SeriesFault) error {
+func addFaults(p *plot.Plot, faults []scoring.SeriesFault) error {
 	for _, fault := range faults {
 		mark, err := plotter.NewLine(plotter.XYs{{X: fault.At, Y: p.Y.Min}, {X: fault.At, Y: p.Y.Max}})
 		if err != nil {
@@ -88,7 +88,7 @@
 
 // loadShares returns, for each second, the work sent to a cache server divided by its capacity. The value is 0 for a second
 // in which the server has no capacity.
-func loadShares(s *tally.Series, cache int) []float64 {
+func loadShares(s *scoring.Series, cache int) []float64 {
 	shares := make([]float64, len(s.Sent[cache]))
 	for i := range shares {
 		if s.Capacity[cache][i] > 0 {
--- a/internal/lab/tally/recorder.go
+++ b/internal/lab/scoring/recorder.go
@@ -1,8 +1,8 @@
-package tally
+package scoring
 
 import (
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/rules"
 )
 
 // Recorder observes what really happens in a world, whichever engine plays it. It passes the events to the
@@ -10,7 +10,7 @@
 // for concurrent use.
 type Recorder struct {
 	World   *model.World // set after the world is made; the world lists its first servers before that
-	Checker *rules.Checker
+	Checker *invariants.Checker
 	Scorer  *Scorer
 }
 
--- a/internal/lab/tally/tally.go
+++ b/internal/lab/scoring/tally.go
@@ -1,6 +1,6 @@
-// Package tally counts the events of a day, whichever engine plays it, and computes a Result with its score.
+// Package scoring counts the events of a day, whichever engine plays it, and computes a Result with its score.
 // It sees everything that happens and must not be visible to a router.
-package tally
+package scoring
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"hoptiller"
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/rules"
 )
 
 // Result is the outcome of a day. Only what clients asked for after the warm-up counts, except where a field
@@ -47,14 +47,14 @@
 	CrossZone float64 `json:"cross_zone"` // calls to other zones, per accepted request
 	PeerBytes float64 `json:"peer_bytes"` // bytes between routers, per accepted request
 	// ColdPeak is the largest work received by a cold cache in one second, over its capacity at that time.
-	ColdPeak       float64           `json:"cold_peak"`
-	OriginStops    int               `json:"stops"` // how often the origin stopped under its load or by a fault
-	Collapses      int               `json:"falls"` // collapses of cold caches
-	CollapseTraces []rules.Violation `json:"-"`     // descriptions of the collapses, whether or not they are violations
+	ColdPeak       float64                `json:"cold_peak"`
+	OriginStops    int                    `json:"stops"` // how often the origin stopped under its load or by a fault
+	Collapses      int                    `json:"falls"` // collapses of cold caches
+	CollapseTraces []invariants.Violation `json:"-"`     // descriptions of the collapses, whether or not they are violations
 
-	Classes        []ClassResult     `json:"classes"`
-	ViolationCount int               `json:"broken"` // number of violations of the invariants
-	Violations     []rules.Violation `json:"violations,omitempty"`
+	Classes        []ClassResult          `json:"classes"`
+	ViolationCount int                    `json:"broken"` // number of violations of the invariants
+	Violations     []invariants.Violation `json:"violations,omitempty"`
 
 	Series *Series  `json:"series,omitempty"`
 	Trace  []string `json:"-"`
@@ -326,7 +326,7 @@
 }
 
 // Result returns the outcome when the day is over.
-func (t *Scorer) Result(w *model.World, check *rules.Checker) *Result {
+func (t *Scorer) Result(w *model.World, check *invariants.Checker) *Result {
 	result := &Result{Asked: t.operations, Tries: float64(t.tries) / float64(max(t.operations, 1)), RequestsTaken: t.requestsTaken,
 		Waste:       w.WastedWork / max(t.workAsked, 1e-9),
 		OriginStops: w.Origin.StopCount, Collapses: t.collapses, ViolationCount: check.ViolationCount, Violations: check.Violations,
@@ -382,7 +382,7 @@
 			series.Latency = append(series.Latency, counts.callTime.Seconds()*1000/float64(max(counts.answeredCalls, 1)))
 		}
 	}
-	slices.SortStableFunc(result.Violations, func(a, b rules.Violation) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(result.Violations, func(a, b invariants.Violation) int { return cmp.Compare(a.At, b.At) })
 	return result
 }
 
--- a/internal/lab/tally/tally_test.go
+++ b/internal/lab/scoring/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package scoring
 
 import (
 	"math"
@@ -6,8 +6,8 @@
 	"time"
 
 	"hoptiller"
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/rules"
 	"hoptiller/internal/unit"
 )
 
@@ -64,7 +64,7 @@
 	scorer.RequestUnexplained(2 * time.Second)
 	scorer.RequestExplainedByTiming(500 * time.Millisecond) // in the warm-up
 	scorer.RequestExplainedByTiming(2 * time.Second)
-	result := scorer.Result(world, rules.New(&day))
+	result := scorer.Result(world, invariants.New(&day))
 	if result.Unexplained != 1 {
 		t.Errorf("unexplained share is %v, want 1", result.Unexplained)
 	}
--- a/internal/lab/tally/unserved.go
+++ b/internal/lab/scoring/unserved.go
@@ -1,4 +1,4 @@
-package tally
+package scoring
 
 import (
 	"fmt"
--- a/internal/lab/sim/cold_test.go
+++ b/internal/lab/sim/cold_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/rules"
 	"hoptiller/internal/unit"
 )
 
@@ -20,7 +20,7 @@
 		day.Faults = []model.Fault{{Kind: "churn", At: seconds(1), Duration: seconds(12), Interval: unit.Duration(2 * time.Second)}}
 		r := runDay(t, &day, Hoptiller, Options{})
 		for _, v := range r.Violations {
-			if v.Rule == rules.Cold {
+			if v.Rule == invariants.Cold {
 				violations++
 				break
 			}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -7,7 +7,7 @@
 	"hoptiller"
 	"hoptiller/internal/fleet/connlimit"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/tally"
+	"hoptiller/internal/lab/scoring"
 )
 
 // acceptAfterStop is the time for which a router goes on accepting requests after it was stopped, as the real router does.
@@ -237,7 +237,7 @@
 	}
 	c.pending = false
 	inv, now := c.inv, r.tier.World.Now()
-	r.trace(inv.id, "call %d to server %d ends: %s after %v", c.Attempt, c.serverIndex, tally.CallResultNames[status], now-c.sentAt)
+	r.trace(inv.id, "call %d to server %d ends: %s after %v", c.Attempt, c.serverIndex, scoring.CallResultNames[status], now-c.sentAt)
 	r.tier.Checker.CallEnded(now, r.index, inv.id, c.Attempt, status)
 	r.tier.Scorer.CallEnded(now, status, now-c.sentAt)
 	served := status == hoptiller.OK && !inv.closed
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"hoptiller"
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/rules"
-	"hoptiller/internal/lab/tally"
+	"hoptiller/internal/lab/scoring"
 )
 
 // Policy creates the decision maker of one router that starts at now. The router passes it events and carries out the
@@ -52,9 +52,9 @@
 }
 
 // Run plays a day, which must have passed Check. When ctx ends, Run stops and returns the error of ctx.
-func Run(ctx context.Context, day *model.Day, policy Policy, opt Options) (*tally.Result, error) {
+func Run(ctx context.Context, day *model.Day, policy Policy, opt Options) (*scoring.Result, error) {
 	t := &tier{day: day, policy: policy, opt: opt}
-	t.Checker, t.Scorer = rules.New(day), tally.New(day, opt.Series)
+	t.Checker, t.Scorer = invariants.New(day), scoring.New(day, opt.Series)
 	t.routers = make([]*router, day.Routers)
 	t.World = model.New(day, t, t, t)
 	if day.FillCaches {
@@ -84,7 +84,7 @@
 
 // tier holds the routers of a day. The world reaches the routers through it, and reports events through its Judge.
 type tier struct {
-	tally.Recorder
+	scoring.Recorder
 	day          *model.Day
 	policy       Policy
 	routers      []*router // nil while a router is down
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"hoptiller"
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/model"
 	"hoptiller/internal/lab/rival"
-	"hoptiller/internal/lab/rules"
-	"hoptiller/internal/lab/tally"
+	"hoptiller/internal/lab/scoring"
 	"hoptiller/internal/unit"
 )
 
@@ -26,7 +26,7 @@
 	return &day
 }
 
-func runDay(t *testing.T, day *model.Day, policy Policy, opt Options) *tally.Result {
+func runDay(t *testing.T, day *model.Day, policy Policy, opt Options) *scoring.Result {
 	t.Helper()
 	if err := day.Validate(); err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 	}
 	b.targets = b.targets[:0]
 	for _, s := range b.listed {
-		if s.Phase == hoptiller.Ready || b.fault == rules.Drain {
+		if s.Phase == hoptiller.Ready || b.fault == invariants.Drain {
 			b.targets = append(b.targets, s)
 		}
 	}
@@ -119,26 +119,26 @@
 func (b *faultyPolicy) send(id uint32, key uint64) {
 	s := b.targets[key%uint64(len(b.targets))]
 	for _, e := range b.targets {
-		if b.fault == rules.Cold && e.Started > Epoch && e.Kind != b.set.OriginKind {
+		if b.fault == invariants.Cold && e.Started > Epoch && e.Kind != b.set.OriginKind {
 			s = e // send everything to the server that was added
 		}
-		if b.fault == rules.Origin && e.Kind == b.set.OriginKind && b.callCount[id] > 0 {
+		if b.fault == invariants.Origin && e.Kind == b.set.OriginKind && b.callCount[id] > 0 {
 			s = e
 		}
 	}
-	if (b.fault == rules.Effects || b.fault == "lost") && b.class[id] == 1 {
+	if (b.fault == invariants.Effects || b.fault == "lost") && b.class[id] == 1 {
 		for _, e := range b.targets {
 			if e.Kind == b.set.OriginKind {
 				s = e
 			}
 		}
 	}
-	if b.fault == rules.Listed {
+	if b.fault == invariants.Listed {
 		s.ID++
 	}
 	b.callCount[id]++
 	timeout := 200 * time.Millisecond
-	if b.fault == rules.TimeLeft {
+	if b.fault == invariants.TimeLeft {
 		timeout = time.Minute
 	}
 	b.act.Send(id, s.ID, timeout)
@@ -148,14 +148,14 @@
 	if b.fault == "silent" {
 		return
 	}
-	if b.fault == rules.Serving && b.set.RouterIndex == 0 {
+	if b.fault == invariants.Serving && b.set.RouterIndex == 0 {
 		b.act.Refuse(q.ID, 0)
 		return
 	}
 	b.class[q.ID], b.deadline[q.ID] = q.Class, now+q.Remaining
 	b.send(q.ID, q.Key)
 	switch b.fault {
-	case rules.OneCall:
+	case invariants.OneCall:
 		b.send(q.ID, q.Key)
 	case "sent-after":
 		b.act.Fail(q.ID)
@@ -166,11 +166,11 @@
 func (b *faultyPolicy) Outcome(now time.Duration, o hoptiller.Outcome) {
 	sendAgain := false
 	switch b.fault {
-	case rules.Attempts:
+	case invariants.Attempts:
 		sendAgain = b.callCount[o.Request] < 8
-	case rules.Effects:
+	case invariants.Effects:
 		sendAgain = b.class[o.Request] == 1 && b.callCount[o.Request] < 3
-	case rules.Origin:
+	case invariants.Origin:
 		sendAgain = b.callCount[o.Request] < 3
 	}
 	switch {
@@ -194,23 +194,23 @@
 		fault, rule string
 		faults      []model.Fault
 	}{
-		{"silent", rules.OneAnswer, nil},
-		{"silent", rules.Unanswered, nil},
-		{rules.TimeLeft, rules.TimeLeft, nil},
-		{rules.Serving, rules.Serving, nil},
-		{"sent-after", rules.OneAnswer, nil},
-		{rules.Effects, rules.Effects, []model.Fault{slow}},
-		{"lost", rules.Effects, []model.Fault{slow}},
-		{rules.OneCall, rules.OneCall, nil},
-		{rules.Attempts, rules.Attempts, []model.Fault{{Kind: "errors", Share: 1, Severity: 1, Duration: seconds(12)}}},
-		{rules.Drain, rules.Drain, []model.Fault{{Kind: "drain", Count: 3}}},
-		{rules.Cold, rules.Cold, []model.Fault{{Kind: "add", Count: 1}}},
-		{rules.Listed, rules.Listed, nil},
+		{"silent", invariants.OneAnswer, nil},
+		{"silent", invariants.Unanswered, nil},
+		{invariants.TimeLeft, invariants.TimeLeft, nil},
+		{invariants.Serving, invariants.Serving, nil},
+		{"sent-after", invariants.OneAnswer, nil},
+		{invariants.Effects, invariants.Effects, []model.Fault{slow}},
+		{"lost", invariants.Effects, []model.Fault{slow}},
+		{invariants.OneCall, invariants.OneCall, nil},
+		{invariants.Attempts, invariants.Attempts, []model.Fault{{Kind: "errors", Share: 1, Severity: 1, Duration: seconds(12)}}},
+		{invariants.Drain, invariants.Drain, []model.Fault{{Kind: "drain", Count: 3}}},
+		{invariants.Cold, invariants.Cold, []model.Fault{{Kind: "add", Count: 1}}},
+		{invariants.Listed, invariants.Listed, nil},
 	} {
 		day := shortDay(test.faults...)
 		day.WarmUp, day.Length, day.Discovery.NoticeDelay = seconds(1), seconds(4), [2]unit.Duration{seconds(0.1), seconds(0.2)}
 		r := runDay(t, day, newFaultyPolicy(test.fault), Options{})
-		if !slices.ContainsFunc(r.Violations, func(v rules.Violation) bool { return v.Rule == test.rule }) {
+		if !slices.ContainsFunc(r.Violations, func(v invariants.Violation) bool { return v.Rule == test.rule }) {
 			t.Errorf("%s: %d violations, none of %s; %v", test.fault, r.ViolationCount, test.rule, r.Violations[:min(2, len(r.Violations))])
 		}
 		if r := runDay(t, day, Hoptiller, Options{}); r.ViolationCount > 0 {
@@ -229,7 +229,7 @@
 	for day.Seed = 1; day.Seed <= 6; day.Seed++ {
 		r := runDay(t, day, rival.New("ring"), Options{})
 		stops += r.OriginStops
-		if slices.ContainsFunc(r.Violations, func(v rules.Violation) bool { return v.Rule == rules.Origin }) {
+		if slices.ContainsFunc(r.Violations, func(v invariants.Violation) bool { return v.Rule == invariants.Origin }) {
 			return
 		}
 	}
--- a/internal/lab/standin/client.go
+++ b/internal/lab/standin/client.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/rules"
 )
 
 // routerTier is the routers as seen by the model's clients. Engine.mu must be held during its calls.
@@ -63,7 +63,7 @@
 		return // it has been answered, or lost
 	}
 	node := e.nodes[request.try.Router]
-	paused := min(e.Checker.PausedFor(e.World.Now(), node.index, request.number), rules.MaxPause)
+	paused := min(e.Checker.PausedFor(e.World.Now(), node.index, request.number), invariants.MaxPause)
 	if latest := request.deadline + e.grace() + min(node.recentLag(), maxLagAllowance) + paused; e.World.Now() < latest {
 		e.World.At(latest, func() { e.expire(request) })
 		return
--- a/internal/lab/standin/disconnect.go
+++ b/internal/lab/standin/disconnect.go
@@ -6,14 +6,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"hoptiller/internal/lab/rules"
+	"hoptiller/internal/lab/invariants"
 )
 
 // endedRequest is a request that has ended. It is kept to recognise attempts that begin after the end.
 type endedRequest struct {
 	router int
 	number uint32
-	end    rules.RequestEnd
+	end    invariants.RequestEnd
 }
 
 // finishRequest records the end of a request for its client. Engine.mu must be held.
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -16,11 +16,11 @@
 	"time"
 
 	"hoptiller/internal/lab/arrival"
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/loopback"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/rules"
+	"hoptiller/internal/lab/scoring"
 	"hoptiller/internal/lab/sim"
-	"hoptiller/internal/lab/tally"
 	"hoptiller/internal/unit"
 )
 
@@ -58,7 +58,7 @@
 	Steps   []Step
 	Started func(c Control, at time.Time)
 	// Progress, if set, is called once a second while no step runs.
-	Progress func(now time.Duration, w *model.World, t *tally.Scorer)
+	Progress func(now time.Duration, w *model.World, t *scoring.Scorer)
 }
 
 // ServerKind is a kind of server that a router talks to.
@@ -126,7 +126,7 @@
 	startedAt time.Time
 
 	mu sync.Mutex
-	tally.Recorder
+	scoring.Recorder
 	nodes         []*routerNode
 	requests      map[string]*clientRequest     // by ID, open requests
 	endedRequests map[string]endedRequest       // by ID, requests that have ended
@@ -155,7 +155,7 @@
 }
 
 // Run plays a day, which must have passed Check, and then stops everything that it has started.
-func Run(ctx context.Context, day *model.Day, opt Options) (*tally.Result, error) {
+func Run(ctx context.Context, day *model.Day, opt Options) (*scoring.Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	e := &Engine{options: opt, day: day, ctx: ctx, wake: make(chan struct{}, 1), requests: map[string]*clientRequest{},
 		endedRequests: map[string]endedRequest{}, requestByTry: map[*model.Try]*clientRequest{},
@@ -165,8 +165,8 @@
 	checkedDay.Invariants.Grace += unit.Duration(slack)
 	checkedDay.Invariants.TimeSlack += unit.Duration(slack)
 	checkedDay.Invariants.AllowsHedge = true // link.checkOverlap checks overlapping calls instead
-	e.Checker = rules.New(&checkedDay)
-	e.Scorer = tally.New(day, opt.Series)
+	e.Checker = invariants.New(&checkedDay)
+	e.Scorer = scoring.New(day, opt.Series)
 	defer e.running.Wait()
 	defer e.close()
 	defer cancel()
@@ -204,7 +204,7 @@
 }
 
 // play runs the world's steps as they become due. The day starts now, not when its processes were started.
-func (e *Engine) play(ctx context.Context) (*tally.Result, error) {
+func (e *Engine) play(ctx context.Context) (*scoring.Result, error) {
 	e.runUntilEnd(func() { e.measureLag(ctx) })
 	if e.options.Router != "" {
 		for _, n := range e.nodes {
--- a/internal/lab/standin/faulty_router_test.go
+++ b/internal/lab/standin/faulty_router_test.go
@@ -16,8 +16,8 @@
 
 	"github.com/tidwall/gjson"
 
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/rules"
 	"hoptiller/internal/testprog"
 )
 
@@ -127,9 +127,9 @@
 // TestCheckerCatchesRouters checks that the checker detects violations by a real router program. It covers the
 // invariants that no simulated policy can violate by itself.
 func TestCheckerCatchesRouters(t *testing.T) {
-	for fault, rule := range map[string]string{noFault: "", forwardsTime: rules.TimeLeft, omitsTime: rules.TimeLeft,
-		invalidTime: rules.TimeLeft, neverAnswers: rules.Unanswered, closesConnection: rules.Unanswered,
-		refusesEverything: rules.Serving} {
+	for fault, rule := range map[string]string{noFault: "", forwardsTime: invariants.TimeLeft, omitsTime: invariants.TimeLeft,
+		invalidTime: invariants.TimeLeft, neverAnswers: invariants.Unanswered, closesConnection: invariants.Unanswered,
+		refusesEverything: invariants.Serving} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			day := model.DefaultDay()
@@ -147,8 +147,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			detected := slices.ContainsFunc(result.Violations, func(v rules.Violation) bool { return v.Rule == rule })
-			others := slices.DeleteFunc(slices.Clone(result.Violations), func(v rules.Violation) bool { return v.Rule == rule })
+			detected := slices.ContainsFunc(result.Violations, func(v invariants.Violation) bool { return v.Rule == rule })
+			others := slices.DeleteFunc(slices.Clone(result.Violations), func(v invariants.Violation) bool { return v.Rule == rule })
 			if detected != (rule != "") || len(others) > 0 {
 				t.Errorf("%d violations in %d requests: detected %v, others %v", result.ViolationCount, result.RequestsTaken, detected, others)
 			}
@@ -166,7 +166,7 @@
 				e := (*Engine)(c.(*routerControl))
 				e.Checker.RequestTaken(e.World.Now(), 0, uint32(e.nextID), 0, e.World.Now()+remaining) // the attempt states a second
 			})
-			detected := slices.ContainsFunc(result.Violations, func(v rules.Violation) bool { return v.Rule == rules.TimeLeft })
+			detected := slices.ContainsFunc(result.Violations, func(v invariants.Violation) bool { return v.Rule == invariants.TimeLeft })
 			if detected != (remaining < time.Second) {
 				t.Errorf("%v", result.Violations)
 			}
--- a/internal/lab/standin/long_answers_test.go
+++ b/internal/lab/standin/long_answers_test.go
@@ -13,7 +13,7 @@
 
 	generator "hoptiller/internal/lab/load"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/tally"
+	"hoptiller/internal/lab/scoring"
 	"hoptiller/internal/testprog"
 )
 
@@ -30,7 +30,7 @@
 				day.Classes[i].Deadline = toDuration(2)
 			}
 			dir := t.TempDir()
-			begun, ended := make(chan time.Time, 1), make(chan *tally.Result, 1)
+			begun, ended := make(chan time.Time, 1), make(chan *scoring.Result, 1)
 			go func() {
 				result, err := Run(context.Background(), &day, Options{Dir: dir, Started: func(_ Control, at time.Time) { begun <- at }})
 				if err != nil {
--- a/internal/lab/standin/overlap.go
+++ b/internal/lab/standin/overlap.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"hoptiller/internal/lab/arrival"
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/rules"
 )
 
 // tracedCall is a call of a request with the times at which it was observed.
@@ -13,7 +13,7 @@
 	call      *model.Call
 	link      *link
 	arrivedAt time.Time // when its first byte arrived
-	trace     *rules.CallTrace
+	trace     *invariants.CallTrace
 }
 
 // checkOverlap reports a violation if this call and the previous one of the request were in flight at the same
@@ -21,7 +21,7 @@
 // the start of the next, and a call that arrives during its connection's handshake is read after a later one.
 func (l *link) checkOverlap(request *clientRequest, call *model.Call, at time.Time) {
 	e, previous := l.node.engine, request.latestCall
-	latest := &tracedCall{call, l, at, &rules.CallTrace{Attempt: call.Attempt, Server: l.server, Connected: l.acceptedAt,
+	latest := &tracedCall{call, l, at, &invariants.CallTrace{Attempt: call.Attempt, Server: l.server, Connected: l.acceptedAt,
 		Written: at.Sub(e.startedAt), Read: e.World.Now()}}
 	if request.latestCall = latest; previous == nil || e.day.Invariants.AllowsHedge {
 		return
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -19,10 +19,10 @@
 	"github.com/tidwall/gjson"
 
 	"hoptiller/internal/config"
+	"hoptiller/internal/lab/invariants"
 	"hoptiller/internal/lab/model"
-	"hoptiller/internal/lab/rules"
+	"hoptiller/internal/lab/scoring"
 	"hoptiller/internal/lab/sim"
-	"hoptiller/internal/lab/tally"
 	"hoptiller/internal/testprog"
 	"hoptiller/internal/unit"
 )
@@ -153,7 +153,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			detected := slices.ContainsFunc(result.Violations, func(v rules.Violation) bool { return v.Rule == rules.OneCall })
+			detected := slices.ContainsFunc(result.Violations, func(v invariants.Violation) bool { return v.Rule == invariants.OneCall })
 			if detected == ends || result.Calls == 0 {
 				t.Errorf("first call ended before the second: %v; violations %v", ends, result.Violations)
 			}
@@ -186,7 +186,7 @@
 // playByHand plays a day without load, with one router and one slot cache. The test itself sends the cache a
 // pipeline of two calls: the first belongs to an open request of the router, the second to one that has ended.
 // before runs ahead of that.
-func playByHand(t *testing.T, before func(c Control)) (answers [2]string, result *tally.Result) {
+func playByHand(t *testing.T, before func(c Control)) (answers [2]string, result *scoring.Result) {
 	day := model.DefaultDay()
 	day.WarmUp, day.Length, day.Fleet.Caches, day.Routers, day.Load.Level = 0, toDuration(2), 1, 1, 0
 	for i := range day.Classes {
@@ -342,7 +342,7 @@
 						before := e.Checker.ViolationCount
 						e.Checker.RequestTaken(e.World.Now(), 0, 99, 0, e.World.Now()+time.Second)
 						e.Checker.CallSent(e.World.Now(), 0, 99, 7)
-						if e.Checker.ViolationCount != before+1 || e.Checker.Violations[len(e.Checker.Violations)-1].Rule != rules.Listed {
+						if e.Checker.ViolationCount != before+1 || e.Checker.Violations[len(e.Checker.Violations)-1].Rule != invariants.Listed {
 							t.Errorf("a list that only the previous process received counts for the next one: %v", e.Checker.Violations)
 						}
 					})
