--- a/internal/buffer/awaitend_test.go
+++ b/internal/buffer/awaitend_test.go
@@ -10,7 +10,7 @@
 	"hoptiller/internal/testprog"
 )
 
-// AwaitEnd consumes none of the bytes that arrive before the peer's end, and returns at that end if no bytes precede
+// AwaitPeerClose consumes none of the bytes that arrive before the peer's end, and returns at that end if no bytes precede
 // it.
 func TestAwaitEndReadsNothing(t *testing.T) {
 	for name, sent := range map[string]string{"silent": "", "speaks": "hello"} {
--- a/internal/buffer/reader.go
+++ b/internal/buffer/reader.go
@@ -122,7 +122,7 @@
 
 // AwaitPeerClose waits until the peer has closed or broken a connection on which this side has stopped sending, or until
 // the read deadline passes. It reads nothing: bytes that arrive meanwhile stay with the operating system. If unread
-// bytes precede the end, AwaitEnd sees the end where the operating system reports the connection's state.
+// bytes precede the end, AwaitPeerClose sees the end where the operating system reports the connection's state.
 func (r *Reader) AwaitPeerClose() error {
 	return r.raw.Read(func(fd uintptr) (ended bool) {
 		var b [1]byte
--- a/internal/fleet/leases/manager.go
+++ b/internal/fleet/leases/manager.go
@@ -71,7 +71,7 @@
 }
 
 // Acquire requests a permit with a slot in each of the groups. Once it is granted this router announces a lease with the body.
-// The lease ends by itself after the duration. The error is an *ErrTaken or ErrFull.
+// The lease ends by itself after the duration. The error is an *AlreadyManagedError or ErrFull.
 func (k *Manager) Acquire(now time.Duration, key Key, groups []uint16, body string, duration time.Duration) error {
 	current, _, known := k.Get(now, key)
 	switch {
@@ -91,7 +91,7 @@
 // nextEpoch returns the epoch of the next begin or end of a drain or release.
 func nextEpoch(epoch uint32) uint32 { return epoch&^(epochStep-1) + epochStep }
 
-// End ends a lease, whichever router owns it, or stops requesting its permit. It returns ErrNone if there is neither.
+// End ends a lease, whichever router owns it, or stops requesting its permit. It returns ErrNotFound if there is neither.
 func (k *Manager) End(now time.Duration, key Key) error {
 	current, _, active := k.Get(now, key)
 	active = active && !current.Ended
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// SetBody replaces the body of a lease that this router manages. It returns ErrNone if this router doesn't manage it.
+// SetBody replaces the body of a lease that this router manages. It returns ErrNotFound if this router doesn't manage it.
 func (k *Manager) SetBody(now time.Duration, key Key, body string) error {
 	own := k.managed[key]
 	if own == nil {
@@ -260,7 +260,7 @@
 }
 
 // Extend lets a lease last for a duration from now and replaces its body. If another router owns the lease, this router takes
-// it over. It returns ErrNone if there is no such lease.
+// it over. It returns ErrNotFound if there is no such lease.
 func (k *Manager) Extend(now time.Duration, key Key, body string, duration time.Duration) error {
 	own := k.managed[key]
 	if own == nil {
--- a/internal/fleet/leases/many_leases_test.go
+++ b/internal/fleet/leases/many_leases_test.go
@@ -54,7 +54,7 @@
 	return true
 }
 
-// A store holds at most MostNotes leases, whichever router announces them, and has room again when they have expired.
+// A store holds at most MaxLeases leases, whichever router announces them, and has room again when they have expired.
 func TestStoreLimit(t *testing.T) {
 	f := newFleet(2, 1, permit.Bound{Number: 1}, 1)
 	s := &f.routers[0].manager.Store
--- a/internal/fleet/peers/drains.go
+++ b/internal/fleet/peers/drains.go
@@ -102,7 +102,7 @@
 var ErrUnknownCache = errors.New("no slot cache of this name is listed")
 
 // DrainCache requests a permit for draining a slot cache. Once it is granted, all routers drain the slot cache: its weight
-// falls to zero over rampTime. The drain ends by itself after maxDuration. The error is ErrNoCache or one of package
+// falls to zero over rampTime. The drain ends by itself after maxDuration. The error is ErrUnknownCache or one of package
 // notes.
 func (p *Peers) DrainCache(name string, maxDuration, rampTime time.Duration) error {
 	server, ok := p.settings.Drains.FindByName(name)
--- a/internal/fleet/permit/voter.go
+++ b/internal/fleet/permit/voter.go
@@ -18,7 +18,7 @@
 // Slot identifies one slot of a group.
 type Slot struct {
 	Group  uint16
-	Number uint16 // from 0 to K-1 in a group of K slots; less than MostPlaces
+	Number uint16 // from 0 to K-1 in a group of K slots; less than MaxSlots
 }
 
 // Request asks a voter to grant, renew or release a permit. An acquirer sends it to each voter.
@@ -26,7 +26,7 @@
 	Permit   uint64 // a random ID, new for each time that something goes out of service
 	Seq      uint32 // rises with each request for this permit
 	Slots    []Slot
-	Duration time.Duration // of the lease, up to MostLease
+	Duration time.Duration // of the lease, up to MaxLease
 	Release  bool          // the permit is given back; Slots and Duration are ignored
 }
 
--- a/internal/fleet/view/member.go
+++ b/internal/fleet/view/member.go
@@ -84,7 +84,7 @@
 	VersionHash     uint32 // hash of the program's version
 	SettingsHash    uint32 // hash of the router's settings
 	RequestRate     uint16 // client requests per second
-	Zone            uint8  // number of the router's zone plus 1, at most MostZone + 1; 0 if the zone is not known
+	Zone            uint8  // number of the router's zone plus 1, at most MaxZone + 1; 0 if the zone is not known
 	DuplicateNumber bool   // the router has met another router that uses its number
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -178,7 +178,7 @@
 	return time.Duration(grace)
 }
 
-// hasMaxOpen reports whether MostOpen requests are open. A connection may then have only one command open, so that clients
+// hasMaxOpen reports whether MaxOpenRequests requests are open. A connection may then have only one command open, so that clients
 // that send hundreds of commands at once don't crowd out clients that wait for each answer.
 func (f *Front) hasMaxOpen() bool {
 	f.mu.Lock()
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -31,7 +31,7 @@
 	return relay.Answer{Kind: hoptiller.StepServed, Data: []byte("x")}
 }
 
-// However many commands a client sends without waiting, at most MostOpen requests are open at once, and the answers come in
+// However many commands a client sends without waiting, at most MaxOpenRequests requests are open at once, and the answers come in
 // the order of the commands.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	server := &concurrencyServer{}
@@ -194,7 +194,7 @@
 }
 
 // Clients together hold a limited number of connections, so those that send one request and keep the connection would leave
-// the others none. Beyond MostKept the connection that has been idle longest ends, and none with an open request or without
+// the others none. Beyond MaxUsedConns the connection that has been idle longest ends, and none with an open request or without
 // a first command ends in its place.
 func TestSurplusEndsTheLongestIdle(t *testing.T) {
 	f := &Front{MaxConns: 9, MaxOpenRequests: 9, MaxUsedConns: 2, Server: make(blockingServer)}
--- a/internal/lab/model/origin.go
+++ b/internal/lab/model/origin.go
@@ -19,7 +19,7 @@
 	slowdown       float64
 	errorRate      float64
 	warmingUp      bool
-	recent         []originCall // calls received within the last FallFor
+	recent         []originCall // calls received within the last CollapseDuration
 	recentFromCold int          // number of recent calls that a miss at a cold cache caused
 	doneAt         map[uint64]time.Duration
 	waitingReads   map[uint64][]*Call // with shared fetches, by key: the calls that wait for the fetch in progress
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -66,8 +66,8 @@
 	Servers   []hoptiller.Server // List
 	Request   hoptiller.Request  // Knock
 	Outcome   hoptiller.Outcome  // ReportBack; for Flowing its request, attempt, latency and server
-	ID        uint32             // ClientGone
-	Token     uint64             // TimeoutFired
+	ID        uint32             // ClientDisconnected
+	Token     uint64             // TimerFired
 }
 
 // Reader reads batches from a stream.
--- a/observations_test.go
+++ b/observations_test.go
@@ -84,7 +84,7 @@
 		downtime  = 4 * time.Second
 		window    = 1500 * time.Millisecond // the settings' Fall
 		warmReads = observedShare * 1.5     // reads of a warm server in the window
-		cold      = warmReads*0.2*2.5 + 4   // limit right after a start: ColdFrom, OverloadFactor, and 4 more by chance
+		cold      = warmReads*0.2*2.5 + 4   // limit right after a start: ColdCapacity, OverloadFactor, and 4 more by chance
 	)
 	for _, c := range []struct {
 		name string
--- a/slow_start.go
+++ b/slow_start.go
@@ -4,7 +4,7 @@
 // has just started has an empty cache and only a fraction of its capacity. If all routers together send it
 // more than it can handle, it collapses. Its weight in the ranking grows during the warm-up, and in addition
 // the requests sent to it are limited (coldHasRoom). Times and fractions come from the settings (Cold,
-// ColdFrom, Fall, OverloadFactor). Rates are in requests per second.
+// ColdCapacity, Fall, OverloadFactor). Rates are in requests per second.
 
 import (
 	"cmp"
