--- a/api.go
+++ b/api.go
@@ -49,7 +49,7 @@
 // Settings configures a Router. A zero value means "not stated" and is legal for every field.
 type Settings struct {
 	RouterIndex, RouterCount int // number of this router, and how many routers there are
-	ConnsPerCore             int // connections that a server accepts for each of its cores, as stated by the operator; 0: not stated
+	ConnsPerCore             int // connections that a server accepts for each core, as stated by the operator; 0: not stated
 	Zone                     int // zone of this router
 	Classes                  []Class
 	Tenants                  []Tenant
@@ -67,12 +67,12 @@
 
 	ColdCapacity float64       // fraction of its capacity that a server has at its start
 	WarmUp       time.Duration // after this time at the latest a server is warm
-	// A cold server collapses if it gets more than OverloadFactor times its capacity within any time of length Fall.
+	// A cold server collapses if it gets more than OverloadFactor times its capacity within any time of length CollapseWindow.
 	OverloadFactor float64
 	CollapseWindow time.Duration
 
-	// Attempts after a request's first that count against the budget are limited to BudgetFree plus BudgetRatio for each request
-	// received, over any BudgetWindow. There is no budget if BudgetWindow is 0.
+	// Over any BudgetWindow, the retries that count against the budget are limited to BudgetFree plus BudgetRatio for each
+	// request received. There is no budget if BudgetWindow is 0.
 	BudgetFree, BudgetRatio float64
 	BudgetWindow            time.Duration
 	AbsenceAllowsSending    bool // only a listed drain forbids sending; absence from the list does not
@@ -91,7 +91,7 @@
 
 // Values of Phase, as the list states them.
 const (
-	Removed  Phase = iota // is removed
+	Removed  Phase = iota // has left the fleet
 	Draining              // gets nothing new
 	Ready                 // accepts requests
 )
@@ -131,14 +131,14 @@
 }
 
 // Constraints is the set of constraints that an operator puts on a request. They can only forbid: a Router never does anything
-// because of them that it would not do without them. Its methods are called from within the Router's own.
+// because of them that it would not do without them. Its methods are called while the Router handles an event.
 type Constraints interface {
 	// Allows reports whether a server may get the request. It is not called for the origin.
 	Allows(server uint32) bool
 	// Timeout returns the longest time that one attempt may take.
 	Timeout() time.Duration
-	// AllowsRetry reports whether another attempt may follow. The arguments are the number of attempts so far, without fetches after
-	// a miss, and the status of the last attempt.
+	// AllowsRetry reports whether another attempt may follow. The arguments are the number of attempts so far, without fetches
+	// after a miss, and the status of the last attempt.
 	AllowsRetry(attempts int, last Status) bool
 	// TakeRetry takes one retry that is about to be made out of a budget. It reports whether the budget allowed it.
 	TakeRetry(now time.Duration) bool
--- a/constraints_test.go
+++ b/constraints_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// testConstraints is a Narrowing with fixed values.
+// testConstraints is a Constraints with fixed values.
 type testConstraints struct {
 	servers  []uint32
 	timeout  time.Duration
--- a/facade.go
+++ b/facade.go
@@ -35,7 +35,7 @@
 	Attempt int
 }
 
-// Orders are the Router's requests that belong to no step.
+// Orders are what the Router wants done apart from the steps of requests.
 type Orders struct {
 	Cancelled []AttemptID   // attempts to cancel and report at once
 	CloseIdle []uint32      // servers to which idle connections must be closed
@@ -48,24 +48,24 @@
 
 // Facade wraps a Router in calls that block only for its lock: Pick for a request that came in, Report for an attempt that ended,
 // Tick when time has passed. It is safe for concurrent use. Like the Router it does no I/O and reads no clock: now is the
-// caller's time. A call with an earlier time than a previous call counts as made at that later time.
+// caller's time. A call with an earlier time than a previous call counts as made at the previous call's time.
 type Facade struct {
 	wake func() // called when Tick has something to do; must not block or call back
 
 	mu           sync.Mutex
 	router       *Router
 	now          time.Duration
-	lastID       uint32                  // the last id that Reserve gave out
+	lastID       uint32                  // the last id that ReserveID gave out
 	openRequests map[uint32]*openRequest // by request id
 	timers       []timer                 // sorted by due time
 	idleToClose  []uint32                // servers to which idle connections must be closed with the next step or Tick
 	orders       Orders
 
 	countedAt       time.Duration // when listed and avoided were last updated
-	listed, avoided atomic.Int64  // numbers of caches, for Members
+	listed, avoided atomic.Int64  // numbers of caches, for CacheCounts
 }
 
-const countInterval = 100 * time.Millisecond // Members is updated this often and on each list event
+const countInterval = 100 * time.Millisecond // the result of CacheCounts is updated this often and on each list event
 
 // openRequest is the state of a request that still has a step to come.
 type openRequest struct {
@@ -86,10 +86,11 @@
 // returned.
 func NewFacade(now time.Duration, settings Settings, seed uint64, wake func()) *Facade {
 	// A request has only one attempt in progress here. A hedge would wait for the end of the first attempt, and the Router would
-	// count it as in flight though it never was. Attempts at silent servers are cancelled instead, which is always possible on
-	// sockets.
+	// count the hedge as in flight although it was not sent. Attempts at silent servers are cancelled instead, which is always
+	// possible on sockets.
 	settings.Hedging, settings.AllowsCancel = false, true
-	// On sockets the list comes only through a watch. This includes pushed lists, since they have no other path to this process.
+	// On sockets the list comes only through a watch. Pushed lists come through it too, as nothing else brings them to
+	// this process.
 	settings.ListOnRequest = true
 	f := &Facade{wake: wake, now: now, openRequests: map[uint32]*openRequest{}}
 	f.router = New(now, settings, seed, (*facadeActions)(f))
@@ -114,7 +115,7 @@
 	return f.lastID
 }
 
-// Pick returns the first step of a request. Its q.ID must come from Reserve.
+// Pick returns the first step of a request. Its q.ID must come from ReserveID.
 func (f *Facade) Pick(now time.Duration, q Request) Step {
 	now = f.lock(now)
 	defer f.mu.Unlock()
@@ -173,7 +174,7 @@
 	return int(f.listed.Load()), int(f.avoided.Load())
 }
 
-// updateCounts updates the counts that Members returns. The caller holds f.mu.
+// updateCounts updates the counts that Facade.CacheCounts returns. The caller holds f.mu.
 func (f *Facade) updateCounts() {
 	f.countedAt = f.now
 	listed, avoided := f.router.CacheCounts()
@@ -184,8 +185,8 @@
 // avoidedBelow is the fraction of its weight below which a server counts as avoided.
 const avoidedBelow = 0.5
 
-// CacheCounts returns how many caches are listed and how many of them are avoided, which means that they drain or that their health
-// and network path leave them less than half of their weight.
+// CacheCounts returns how many caches are listed and how many of them are avoided, which means that they drain or that their
+// health and network path leave them less than half of their weight.
 func (r *Router) CacheCounts() (listed, avoided int) {
 	for _, s := range r.servers {
 		if s.origin || s.unlisted || s.Phase == Removed {
@@ -207,7 +208,7 @@
 type CacheState struct {
 	ID      uint32
 	Zone    int
-	Avoided bool // see Facade.Members
+	Avoided bool // see Router.CacheCounts
 }
 
 // Caches returns the listed cache servers, in no particular order. It takes the lock, so call it rarely.
@@ -249,9 +250,9 @@
 	return orders
 }
 
-// nextStep hands out the step that the Router has decided for a request. There always is one, because the Router ends or retries
-// every request that has no attempt in progress. If there is none, that is a bug, and the request fails so that the client does
-// not wait.
+// nextStep hands out the step that the Router has decided for a request. The Router ends or retries every request that has no
+// attempt in progress, so a step is always ready. If none is, that is a bug, and the request fails so that the client does not
+// wait.
 func (f *Facade) nextStep(id uint32) Step {
 	o := f.openRequests[id]
 	step := Step{Kind: StepFail}
--- a/gate.go
+++ b/gate.go
@@ -1,6 +1,6 @@
 package hoptiller
 
-// The gate is the fraction of the reads that may need the origin that is let through.
+// The gate limits the reads that may need the origin: it is the fraction of them that is let through.
 
 import "time"
 
@@ -12,8 +12,9 @@
 
 // learnGate protects an origin behind the cache servers. Once such an origin gets more than it can handle, it
 // is slow for everyone and works on requests that nobody waits for any more. So while fetches end badly,
-// fewer reads that need one are let through, until fetches end well. A fetch is not held against the origin
-// as far as cached reads end badly too. The value bad is 1 for a bad outcome and 0 for a good one.
+// fewer of the reads that may need a fetch are let through, until fetches end well. The more often cached
+// reads end badly too, the less a bad fetch closes the gate, as the origin is not the cause then.
+// The value bad is 1 for a bad outcome and 0 for a good one.
 func (r *Router) learnGate(fetch bool, sent time.Duration, bad float64) {
 	if !fetch {
 		r.badCachedFraction += (bad - r.badCachedFraction) / 16
--- a/observations.go
+++ b/observations.go
@@ -3,8 +3,8 @@
 // Observations are what routers tell each other about servers before the list does. A server that refused
 // connections for a while and accepts them again runs a new process with a cold cache, although its start is
 // not listed yet. The router infers that restart until the list gives the start or the server's answers
-// contradict it, and it limits what is sent to the server like that of any cold server (coldHasRoom). Keys
-// don't move because of it: weights follow the list.
+// contradict it, and it limits what is sent to the server as for any cold server (coldHasRoom). An inferred
+// restart moves no keys: weights follow the list.
 
 import (
 	"slices"
@@ -25,7 +25,8 @@
 	// If more than this fraction of the servers is down at once, the network paths are at fault.
 	maxDownFraction   = 0.5
 	commonCauseWithin = time.Second // restarts within this time of each other may have one cause
-	restartAnswers    = 16          // this many answers after an inferred restart show whether the cache is warm
+	// This many answers after an inferred restart show whether the cache is warm.
+	restartAnswers = 16
 	// The cache is warm if its hits reach this fraction of the usual fraction of hits.
 	minWarmHitRatio = 0.7
 	hitOutcomes     = 64.0 // the usual fraction of hits is averaged over this many answers
@@ -40,7 +41,7 @@
 	notifiedAt     time.Duration // when this router was notified of the restart
 	answers        int           // since notifiedAt
 	hits           int           // hits among those answers
-	commonCause    bool          // most other servers restarted at the same time, so the paths are at fault
+	commonCause    bool          // most others restarted at the same time, so network paths are at fault
 }
 
 // Observe handles a router's observation of a server. The same observation may arrive repeatedly.
@@ -86,7 +87,8 @@
 }
 
 // startTime returns when the process started and when this router was notified of that. It returns false if
-// no observation indicates a new process. If the server is still down, its process starts later than that.
+// no observation indicates a new process. For a server that is still down it returns the start of the
+// downtime, although the new process starts later.
 func (p *inferredRestart) startTime(now time.Duration) (started, notified time.Duration, known bool) {
 	if p.downSince != 0 && now-p.downSince >= minDowntime {
 		return p.downSince, p.downNotifiedAt, true
--- a/observations_test.go
+++ b/observations_test.go
@@ -82,7 +82,7 @@
 	const (
 		before    = 5 * time.Second
 		downtime  = 4 * time.Second
-		window    = 1500 * time.Millisecond // the settings' Fall
+		window    = 1500 * time.Millisecond // the settings' CollapseWindow
 		warmReads = observedShare * 1.5     // reads of a warm server in the window
 		cold      = warmReads*0.2*2.5 + 4   // limit right after a start: ColdCapacity, OverloadFactor, and 4 more by chance
 	)
--- a/pressure.go
+++ b/pressure.go
@@ -29,7 +29,7 @@
 
 // trials is the state of the reads that are let through while nearly all are refused.
 type trials struct {
-	active     bool          // pressure has reached its maximum and has not yet fallen below trialsEndPressure
+	active     bool          // pressure reached its maximum and has not yet fallen below trialsEndPressure
 	lastAt     time.Duration // when a read was last let through
 	goodSentAt time.Duration // when the latest attempt that ended well was sent
 }
@@ -87,16 +87,16 @@
 	r.overloadFraction *= math.Exp(-elapsed / 5)
 }
 
-// learnPressure protects the whole fleet against overload, which no router of hundreds sees at any one
-// server. It averages the outcomes over all servers, and if too many are bad, a fraction of the traffic is
-// refused on arrival, first the traffic over the tenants' shares. It also counts the outcomes of each server,
-// for its health.
+// learnPressure protects the whole fleet against overload. One of hundreds of routers sees too little of any
+// one server to notice an overload there. So learnPressure averages the outcomes over all servers,
+// and if too many are bad, a fraction of the traffic is refused on arrival, first the traffic over the
+// tenants' shares. It also counts the outcomes of each server, for its health.
 func (r *Router) learnPressure(q *request, t *attempt, o *Outcome) {
 	s, failed := t.target, o.Status == ServerError || o.Status == Reset || o.Status == ConnectFailed
 	bad := boolToFloat(t.cancelled || failed || o.Status == TurnedAway ||
 		o.Latency.Seconds() > badLatencyFraction*q.class.Aim.Seconds())
 	if t.failed {
-		bad = r.retryHelpFraction // the fraction for which the server is likely to blame
+		bad = r.retryHelpFraction // the server is likely to blame for this fraction of errors
 	}
 	if s.unlisted && (t.cancelled || failed || o.Status == Timeout) {
 		s.Phase = Removed
--- a/protection_test.go
+++ b/protection_test.go
@@ -462,9 +462,9 @@
 	}
 }
 
-// Guards against taking slow work for a queue. One fetch in sixteen takes longer than the aim leaves, like writes that have more
-// to do, and must not shrink the window; two late ones in eight must. At a site where writes take an origin 2.6 times as long as
-// reads, within half of their aim, the window fell to a third and a tenth of all reads was refused.
+// Guards against taking slow work for a queue. One late fetch in sixteen must not shrink the window: it has more work to do,
+// as writes have. Two late ones in eight must shrink it. At a site where writes take an origin 2.6 times as long as reads, within
+// half of their aim, the window had fallen to a third and a tenth of all reads was refused.
 func TestSlowWorkKeepsOriginWindow(t *testing.T) {
 	set := testSettings()
 	set.CacheAside, set.OriginKind, set.RouterCount, set.MaxAttempts = true, 2, 1, 2
--- a/router.go
+++ b/router.go
@@ -46,8 +46,8 @@
 	// A server is silent if it has sent nothing for this many usual latencies.
 	silentLatencies = 4
 	// An attempt is overtaken if its server has answered a later one. It may then wait for this many usual
-	// latencies. The rule applies only if that is less than overtakenAimFraction of the aim; otherwise another
-	// attempt would be wasted.
+	// latencies. The rule applies only if that is less than overtakenAimFraction of the aim; otherwise
+	// another attempt would be wasted.
 	overtakenLatencies   = 5
 	overtakenAimFraction = 0.6
 	// A server in good standing may be silent for at least this fraction of the aim.
@@ -98,7 +98,7 @@
 	silentSince           time.Duration // last answer, or the start of the first attempt in flight if later
 	lastAnsweredSentAt    time.Duration // send time of the latest attempt that it has answered
 	lateFraction          float64       // of an origin: fraction of its latest reads that were late
-	window                float64       // own attempts that may be in flight before keys go to the next server
+	window                float64       // own attempts allowed in flight before keys go to the next server
 	windowCutAt           time.Duration // when the window was last cut
 	idleSince             time.Duration // end of the last attempt; 0: none since connections were closed
 	outcomes, badOutcomes float64       // outcomes of the last seconds, decayed up to outcomesAt
@@ -146,9 +146,11 @@
 
 // Router makes the decisions of one router instance. New creates one.
 type Router struct {
-	settings                 Settings
-	actions                  Actions
-	randomState, salt        uint64 // state of the random sequence; places this router among a hot key's homes
+	settings Settings
+	actions  Actions
+	// randomState is the state of the random sequence. salt decides which of a hot key's homes this router
+	// uses.
+	randomState, salt        uint64
 	now                      time.Duration
 	servers                  map[uint32]*server // by id; listed, or with attempts in flight
 	caches, origins          []*server          // ready ones, sorted by id
@@ -188,13 +190,14 @@
 	// may need the origin, and among all other reads.
 	badFetchFraction, badCachedFraction float64
 	lastFetchAt                         time.Duration // when the last read that might need the origin ended
-	gate                                float64       // fraction let through of reads that may need the origin
-	gateFalling                         bool          // the latest fetch that counts ended badly
-	gateBeforeRun                       float64       // the gate when the latest run of bad fetches began
-	lastGoodFetchSentAt                 time.Duration // when the latest fetch that ended well was sent
+	// gate is the fraction that this router lets through of the reads that may need the origin.
+	gate                float64
+	gateFalling         bool          // the latest fetch that counts ended badly
+	gateBeforeRun       float64       // the gate when the latest run of bad fetches began
+	lastGoodFetchSentAt time.Duration // when the latest fetch that ended well was sent
 
 	retryHelpFraction float64                  // fraction of server errors after which another server answers
-	relativeLatency   map[int]float64          // smoothed latency relative to the usual one, by kind of machine
+	relativeLatency   map[int]float64          // smoothed latency relative to the usual, by kind of machine
 	pathBadFraction   map[int]float64          // smoothed fraction of bad outcomes, by the server's zone
 	cachedAt          map[uint64]time.Duration // when a key was last answered here
 
@@ -327,7 +330,8 @@
 	r.readyWeight = 0
 	for _, s := range r.caches {
 		listedWeight := s.Weight * r.listedProgress(s)
-		s.weight = listedWeight * r.health(s) * r.pathHealth(s.Zone) * r.kindSpeed(s.Kind) * r.zoneWeight(s.Zone)
+		s.weight = listedWeight * r.health(s) * r.pathHealth(s.Zone) *
+			r.kindSpeed(s.Kind) * r.zoneWeight(s.Zone)
 		r.readyWeight += s.weight
 	}
 }
@@ -352,7 +356,8 @@
 func (r *Router) ranking(q *request) iter.Seq[*server] {
 	x := q.Key
 	if x == 0 {
-		x = mix(uint64(q.ID) ^ r.randomState) // without a key: any server, but the same ranking for each attempt
+		// Without a key any server will do. The ranking may differ between attempts, as randomState changes.
+		x = mix(uint64(q.ID) ^ r.randomState)
 	}
 	x = mix(x)
 	for _, s := range r.caches {
@@ -396,8 +401,9 @@
 }
 
 // homesToSkip protects a server from a hot key, which no window shows if each router sees little of it. A key
-// with more than a quarter of one server's share of the reads gets as many next-best homes as can serve it,
-// and the routers spread evenly over them. It returns how many of the first servers in the ranking to skip.
+// with at least one server's share of the reads gets so many homes that each home serves about a quarter of
+// such a share, and the routers spread evenly over these homes. The result is how many of the first servers
+// in the ranking to skip.
 func (r *Router) homesToSkip(q *request) int {
 	fraction, n := r.keyFraction(q.Key), float64(len(r.caches))
 	// Two reads of a key may be coincidence, and spreading the key would cost a miss at each home.
@@ -408,8 +414,8 @@
 }
 
 // chooseServer returns the first server in the ranking that is up, has room and may get the request. It
-// prefers servers that the request has not tried. It returns nil once the first few are full, since going on
-// would only spread keys that few others read.
+// prefers servers that the request has not tried. It returns nil once the first few are full, since further
+// down it would only spread keys that few other requests read there.
 func (r *Router) chooseServer(q *request) *server {
 	var fallback *server
 	fullCount, skip := 0, r.homesToSkip(q)
@@ -491,7 +497,8 @@
 // mayNeedFetch reports whether a server may have to fetch a read's key from the origin.
 func (r *Router) mayNeedFetch(q *request) bool {
 	answeredAt, ok := r.cachedAt[q.Key]
-	return !r.settings.CacheAside && q.Key != 0 && !q.Write && (!ok || (r.now-answeredAt).Seconds() > keyCachedFor)
+	return !r.settings.CacheAside && q.Key != 0 && !q.Write &&
+		(!ok || (r.now-answeredAt).Seconds() > keyCachedFor)
 }
 
 func (r *Router) routerCount() float64     { return float64(max(r.settings.RouterCount, 1)) }
@@ -515,12 +522,13 @@
 
 // dispatch sends a request to the server that should get it now, or ends it.
 func (r *Router) dispatch(q *request) {
-	addsOverload := len(q.attempts) > 0 && !q.homeMissed && r.pressure > 1 // a retry would add to the overload
+	// While reads are refused, a retry would add to the overload.
+	addsOverload := len(q.attempts) > 0 && !q.homeMissed && r.pressure > 1
 	tooLate := (q.answerBy - r.now).Seconds() < r.usualLatencyOf(q)
 	attemptsUsed := len(q.attempts) >= r.settings.MaxAttempts
 	if addsOverload || !r.budgetAllows(q) || tooLate || attemptsUsed || !q.operatorAllowsRetry() ||
 		!q.takeOperatorRetry(r.now) {
-		r.finish(q, true) // no useful answer can come any more
+		r.finish(q, true) // another attempt is useless or not allowed
 		return
 	}
 	if r.settings.CacheAside && len(r.origins) > 0 && (q.homeMissed || q.Write) {
@@ -639,7 +647,7 @@
 
 // mayResend alone decides whether a request may be sent to a server now, given the effect of its class.
 func (r *Router) mayResend(q *request, s *server) bool {
-	openLimitReached := !r.settings.Hedging // at most two attempts are open
+	openLimitReached := !r.settings.Hedging // one attempt may be open, with hedging two
 	for i := range q.attempts {
 		t := &q.attempts[i]
 		if t.open && openLimitReached {
@@ -661,7 +669,7 @@
 	return true
 }
 
-// dedupEnd returns the time from which servers may run a repeat of the attempt again. It counts from the
+// dedupEnd returns the time from which servers may run a repetition of the attempt. It counts from the
 // earliest time at which the attempt can have arrived.
 func (r *Router) dedupEnd(q *request, t *attempt) time.Duration {
 	return t.sentAt + q.class.DedupTTL - 2*r.settings.TickInterval
@@ -767,7 +775,8 @@
 	}
 	t := &q.attempts[o.Attempt]
 	t.open, t.endStatus = false, o.Status
-	t.mayHaveRun = o.Status != TurnedAway && o.Status != ConnectFailed && o.Status != NotSent && o.Status != Miss
+	t.mayHaveRun = o.Status != TurnedAway && o.Status != ConnectFailed &&
+		o.Status != NotSent && o.Status != Miss
 	t.target.inFlight--
 	if o.Status == Miss {
 		q.missGrants++
@@ -838,9 +847,9 @@
 	}
 }
 
-// ClientDisconnected handles the disconnect of a client, after which the request needs no answer. If connections
-// answer in order, a call can be ended only by closing its connection, and the handshake of the next one
-// costs a server as much as the rest of a read. So a read then runs on until its time-out.
+// ClientDisconnected handles the disconnect of a client, after which the request needs no answer. If
+// connections answer in order, a call can be ended only by closing its connection, and the handshake of the
+// next connection costs a server as much as the rest of a read. A read then runs on until its time-out.
 func (r *Router) ClientDisconnected(now time.Duration, id uint32) {
 	r.now = now
 	if q := r.requests[id]; q != nil && !q.closed {
--- a/slow_start.go
+++ b/slow_start.go
@@ -3,8 +3,8 @@
 // Slow start limits what a server gets between its start and the end of the configured warm-up. A server that
 // has just started has an empty cache and only a fraction of its capacity. If all routers together send it
 // more than it can handle, it collapses. Its weight in the ranking grows during the warm-up, and in addition
-// the requests sent to it are limited (coldHasRoom). Times and fractions come from the settings (Cold,
-// ColdCapacity, Fall, OverloadFactor). Rates are in requests per second.
+// the requests sent to it are limited (coldHasRoom). Times and fractions come from the settings (WarmUp,
+// ColdCapacity, CollapseWindow, OverloadFactor). Rates are in requests per second.
 
 import (
 	"cmp"
@@ -41,10 +41,10 @@
 // of the list arrive.
 const maxDiscoveryLag = 6 * time.Second
 
-// StartInterval returns the bounds of the time at which a process started, if its start is in the list of now
-// and was not in the previous list. A listed start is the wall-clock time of another machine, which may be
-// hours off or be stepped. It counts only if it lies between the two lists by this router's own clock.
-// Otherwise all that is known is that the process started between them.
+// StartInterval returns the bounds of the time at which a process started. The list that arrived at the time
+// now gives its start, and the previous list did not. A listed start is the wall-clock time of another
+// machine, which may be hours off or be stepped. It counts only if it lies between the two lists by this
+// router's own clock. Otherwise all that is known is that the process started between them.
 func StartInterval(previousList, now, listed time.Duration) (from, to time.Duration) {
 	from = previousList - maxDiscoveryLag
 	if listed >= from && listed <= now {
@@ -87,11 +87,12 @@
 }
 
 // coldHasRoom limits what all routers together send to a cold server, whatever the ranking says. This
-// router's share of what the server can handle is a rate. Requests beyond that rate pass over the server at
-// random, which gives the right mean for any number of routers. The demand is the count of requests, or an
-// estimate if that is higher, so that a mass failure takes effect at once. For keys with their home at this
-// server the estimate follows the server's fraction of the ready weight or the key's fraction of the reads.
-// Other keys come from servers with a fault and may be all of the traffic.
+// router's limit is a rate, its share of what the server can handle. Requests beyond that rate pass over the
+// server at random, which gives the right mean for any number of routers. The demand is the count of
+// requests, or an estimate if that is higher, so that a mass failure takes effect at once. For keys with
+// their home at this server the estimate follows the server's fraction of the ready weight or the key's
+// fraction of the reads. Other keys come here because a server ranked before this one is full or has a fault,
+// and they may be all of the traffic.
 func (r *Router) coldHasRoom(q *request, s *server, isHome bool) bool {
 	if r.warmUpProgress(s) >= 1 {
 		return true
@@ -104,7 +105,8 @@
 	expected := r.arrivalRate / rate // an estimate, as this router may see too few requests to count
 	if isHome {
 		// A key that was seen only once may still be a hot one.
-		expected *= max(s.weight/max(r.readyWeight, 1e-9), float64(r.keyReads[q.Key])/float64(max(r.readCount, 8)))
+		expected *= max(s.weight/max(r.readyWeight, 1e-9),
+			float64(r.keyReads[q.Key])/float64(max(r.readCount, 8)))
 	}
 	allowed *= max(0, 1-float64(r.sentBeforeListed(s))/(rate*r.collapseWindow().Seconds()))
 	return r.random()*max(s.coldRequests, expected) < allowed
--- a/window.go
+++ b/window.go
@@ -1,7 +1,7 @@
 package hoptiller
 
 // A server's window is the number of this router's own attempts that may be in flight there. It is cut when
-// answers come late, and it grows while it is in use and they come in time.
+// answers come late, and it grows while it is in use and answers come in time.
 
 import "math"
 
@@ -10,8 +10,8 @@
 	firstCutWindow  = 12.0
 	windowCutFactor = 0.8 // what a late or refused answer leaves of a window
 	// One window's worth of good answers adds windowGain requests at all routers together, and at least
-	// minWindowGain at each router. Each router cuts its window by itself, and a window that regained only
-	// one router's share of hundreds would never recover.
+	// minWindowGain at each router. Each router cuts its window by itself. If one of hundreds of routers
+	// regained only its share of windowGain, its window would never recover.
 	windowGain      = 3.0
 	minWindowGain   = 0.3
 	lateAimFraction = 0.4 // an answer after this fraction of the aim is a sign of a queue
