--- a/internal/fleet/connlimit/connlimit.go
+++ b/internal/fleet/connlimit/connlimit.go
@@ -48,11 +48,11 @@
 	c.mean += (duration - c.mean) / time.Duration(c.n)
 }
 
-// IdleTimeout returns how long connections beyond the number that Kept returns may stay idle. However many routers there are and
-// however uneven their load is, the connections that all of them have open to a cache are those on which a call ended within
-// that time. In the time of one call a cache ends at most one call for each core, and typically half of its cores are busy.
-// The cache's connection limit therefore suffices for an idle time of twice the call's duration, times the number of
-// connections for each core. In a burst the limit may be reached, and connects fail.
+// IdleTimeout returns how long connections beyond the number that MaxIdle returns may stay idle. However many routers there are
+// and however uneven their load is, the connections that all of them have open to a cache are those on which a call ended
+// within that time. In the time of one call a cache ends at most one call for each core, and typically half of its cores are
+// busy. The cache's connection limit therefore suffices for an idle time of twice the call's duration, times the number of
+// connections for each core that are not busy. In a burst the limit may be reached, and connects fail.
 func (c *MeanCallDuration) IdleTimeout(connsPerCore int) time.Duration {
 	return time.Duration(float64(idleConnsPerCore(connsPerCore)) / typicalUtilization * float64(c.mean))
 }
--- a/internal/fleet/connlimit/connlimit_test.go
+++ b/internal/fleet/connlimit/connlimit_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// Kept divides the connections that are not busy among the routers.
+// MaxIdle divides the connections that are not busy among the routers.
 func TestMaxIdle(t *testing.T) {
 	if got := MaxIdle(300, 600); got != 9 { // the operator states 600 connections per core
 		t.Errorf("each of 300 routers retains %d connections of 3,000, want 9", got)
--- a/internal/fleet/drains/drains.go
+++ b/internal/fleet/drains/drains.go
@@ -64,7 +64,7 @@
 	states map[uint32]*drainState
 }
 
-// New returns a Caches that passes server lists on to next.
+// New returns a Filter that passes server lists on to next.
 func New(next Listener) *Filter {
 	return &Filter{next: next, listed: map[uint32]relay.Server{}, states: map[uint32]*drainState{}}
 }
@@ -150,7 +150,8 @@
 	}
 }
 
-// IsDrained reports whether the drain of a slot cache is complete: its weight is zero and it gets no new requests from this router.
+// IsDrained reports whether the drain of a slot cache is complete: its weight is zero and it gets no new requests from this
+// router.
 func (c *Filter) IsDrained(id uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/leases/answer.go
+++ b/internal/fleet/leases/answer.go
@@ -60,8 +60,8 @@
 	return list
 }
 
-// trueLast returns the result of comparing two items of which exactly one meets a condition and is to be sorted last. first
-// says whether it is the first item.
+// trueLast returns the result of comparing two items. Exactly one of them meets a condition, and that item is to be sorted
+// last. first says whether it is the first of the two.
 func trueLast(first bool) int {
 	if first {
 		return 1
--- a/internal/fleet/leases/leases_test.go
+++ b/internal/fleet/leases/leases_test.go
@@ -327,8 +327,8 @@
 
 var traces = flag.Uint64("courses", 60, "number of random traces of events that TestRandomEvents runs")
 
-// Routers die, restart, are paused and are cut off, and datagrams are lost, delayed and duplicated. Never do the routers
-// together believe more slot caches to be drained than the bound allows.
+// Routers die, restart, are paused and are cut off, and datagrams are lost, delayed and duplicated. The routers
+// together never believe more slot caches to be drained than the bound allows.
 func TestRandomEvents(t *testing.T) {
 	reached := 0
 	for seed := range *traces {
--- a/internal/fleet/leases/manager.go
+++ b/internal/fleet/leases/manager.go
@@ -14,7 +14,7 @@
 // incarnation. A renewal is due when two thirds of the permit's time remain.
 const (
 	takeOverBelow       = 5 * time.Second // remaining time below which others take a lease over
-	overdueBelow        = 6 * time.Second // remaining time below which others pull from the owner, in case it has renewed the lease
+	overdueBelow        = 6 * time.Second // remaining time below which others pull from the owner, which may have renewed it
 	renewalPullInterval = 60 * time.Millisecond
 	takeOverDelay       = 100 * time.Millisecond // between the turns of two successive routers to take a lease over
 
@@ -29,8 +29,8 @@
 	ErrFull     = fmt.Errorf("%d leases are known already, which is the maximum", MaxLeases)
 )
 
-// AlreadyManagedError reports that a lease for the same slot cache or release exists or is requested already. Router is the router that
-// manages it.
+// AlreadyManagedError reports that a lease for the same slot cache or release exists or is requested already. Router is the
+// number of the router that manages the lease.
 type AlreadyManagedError struct{ Router int }
 
 // Error implements error.
@@ -246,7 +246,8 @@
 	if stored.Epoch%epochStep == epochStep-1 { // one more would change the epoch to that of the next begin or end
 		return false
 	}
-	distance := (k.self - int(stored.Owner) + k.routerCount) % k.routerCount // 0: the owner is an earlier incarnation of this router
+	// A distance of 0 means that the owner is an earlier incarnation of this router.
+	distance := (k.self - int(stored.Owner) + k.routerCount) % k.routerCount
 	return distance == 0 || stored.expires-now <= takeOverBelow-time.Duration(distance-1)*takeOverDelay
 }
 
--- a/internal/fleet/leases/store.go
+++ b/internal/fleet/leases/store.go
@@ -1,5 +1,5 @@
 // Package leases spreads leases through the fleet: records that one router announces and all routers must know, such as that a
-// slot cache is out of service or that a release runs. A lease expires by itself: no router needs to be told that it has
+// slot cache is out of service or that a release runs. A lease expires by itself: no router needs to be notified that it has
 // ended, and nothing of it is left ten seconds after the last announcement.
 //
 // Leases spread by gossip (Demers and others, "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987): a router
@@ -61,8 +61,8 @@
 const (
 	MaxBody = 120 // bytes, so that the longest lease fits a datagram
 
-	// MaxLeases is enough for 1,024 slot caches that are out of service and as many that were so until a moment ago. It limits the
-	// memory that other routers' datagrams can use up at this router. Memory is used only for leases that exist.
+	// MaxLeases is enough for 1,024 slot caches that are out of service and as many that were out of service until a moment ago.
+	// It limits the memory that other routers' datagrams can use up at this router. Memory is used only for leases that exist.
 	MaxLeases = 2048
 
 	maxSlots = 3 // of one lease; a slot cache has two groups that limit it
@@ -93,9 +93,9 @@
 	startupPeriod  = 10 * time.Second // after the start, in which a router pulls even if it knows no lease
 	pullTimeout    = 2 * time.Second  // after which an answer is ignored
 
-	// maxPulls is how many pulls may be open at once. It limits the work of pulling, not the number of leases that can be learned.
-	// Once half of them are open, pulls are spaced by minPullInterval, so that they are sent no
-	// faster than they time out.
+	// maxPulls is how many pulls may be open at once. It limits the work of pulling, not the number of leases that can be
+	// learned. Once half of maxPulls are open, pulls are spaced by minPullInterval, so that they are sent no faster than they
+	// time out.
 	maxPulls        = 64
 	minPullInterval = pullTimeout / (maxPulls / 2)
 
@@ -137,8 +137,8 @@
 // RejectedDatagrams returns the number of datagrams that were rejected.
 func (s *Store) RejectedDatagrams() uint64 { return s.rejected }
 
-// Get returns a lease that is valid now, and for how long it is. A lease that says that its drain or release has ended counts
-// too.
+// Get returns a lease that is valid now, and for how long it remains valid. This includes a lease whose drain or release has
+// ended.
 func (s *Store) Get(now time.Duration, key Key) (lease Lease, remaining time.Duration, ok bool) {
 	stored := s.leases[key]
 	if stored == nil || now >= stored.expires {
@@ -180,7 +180,8 @@
 	stored := s.leases[lease.Key]
 	if stored != nil && now < stored.expires && !lease.NewerThan(&stored.Lease) {
 		if !stored.Lease.NewerThan(&lease) {
-			stored.expires = max(stored.expires, expires) // two answers had the same lease: both are right, so the later time counts
+			// Two answers had the same lease. Both are right, so the later time counts.
+			stored.expires = max(stored.expires, expires)
 		}
 		return false
 	}
--- a/internal/fleet/leases/wire.go
+++ b/internal/fleet/leases/wire.go
@@ -29,7 +29,7 @@
 	kindPull         = 2
 	kindAnswer       = 3
 
-	flagOff = 1
+	flagOff = 1 // the drain or release has ended
 )
 
 var errMalformed = errors.New("malformed lease datagram")
--- a/internal/fleet/peers/drains.go
+++ b/internal/fleet/peers/drains.go
@@ -78,7 +78,8 @@
 		if complete := p.settings.Drains.IsDrained(lease.ID); complete && !logged.complete {
 			logged.complete = true
 			slog.Info("slot cache " + logged.cacheName + " gets nothing new")
-			d.Complete = true                                // routers that learn of the drain from now on drain the slot cache at once
+			// Routers that learn of the drain from now on drain the slot cache at once.
+			d.Complete = true
 			p.leases.SetBody(now, lease.Key, encodeDrain(d)) // fails if another router owns the lease; that one changes it itself
 		}
 	}
@@ -103,7 +104,7 @@
 
 // DrainCache requests a permit for draining a slot cache. Once it is granted, all routers drain the slot cache: its weight
 // falls to zero over rampTime. The drain ends by itself after maxDuration. The error is ErrUnknownCache or one of package
-// notes.
+// leases.
 func (p *Peers) DrainCache(name string, maxDuration, rampTime time.Duration) error {
 	server, ok := p.settings.Drains.FindByName(name)
 	if !ok {
@@ -168,8 +169,9 @@
 	// releaseDuration is how long the fleet keeps a release whose driver has gone.
 	releaseDuration = 24 * time.Hour
 
-	// The names of a release and of its driver, and the stage that the driver states, are limited to this many bytes, so that they
-	// fit into the body of a lease. A driver that replaces more routers than a stage can list states that they are many.
+	// The names of a release and of its driver, and the stage that the driver states, are limited to these numbers of bytes, so
+	// that they fit into the body of a lease. A driver that replaces more routers than a stage can list states that they are
+	// many.
 	MaxReleaseName = 24
 	MaxDriverName  = 28
 	MaxStage       = 64
@@ -185,7 +187,8 @@
 	Reason string `json:"why,omitempty"` // why the permit was last refused
 }
 
-// ReleaseRunningError is the error of a driver's call while another driver runs the release, or while the fleet runs another release.
+// ReleaseRunningError is the error of a driver's call while another driver runs the release, or while the fleet runs another
+// release.
 type ReleaseRunningError struct {
 	RunningRelease
 	DriverGone bool // this router owns the release and has not heard from its driver for DriverTimeout
--- a/internal/fleet/peers/drains_test.go
+++ b/internal/fleet/peers/drains_test.go
@@ -117,7 +117,8 @@
 	if err := p.DrainCache("s-00000010", time.Hour, 0); !errors.As(err, &taken) {
 		t.Errorf("drained twice: %v", err)
 	}
-	p.settings.Drains.UpdateServers(hoptiller.ListFull, nil) // the slot cache has left the list, and can be activated all the same
+	// The slot cache leaves the list, and can be activated all the same.
+	p.settings.Drains.UpdateServers(hoptiller.ListFull, nil)
 	if err := p.ActivateCache("s-00000010"); err != nil {
 		t.Error(err)
 	}
--- a/internal/fleet/peers/fetch.go
+++ b/internal/fleet/peers/fetch.go
@@ -14,8 +14,8 @@
 	maxReportBytes = 64 << 20 // enough for the report on 65,535 routers
 )
 
-// FetchReport requests one router's view of the fleet from its operators' interface at addr. The result holds the view or an error
-// text.
+// FetchReport requests one router's view of the fleet from its operators' interface at addr. The result holds the view or an
+// error text.
 func FetchReport(ctx context.Context, addr string) (result FetchResult) {
 	result.Addr = addr
 	view, err := fetch(ctx, addr)
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -31,14 +31,16 @@
 	Phase   func() view.Phase   // returns this router's current phase; called with each tick
 	Details func() view.Details // returns the details to publish about this router; called with each tick
 
-	Agent           *permit.Agent  // this router's part in granting and acquiring permits; nil if there are no permits
-	SetOutOfService func(out bool) // called with true to send clients away and with false to accept them again; required with Agent
+	Agent *permit.Agent // this router's part in granting and acquiring permits; nil if there are no permits
+
+	// SetOutOfService is called with true to send clients away and with false to accept them again. It is required with Agent.
+	SetOutOfService func(out bool)
 
 	Caches func() []hoptiller.CacheState // returns the state of the slot caches as this router knows it; required with Agent
 	Drains *drains.Filter                // drains slot caches; required with Agent
 
-	// OnObservation, if set, is called with what any router, this one included, observed of slot caches: with a new observation when the
-	// datagram arrives that contains it, and with all observations that are kept at each tick.
+	// OnObservation, if set, is called with what any router, this one included, observed of slot caches: with a new observation
+	// when the datagram that contains it arrives, and at each tick with all observations that are kept.
 	OnObservation func(view.Observation)
 
 	WrapConn func(*net.UDPConn) Conn // if set, wraps each socket
@@ -185,7 +187,8 @@
 
 // receive handles the datagrams that arrive on conn until it is closed.
 func (p *Peers) receive(conn Conn) error {
-	b := make([]byte, 2*view.MaxDatagramBytes) // longer than allowed, so that a datagram that is too long is detected and not cut off
+	// The buffer is longer than a datagram may be, so that a datagram that is too long is detected and not cut off.
+	b := make([]byte, 2*view.MaxDatagramBytes)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/fleet/permit/acquirer.go
+++ b/internal/fleet/permit/acquirer.go
@@ -30,8 +30,7 @@
 	Ended            // it has given the permit back, or lost it
 )
 
-// Acquirer acquires, renews and releases one permit. It serves for one time that something goes out of service; the next time
-// needs a new one.
+// Acquirer acquires, renews and releases one permit. Each time that something goes out of service needs a new Acquirer.
 type Acquirer struct {
 	Permit uint64
 	Lease  time.Duration
@@ -40,7 +39,7 @@
 	Choose func(held map[Slot]uint64) []Slot
 	// Random returns a random number, at least 0 and less than 1, from which the delay before the next round is computed.
 	Random     func() float64
-	ClockDrift float64 // MaxClockDrift, or another fraction for a search
+	ClockDrift float64 // MaxClockDrift, or another fraction in a search for protocol faults
 	// NeverReleases is set if no slot is given back, not even those that a minority of the voters granted, because other routers
 	// rely on the permit.
 	NeverReleases bool
@@ -180,7 +179,8 @@
 			a.sendRequests()
 		}
 	case Ended:
-		if a.remainingReleases > 0 && now >= a.nextSend { // a voter that gets no release keeps the slots taken until the lease expires
+		// A voter that gets no release keeps the slots taken until the lease expires.
+		if a.remainingReleases > 0 && now >= a.nextSend {
 			a.remainingReleases--
 			a.nextSend = now + resendInterval
 			a.sendReleases()
@@ -214,8 +214,8 @@
 	if a.grants++; a.grants < Majority(a.voterCount) {
 		return
 	}
-	// The voters' leases began after the request was sent. By this clock the permit therefore lasts from the sending, less the
-	// time by which the clocks may differ.
+	// The voters' leases began after the request was sent. By this clock the permit therefore lasts for the lease's
+	// duration from the sending, less the time by which the clocks may drift apart.
 	if heldUntil := a.sent + time.Duration(float64(a.Lease)*(1-a.ClockDrift)); heldUntil > now {
 		a.phase, a.heldUntil = Holding, max(a.heldUntil, heldUntil)
 	}
--- a/internal/fleet/permit/agent.go
+++ b/internal/fleet/permit/agent.go
@@ -78,13 +78,13 @@
 	Self, RouterCount int               // this router's number, and how many routers there are
 	Zone              int               // this router's zone
 	MaxRouters        Bound             // how many routers may be out of service
-	MaxRoutersPerZone Bound             // how many routers of a zone; a fraction is one of the routers seen in it; the zero value sets no limit
+	MaxRoutersPerZone Bound             // how many routers of a zone, or which fraction of those seen in it; zero sets no limit
 	MaxCaches         Bound             // how many slot caches may be out of service
 	MaxCachesPerZone  Bound             // how many slot caches of a zone; the zero value sets no limit
 	ObserveFleet      func() FleetState // called by the voter
 	Random            func() uint64     // returns random bits
 
-	// VisitTakenSlots, if set, calls visit for each slot that another permit is known to hold, however this router has learned it.
+	// VisitTakenSlots, if set, calls visit for each slot that a permit is known to hold, however this router has learned of it.
 	VisitTakenSlots func(visit func(s Slot, permit uint64))
 
 	voters       []int
@@ -198,8 +198,8 @@
 	return groups
 }
 
-// Acquire starts to acquire a permit for this router and reports whether it did so. It does nothing while a permit is requested or
-// held already.
+// Acquire starts to acquire a permit for this router and reports whether it did so. It does nothing while a permit is requested
+// or held already.
 func (a *Agent) Acquire(now time.Duration) bool {
 	if a.Active(now) {
 		return false
--- a/internal/fleet/permit/transferable.go
+++ b/internal/fleet/permit/transferable.go
@@ -6,7 +6,7 @@
 )
 
 // Permits of slot caches and of releases are transferable: they belong to no router. One router requests such a permit, and
-// when that router is gone another one can go on renewing it with what it has learned of it. Once a transferable permit has
+// when that router is gone another one can go on renewing it with what it knows of the permit. Once a transferable permit has
 // been held, its slots are never given back: any router that has heard that a slot cache is out of service believes so for as
 // long as the lease lasts, and the slots must stay taken for longer than any router believes it.
 
--- a/internal/fleet/release/release_test.go
+++ b/internal/fleet/release/release_test.go
@@ -362,7 +362,8 @@
 				t.Fatal(err)
 			}
 			r = New(fleet.now, testParams(), fleet.order(), records)
-			for _, n := range r.RoutersByStage()[Replacing] { // as the driver does, take back commands that were recorded and never ran
+			// As the driver does, take back commands that were recorded and never ran.
+			for _, n := range r.RoutersByStage()[Replacing] {
 				begins := 0
 				for _, x := range fleet.records {
 					if x.Event == EventBegin && x.Router == n {
--- a/internal/fleet/rollout/command.go
+++ b/internal/fleet/rollout/command.go
@@ -9,10 +9,10 @@
 	"syscall"
 )
 
-// A command runs in its own session, so it continues when the driver is killed. It has two files open as long as it runs. To the
-// first the process itself writes a byte before it executes the command, which shows that the command has begun. The second
-// carries a lock, which is free once the command and all processes that inherited the file from it have ended. From these files
-// the next driver knows whether the command has begun and whether it still runs.
+// A command runs in its own session, so it continues when the driver is killed. It has two files open as long as it runs. The
+// process itself writes a byte to the first file before it executes the command, which shows that the command has begun. The
+// second file carries a lock, which is free once the command and all processes that inherited the file from it have ended. From
+// these files the next driver knows whether the command has begun and whether it still runs.
 
 // errStillRunning is returned if the previous command for a router still runs.
 var errStillRunning = errors.New("the previous command for this router still runs")
--- a/internal/fleet/rollout/driver.go
+++ b/internal/fleet/rollout/driver.go
@@ -226,7 +226,7 @@
 
 // waitForLease waits until this driver holds the fleet's release lease, but no longer than a dead driver may still hold it.
 func (d *Driver) waitForLease(ctx context.Context, mode Mode) error {
-	// A driver counts as dead after 15 s, a lease expires in 10 s, and voters do not answer for 10 s after their start.
+	// A driver counts as dead after 15 s, a lease expires in 10 s, and voters grant nothing for 10 s after their start.
 	const maxWait = 45 * time.Second
 	for start := time.Now(); ; {
 		leaseHeld, holder, _ := d.holdLease(ctx, "begins")
--- a/internal/fleet/rollout/driver_test.go
+++ b/internal/fleet/rollout/driver_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// TestEnd checks that End calls one router after the other until one knows the release. A router that has just started knows
-// none.
+// TestEnd checks that EndRelease calls one router after the other until one knows the release. A router that has just started
+// knows none.
 func TestEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		statuses []int
@@ -226,8 +226,8 @@
 	}
 }
 
-// TestState checks that a router counts as serving if most of the others report the same of it, and that the state of a router
-// that does not answer is what most others report.
+// TestState checks that a router counts as serving if at least half of the others report the same process as serving, and that
+// the state of a router that does not answer is what most others report.
 func TestState(t *testing.T) {
 	newReport := func(self int, phase2, start2 string) *peers.Report {
 		r := &peers.Report{Self: self, Checksum: "s", Permit: &peers.PermitStatus{State: "none"}}
--- a/internal/fleet/rollout/fleet.go
+++ b/internal/fleet/rollout/fleet.go
@@ -126,8 +126,9 @@
 // targetRevision returns the revision of a changed router. The plan states either a program or settings.
 func (f *fleet) targetRevision() string { return f.plan.ProgramDigest + f.plan.SettingsDigest }
 
-// state combines the answers of the routers into the state of the fleet. A router serves if it reports so and most of the others
-// that answered report the same of it. The state of a router that does not answer is what most others report.
+// state combines the answers of the routers into the state of the fleet. A router serves if it reports so and at least half of
+// the others that answered report the same process as serving. The state of a router that does not answer is what most others
+// report.
 func (f *fleet) state(answers map[int]answer) *release.FleetState {
 	fleetState := &release.FleetState{Routers: map[int]release.Router{}, ViewsAgree: true}
 	checksums := map[string]bool{}
@@ -245,12 +246,14 @@
 			return false, text, false
 		case status == http.StatusGone:
 			return false, "an operator has ended it", true
-		case status == http.StatusNotFound && d.leaseHeld: // the lease expired unrenewed, for lack of a majority, or this router is new
+		case status == http.StatusNotFound && d.leaseHeld:
+			// The lease expired unrenewed, for lack of a majority, or this router is new.
 			holder = "it is unknown to router " + strconv.Itoa(router)
 			leaseUnknown = true
 		case status == http.StatusConflict:
 			holder = text
-			if n := leaseRouterIn(text); n >= 0 && !tried[n] { // that router knows whether the driver that holds the lease is dead
+			// The router that manages the lease knows whether the driver that holds it is dead.
+			if n := leaseRouterIn(text); n >= 0 && !tried[n] {
 				candidates = slices.Insert(candidates, i+1, n)
 				continue
 			}
--- a/internal/fleet/rollout/plan.go
+++ b/internal/fleet/rollout/plan.go
@@ -11,8 +11,8 @@
 	"hoptiller/internal/plan"
 )
 
-// CheckPlan checks a release plan against the running fleet. It returns the waves of the release, and a report of what in the plan
-// does not fit the fleet.
+// CheckPlan checks a release plan against the running fleet. It returns the waves of the release, and a report of what in the
+// plan does not fit the fleet.
 func CheckPlan(ctx context.Context, p *plan.Release) (waves [][]int, report *plan.Report) {
 	f, report := newFleet(p), &plan.Report{}
 	for name, words := range map[string][]string{"replace": p.ReplaceCommand, "back": p.RollbackCommand} {
--- a/internal/fleet/view/clock_test.go
+++ b/internal/fleet/view/clock_test.go
@@ -10,7 +10,8 @@
 func TestRestartAfterClockWasSetBack(t *testing.T) {
 	const within = 5 * time.Second
 	for _, setBack := range []time.Duration{-time.Minute, 0, time.Second, time.Hour} {
-		for _, downtime := range []time.Duration{0, 30 * time.Second} { // it restarts at once, or after the others declared it dead
+		// The router restarts at once, or after the others have declared it dead.
+		for _, downtime := range []time.Duration{0, 30 * time.Second} {
 			now := time.Duration(0)
 			all := newViews(3, 0, 1, 2)
 			all[1].SetDetails(Details{VersionHash: 7})
--- a/internal/fleet/view/gossip.go
+++ b/internal/fleet/view/gossip.go
@@ -22,9 +22,8 @@
 // correction is a claim about a router. It is to be sent to another router, whose information is outdated.
 type correction struct{ to, router uint16 }
 
-// sendMultiplier scales how often each router sends an update. Nearly all of n routers know an update
-// after each has sent it log2(n) times. Three times as many sends also reach those that have missed it (SWIM, section 4.1:
-// lambda log n).
+// sendMultiplier scales how often each router sends an update. Nearly all of n routers know an update after each has sent it
+// log2(n) times. Three times as many sends also reach the routers that have missed it (SWIM, section 4.1: lambda log n).
 const sendMultiplier = 3
 
 // setRouterCount sets the numbers of sends for a fleet of n routers.
--- a/internal/fleet/view/member.go
+++ b/internal/fleet/view/member.go
@@ -47,7 +47,7 @@
 
 // The states of a router.
 const (
-	Alive   State = iota // the router answers, or nobody has claimed that it doesn't; also the state of routers that are not known
+	Alive   State = iota // the router answers, or nobody has claimed that it doesn't; also the state of unknown routers
 	Suspect              // a probe of the router failed, and the router has not refuted the suspicion yet
 	Dead                 // the router has not refuted a suspicion in time
 	Left                 // the router has announced that it shuts down
--- a/internal/fleet/view/probe.go
+++ b/internal/fleet/view/probe.go
@@ -81,7 +81,7 @@
 	v.now = now
 }
 
-// Tick advances the clock and does everything that is due. It is to be called at the time that Next returns.
+// Tick advances the clock and does everything that is due. It is to be called at the time that NextTick returns.
 func (v *View) Tick(now time.Duration) {
 	v.advanceClock(now)
 	if v.leaving {
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -325,8 +325,8 @@
 			return false
 		}
 		v.lastOverrideAt = v.now
-		// A former process sends no more claims: it is overridden once, or twice if a claim of it arrives late. From the third time
-		// on, another router must be using this number.
+		// A former process sends no more claims: it is overridden once, or twice if a claim of it arrives late. From the third
+		// time on, another router must be using this number.
 		if v.duplicateCount++; v.duplicateCount >= 3 && !v.ownDetails.DuplicateNumber {
 			v.ownDetails.DuplicateNumber = true
 			defer v.publishDetails()
@@ -342,7 +342,8 @@
 		m.Incarnation = c.inc.nextStart()
 	}
 	v.setMember(v.self, m)
-	if v.ownDetails.Seq != 0 && v.own.Details.Seq == 0 { // to the other routers this is a new process, so its details are sent again
+	// To the other routers this is a new process, so its details are sent again.
+	if v.ownDetails.Seq != 0 && v.own.Details.Seq == 0 {
 		v.publishDetails()
 	}
 	return true
