--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	headTimeout  = 2 * time.Second        // for a caller to send the head of its request; callers themselves wait for half of that
+	headTimeout  = 2 * time.Second        // for a caller to send the head of its request; callers themselves wait half as long
 	writeTimeout = time.Second            // for a caller to take the answer
 	closeTimeout = 200 * time.Millisecond // for a caller to close its side of the connection
 	maxDiscarded = 256 << 10              // bytes after the head that are read and discarded
 )
 
-// Call defines what the call of one path does. Either Do or Ask is set.
+// Call defines what the call of one path does. Either Do or Query is set.
 type Call struct {
 	Method string // HTTP method of the call
 	// Do carries out a call without parameters. If ok is false, the body says why, and the status is 503.
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,6 @@
 // Package admission applies an operator's plan to requests. It decides which requests pass the
 // plan's rate and concurrency limits before the decision module sees them, and how the plan
-// constrains what the module may do with a request (hoptiller.Narrowing). The router and the
+// constrains what the module may do with a request (hoptiller.Constraints). The router and the
 // lab run the same code.
 //
 // The package does no I/O, starts no goroutines and reads no clock: the caller passes the time in.
@@ -23,9 +23,9 @@
 type Decision struct {
 	RequestID  uint64
 	Verdict    limit.Verdict
-	RetryAfter time.Duration // with No: when the client should retry; 0 if it gets no hint
-	WaitUntil  time.Duration // with Wait: when the request has to leave the queue
-	Limit      string        // with No: the name of the limit that rejected the request
+	RetryAfter time.Duration // with Rejected: when the client should retry; 0 if it gets no hint
+	WaitUntil  time.Duration // with Queued: when the request has to leave the queue
+	Limit      string        // with Rejected: the name of the limit that rejected the request
 }
 
 // Controller holds the limits of one router. It is safe for concurrent use.
--- a/internal/admission/constraints.go
+++ b/internal/admission/constraints.go
@@ -25,7 +25,7 @@
 const (
 	unboundedConcurrency = 1 << 30
 	unboundedTimeout     = time.Hour
-	singleAttempt        = 1 // value of a policy's Copies that forbids hedging
+	singleAttempt        = 1 // value of a policy's MaxInFlight that forbids hedging
 )
 
 // newConstraints returns the constraints of a table entry. It reuses the route's limits of the
@@ -71,7 +71,7 @@
 	return limits
 }
 
-// Unlimited reports whether no limit applies. Admit would then return Go, and Finish need not be called.
+// Unlimited reports whether no limit applies. Admit would then return Admitted, and Finish need not be called.
 func (c *Constraints) Unlimited() bool { return c.limits == nil && c.sharedGate == nil }
 
 // ForModule returns the constraints that the module gets with a request, or nil if there are none.
--- a/internal/buffer/reader.go
+++ b/internal/buffer/reader.go
@@ -50,8 +50,8 @@
 func (r *Reader) RawConn() syscall.RawConn { return r.raw }
 
 // EarliestArrival returns the earliest time at which the byte in front of an offset in the delivered bytes can have arrived.
-// Bytes that arrived while nobody read may have waited since the read before. Arrived is meant for the callback that
-// gets the bytes from Next or Again.
+// Bytes that arrived while nobody read may have waited since the read before. EarliestArrival is meant for the callback
+// that gets the bytes from Next or Redeliver.
 func (r *Reader) EarliestArrival(offset int) time.Time {
 	if at, known := r.arrivals.timeOf(offset); known {
 		return at
@@ -80,8 +80,8 @@
 	return err == syscall.EAGAIN
 }
 
-// MarkHandled records that all delivered bytes have been handled; the callback of Next or Again calls it. Until then
-// the connection is not quiet.
+// MarkHandled records that all delivered bytes have been handled; the callback of Next or Redeliver calls it. Until
+// then the connection is not quiet.
 func (r *Reader) MarkHandled() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/buffer/reader_test.go
+++ b/internal/buffer/reader_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// Waiting reports bytes that have arrived, leaves them readable, and reports nothing before they arrive.
+// MoreArrived reports bytes that have arrived, leaves them readable, and reports nothing before they arrive.
 func TestWaiting(t *testing.T) {
 	conns := make(chan net.Conn, 1)
 	client := testprog.Serve(t, func(_ context.Context, l net.Listener) error {
--- a/internal/front/close_reason.go
+++ b/internal/front/close_reason.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// reportClosed reports the end of the connection to Front.Closed. It logs the end if requests were left unanswered.
+// reportClosed reports the end of the connection to Front.OnClosed. It logs the end if requests were left unanswered.
 func (c *conn) reportClosed() {
 	c.mu.Lock()
 	reason, err, unanswered := c.closeReason, c.closeError, c.unansweredCount
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -142,7 +142,8 @@
 		// Closing a connection while data is unread or still on its way resets the connection, and the client may lose the
 		// last answer. If no answer was written, the connection is closed at once, since its slot is needed and a silent
 		// client does not close its side either.
-		// A request that arrives after CloseWrite must not be read: the client may only retry elsewhere because it was not.
+		// A request that arrives after CloseWrite must not be read: the client may retry it elsewhere only
+		// because it was not read.
 		tcp.CloseWrite()
 		c.SetReadDeadline(time.Now().Add(closeTimeout))
 		c.reader.AwaitPeerClose()
@@ -167,7 +168,7 @@
 		var consumed int
 		outcome := outcomeIncomplete
 		err := next(func(b []byte) (used int) {
-			if disconnected = c.reader.PeerClosed(); !disconnected { // else the client has disconnected already and wants no answer
+			if disconnected = c.reader.PeerClosed(); !disconnected { // a client that has disconnected wants no answer
 				used, outcome = c.takeCommands(ctx, b)
 			}
 			consumed = used
@@ -189,7 +190,7 @@
 				continue
 			}
 		}
-		// A connection that is to end while its client still sends ends behind the commands that have been taken so far.
+		// If a connection is to end while its client still sends, it ends after the commands that have been taken so far.
 		last = last || consumed > 0 && !mustWait && c.front.grace() > 0 && c.endsWhenIdle() && c.reader.Unconsumed() == 0
 		c.mu.Lock()
 		if partial := c.reader.Unconsumed() > 0 && !mustWait; partial != c.hasPartialCommand || partial && consumed > 0 {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -32,12 +32,12 @@
 	Deadlines       []time.Duration     // deadline of a request that states none, by class
 	Aims            []time.Duration     // target latency, after which an answer counts as late, by class; 0 or a nil slice: never
 	MaxConns        int                 // client connections at the same time
-	MaxUsedConns    int                 // connections that have sent a command; idle ones beyond that end as others connect; 0: no limit
+	MaxUsedConns    int                 // connections that sent a command; surplus idle ones end as others connect; 0: no limit
 	MaxStartedConns int                 // connections that have sent at least a part of a command; 0: no limit
 	MaxOpenRequests int                 // open requests at which a connection may have only one command open
 	AcceptDuration  time.Duration       // after a stop: for how long connections are still accepted
 	ServeDuration   time.Duration       // after a stop: for how long open connections are served at most
-	CommandGrace    time.Duration       // after Keep: for how long the rest of a command may arrive
+	CommandGrace    time.Duration       // after ServeDuration: for how long the rest of a command may arrive
 	FailOpenAfter   time.Duration       // after a stop: when all requests still open are answered as failed; 0: never
 	ValueMemory     *semaphore.Weighted // memory budget of long values in bytes, at least the size of the longest value
 	Lifecycle       *lifecycle.State    // the router's lifecycle, e.g. serving, draining or stopping
@@ -66,9 +66,9 @@
 // Ready reports whether the router accepts clients and is to serve new ones.
 func (f *Front) Ready() bool { return f.accepting.Load() && f.Lifecycle.Phase() == lifecycle.Serving }
 
-// Serve accepts and serves clients until the lifecycle in Life stops. Then it accepts connections for Linger more, serves
-// the open connections until Keep is over, finishes the open requests and returns. When ctx is done, it drops all
-// connections.
+// Serve accepts and serves clients until Lifecycle stops. After the stop it accepts connections for AcceptDuration more and
+// serves the open connections for ServeDuration at most, both counted from the stop. Then it finishes the open requests and
+// returns. When ctx is done, it drops all connections.
 func (f *Front) Serve(ctx context.Context, listeners ...net.Listener) error {
 	f.connEnded = make(chan struct{}, 1)
 	f.openFailed, f.failOpen = context.WithCancel(context.Background())
@@ -103,8 +103,8 @@
 	return err
 }
 
-// isOpenFailed reports whether all open requests have been answered as failed. New requests are then answered the same way
-// at once.
+// hasFailedOpenRequests reports whether all open requests have been answered as failed. New requests are then answered the
+// same way at once.
 func (f *Front) hasFailedOpenRequests() bool { return f.openFailed.Err() != nil }
 
 // failOpenRequests answers all open requests as failed, since the process is about to be killed.
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -31,8 +31,8 @@
 	return relay.Answer{Kind: hoptiller.StepServed, Data: []byte("x")}
 }
 
-// However many commands a client sends without waiting, at most MaxOpenRequests requests are open at once, and the answers come in
-// the order of the commands.
+// However many commands a client sends without waiting, at most MaxOpenRequests requests are open at once, and the answers
+// come in the order of the commands.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	server := &concurrencyServer{}
 	conn := start(t, &Front{MaxConns: 4, MaxOpenRequests: 3, Server: server})()
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -20,7 +20,7 @@
 	maxBacklog = 4096
 
 	acceptPause   = 5 * time.Millisecond // pause after a failed accept
-	acceptRetries = 10                   // failed accepts in a row before a closing listener gives up, e.g. when descriptors run out
+	acceptRetries = 10                   // failed accepts in a row until a closing listener gives up, e.g. if descriptors run out
 )
 
 // errNoneWaiting is returned by acceptNow if no client waits to be accepted.
@@ -52,7 +52,8 @@
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			break
 		}
-		slog.Warn("accept failed", "err", err) // e.g. no descriptors are left, or the client has disconnected: the listener still works
+		// For example no descriptors are left, or the client has disconnected: the listener still works.
+		slog.Warn("accept failed", "err", err)
 		time.Sleep(acceptPause)
 	}
 	f.closeListener(ctx, g, l, slots)
--- a/internal/front/listener_test.go
+++ b/internal/front/listener_test.go
@@ -42,7 +42,7 @@
 	return l.TCPListener.Close()
 }
 
-// Race: the time Linger, in which clients still connect, ends while the process is paused. Clients that connected during the
+// Race: AcceptDuration, in which clients still connect, ends while the process is paused. Clients that connected during the
 // pause are served and not reset.
 func TestBacklogIsServedWhenTheListenerCloses(t *testing.T) {
 	paused := &pausedListener{resume: make(chan struct{}), stopped: make(chan struct{})}
@@ -125,8 +125,8 @@
 	}
 }
 
-// A full client table does not keep listeners open at a stop: they close when Linger is over, and clients that connected
-// before are answered or rejected.
+// A full client table does not keep listeners open at a stop: they close when AcceptDuration is over, and clients that
+// connected before are answered or rejected.
 func TestFullTableWhenTheListenersClose(t *testing.T) {
 	const linger = 100 * time.Millisecond
 	const maxDelay = 500 * time.Millisecond // tolerated delay of the listeners' close, on a busy machine
@@ -186,7 +186,8 @@
 	g := &errgroup.Group{}
 	go func() {
 		defer close(served)
-		f.accept(t.Context(), g, SharedListener{l}, make(chan struct{}), stop) // without a connection slot, so it accepts no client
+		// There is no connection slot, so accept accepts no client.
+		f.accept(t.Context(), g, SharedListener{l}, make(chan struct{}), stop)
 	}()
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
--- a/internal/front/long_value_test.go
+++ b/internal/front/long_value_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// Race: a client's long value waits for memory when the time Last after a stop is over. The request is answered as failed and
+// Race: a client's long value waits for memory when FailOpenAfter has passed since a stop. The request is answered as failed and
 // never passed on.
 func TestWaitingForMemoryWhenShutdownExpires(t *testing.T) {
 	t.Parallel()
--- a/internal/front/protocol.go
+++ b/internal/front/protocol.go
@@ -212,7 +212,8 @@
 	var answer relay.Answer
 	select {
 	case answer = <-pending.answer:
-	case <-c.front.openFailed.Done(): // the client must get an answer before the process ends, and no attempt may be sent after it
+	case <-c.front.openFailed.Done():
+		// The client must get an answer before the process ends, and no attempt may be sent after that answer.
 		pending.cancel()
 		answer.Kind = hoptiller.StepFail
 	case <-ctx.Done():
--- a/internal/front/race_test.go
+++ b/internal/front/race_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// A request that is still open when the time Last after a stop is over is answered as failed.
+// A request that is still open when FailOpenAfter has passed since a stop is answered as failed.
 func TestOpenRequestsFailWhenShutdownExpires(t *testing.T) {
 	t.Parallel()
 	server := disconnectServer{make(chan string, 9), make(chan string, 9)}
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -89,7 +89,7 @@
 	g.peak[priority] = max(g.peak[priority], float64(g.inFlight[priority]))
 }
 
-// Acquire asks for a slot for a request. If verdict is Wait, shed is the id of the request
+// Acquire asks for a slot for a request. If verdict is Queued, shed is the id of the request
 // that was removed from the full queue for it, or 0 if none was. The caller chooses the
 // ids, from 1. A rejected request should be retried after about RetryAfter.
 func (g *Gate) Acquire(now time.Duration, id uint64, priority int) (verdict Verdict, shed uint64) {
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -105,14 +105,16 @@
 	Adaptive bool
 	Min, Max int // bounds of an adaptive limit; a fixed limit is Max
 
-	limit           float64
-	baseline        float64       // latency without queueing in seconds; 0 if not known yet
-	lastCut         time.Duration // when the limit was last cut
-	lastProbe       time.Duration // when the baseline was last measured
-	toSkip, answers int           // answers to requests admitted under an earlier limit, not counted; answers counted since
-	durationSum     float64       // sum of the latencies of the counted answers, in seconds
-	probing         bool          // the baseline is being measured
-	saturated       bool          // a request was not admitted, or half of the limit was in use, since the limit last changed
+	limit     float64
+	baseline  float64       // latency without queueing in seconds; 0 if not known yet
+	lastCut   time.Duration // when the limit was last cut
+	lastProbe time.Duration // when the baseline was last measured
+	// toSkip is the number of answers still to ignore, because their requests were admitted under an earlier limit. answers is
+	// the number of answers counted since.
+	toSkip, answers int
+	durationSum     float64 // sum of the latencies of the counted answers, in seconds
+	probing         bool    // the baseline is being measured
+	saturated       bool    // a request was not admitted, or half of the limit was in use, since the limit last changed
 	started         bool
 }
 
--- a/internal/meta/meta.go
+++ b/internal/meta/meta.go
@@ -40,7 +40,7 @@
 	LongValueLen int    // length of a value longer than MaxShortValue; the value and a line end follow the command line
 }
 
-// The faults of a command. After a fault for which Fatal returns true the stream cannot be read on.
+// The faults of a command. After a fault for which IsFatal returns true, the stream cannot be read on.
 var (
 	ErrLineTooLong = errors.New("CLIENT_ERROR line too long")
 	ErrBadFormat   = errors.New("CLIENT_ERROR bad command line format")
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -27,7 +27,7 @@
 	late           []atomic.Int64              // completed after the target latency, by class
 	pending        atomic.Int64
 	upstream       atomic.Int64
-	repeatedChecks atomic.Int64 // final checks of attempts that were repeated
+	repeatedChecks atomic.Int64 // final checks that had to be repeated
 }
 
 // New returns Counters for the classes with these names.
@@ -54,7 +54,8 @@
 // AttemptSent counts an attempt that was written completely to a cache server or the origin.
 func (c *Counters) AttemptSent() { c.upstream.Add(1) }
 
-// CheckRepeated counts a final check of an attempt that had to be repeated because the process was paused after it.
+// CheckRepeated counts a final check that had to be repeated because the process was paused between the check and the first
+// byte of the attempt.
 func (c *Counters) CheckRepeated() { c.repeatedChecks.Add(1) }
 
 // AcceptedTotal returns the number of requests accepted since the start, pending ones included.
@@ -80,7 +81,7 @@
 	Downstream     map[string]Downstream `json:"downstream_requests"`     // by class
 	Late           map[string]int64      `json:"late_requests,omitempty"` // by class: completed after the target latency
 	Upstream       int64                 `json:"upstream_requests"`       // attempts sent to cache servers and the origin
-	RepeatedChecks int64                 `json:"looks_again,omitempty"`   // final checks of attempts that were repeated
+	RepeatedChecks int64                 `json:"looks_again,omitempty"`   // final checks that had to be repeated
 	Pending        int64                 `json:"pending"`                 // requests accepted and not finished
 	Members        int                   `json:"members"`
 	Unavailable    int                   `json:"members_unavailable"`
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -32,7 +32,7 @@
 	Timeout   time.Duration // how long the client waits for the answer, counted from Arrived
 
 	ClientAddr   netip.Addr            // the client's address; invalid if unknown
-	Disconnected func() bool           // checks whether the client has disconnected, even if nothing has noticed yet; nil: unknown
+	Disconnected func() bool           // checks whether the client has disconnected, even if not noticed yet; nil: unknown
 	Constraints  hoptiller.Constraints // what an operator forbids for the request; nil: nothing
 }
 
@@ -91,7 +91,8 @@
 // Upstream makes attempts at one kind of server.
 type Upstream interface {
 	// Call makes one attempt and returns when the attempt has ended or ctx is done. ctx must not outlast the client's
-	// deadline. sendCtx is done no later than ctx: the request is written completely before that, or nothing is sent.
+	// deadline. sendCtx is done no later than ctx. The request is written completely before sendCtx is done, or
+	// nothing is sent.
 	Call(sendCtx, ctx context.Context, server uint32, req *Request) Result
 	// Update records what is known now about a server. moved reports that the server has restarted or has another
 	// address, so that connections to the old process are useless.
@@ -278,12 +279,12 @@
 	}
 }
 
-// pauseThreshold is the delay of a timer from which a warning is logged. So long a delay means that the process or
-// the machine was paused.
+// pauseThreshold is the delay of a timer from which a warning is logged. Such a delay means that the process or the
+// machine was paused.
 const pauseThreshold = 100 * time.Millisecond
 
-// errRetryWindow is the cause with which the sendCtx of a retry ends when the time in which the retry may be sent is
-// over before the attempt's own time.
+// errRetryWindow is the cause with which the sendCtx of a retry ends if the time in which the retry may be sent ends
+// before the attempt's timeout.
 var errRetryWindow = errors.New("the retry window is over")
 
 // makeAttempt makes one attempt, unless the attempt was cancelled before it began. The attempt begins only while the
@@ -330,8 +331,8 @@
 }
 
 // UpdateServers takes a list update from discovery. The upstreams learn of a ready server before the decision module does,
-// because the module may pick the server at once. They learn after the module of a server that must get no new
-// requests, so that the module does not pick it again after an upstream has turned a request away.
+// because the module may pick the server at once. If a server must get no new requests, the upstreams learn of that after
+// the module does, so that the module does not pick the server again after an upstream has turned a request away.
 func (r *Relay) UpdateServers(kind hoptiller.ListKind, servers []Server) {
 	r.mu.Lock()
 	listed := make(map[uint32]bool, len(servers))
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -288,7 +288,7 @@
 }
 
 // An attempt's sendCtx ends when the client disconnects, when the attempt is cancelled, and, for a retry, when the
-// time ends in which servers drop repeats. Its ctx, until which it may be answered, does not end when the client
+// time ends in which servers drop repeated requests. Its ctx, until which it may be answered, does not end when the client
 // disconnects.
 func TestSendContext(t *testing.T) {
 	r, _, _ := newRelay(nil, nil)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -61,9 +61,9 @@
 }
 
 // abandon cancels a call, unless its answer has arrived meanwhile. Only the end of the connection notifies the
-// server, and that ends all calls on the connection. If there are other calls, the connection therefore only takes no
-// more calls, and is closed when the last of them has ended. Until then the cancelled call counts as in flight. A
-// router that wants to make another attempt must not wait for that: it calls the result's Abort.
+// server, and that ends all calls on the connection. If there are other calls, the connection therefore stays open,
+// takes no more calls, and is closed when the last of them has ended. Until then the cancelled call counts as in
+// flight. A router that wants to make another attempt must not wait for that end: it calls the result's Abort.
 func (p *Pool) abandon(c *conn, call *pendingCall) (r relay.Result, answered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/find.go
+++ b/internal/upstream/find.go
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// evictCooling closes an idle connection to a server that is still in its cooldown, to make room for another one, and
-// reports whether there was one. The caller holds p.mu.
+// evictCooling closes an idle connection that is still in its cooldown after an answer, to make room for another one
+// to the same server, and reports whether there was an idle one. The caller holds p.mu.
 func (p *Pool) evictCooling(s *server) bool {
 	for _, c := range s.conns {
 		if c.load == 0 {
--- a/internal/upstream/outgoing.go
+++ b/internal/upstream/outgoing.go
@@ -21,9 +21,9 @@
 )
 
 // outgoing is a call that is being written to its server. Since the call was picked, its client may have
-// disconnected, its time may have run out, or discovery may have listed the server as draining, and a drain is
-// binding when a call is sent. The final check of all these therefore comes after everything that waits or prepares,
-// right before the first byte.
+// disconnected, its time may have run out, or discovery may have listed the server as draining. No call may be sent
+// to a server that is listed as draining. The final check of all this therefore comes right before the first byte,
+// after everything that waits or prepares.
 type outgoing struct {
 	conn         *conn
 	sendCtx, ctx context.Context // the call may be sent until sendCtx is done, and may last until ctx is done
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -26,13 +26,13 @@
 	IdleLimit         time.Duration // a connection that has been idle for this long is not used again; 0: no limit
 	Cooldown          time.Duration // time after an answer in which no call is sent, because a second answer may arrive
 	ConnsPerCore      int           // connections that each core of a server accepts; 0: not stated
-	MaxIdle           int           // idle connections to one server that stay open until IdleLimit; surplus ones are closed sooner
+	MaxIdle           int           // idle connections to one server that stay open until IdleLimit; surplus ones close sooner
 	ConnectTimeout    time.Duration
 	ValueMemory       *semaphore.Weighted      // memory in bytes for values whose length is known only at their end
 	LoadReports       *loadreport.Table        // stores the load reports of servers; nil: they are dropped
 	Observed          func(id uint32, up bool) // called when a server is found to have no process, or answers again; may be nil
 	AttemptSent       func()                   // called for each call that was written completely; may be nil
-	CheckRepeated     func()                   // called for each final check of a call that had to be repeated; may be nil
+	CheckRepeated     func()                   // called for each final check that had to be repeated; may be nil
 	ConnClosed        func(CloseReason)        // called for each connection that was closed; may be nil
 }
 
@@ -91,8 +91,8 @@
 }
 
 // closeOutdated closes the connections to the former process of a server that has moved or restarted, because calls
-// that are in flight to a process that no longer exists are never answered. But news of a start arrive late: a
-// connection may already lead to the new process, and its calls continue. A long value that has begun to reach its
+// that are in flight to a process that no longer exists are never answered. However, discovery lists a restart
+// late: a connection may already lead to the new process, and its calls continue. A long value that has begun to reach its
 // client is never cut off: if its server no longer exists, the operating system reports that. The caller holds p.mu.
 func (p *Pool) closeOutdated(s *server) {
 	for _, c := range slices.Clone(s.conns) {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -38,7 +38,7 @@
 	return p
 }
 
-// listEntry returns the list listEntry of server 1.
+// listEntry returns the entry of server 1 in the server list.
 func listEntry(addr string, phase hoptiller.Phase) relay.Server {
 	return relay.Server{Addr: addr, Server: hoptiller.Server{ID: 1, Phase: phase}}
 }
--- a/internal/upstream/reap.go
+++ b/internal/upstream/reap.go
@@ -30,7 +30,8 @@
 	limit, now := p.surplusIdleTime(), time.Now()
 	next := limit + 1
 	for _, s := range p.servers {
-		for i := 0; i < len(s.conns) && len(s.conns) > p.settings.MaxIdle; { // the connections used last are at the end and stay open
+		// The connections used last are at the end and stay open.
+		for i := 0; i < len(s.conns) && len(s.conns) > p.settings.MaxIdle; {
 			c := s.conns[i]
 			left := limit - now.Sub(c.lastReleased)
 			if c.load == 0 && left <= 0 {
--- a/internal/upstream/stream_body.go
+++ b/internal/upstream/stream_body.go
@@ -77,7 +77,8 @@
 	}
 	c.stream = nil
 	if err != nil {
-		p.closeConn(c, hoptiller.Cancelled, valueCloseReason(err)) // the server is not at fault for the calls queued behind the value
+		// The server is not at fault for the calls queued behind the value, so they end as Cancelled.
+		p.closeConn(c, hoptiller.Cancelled, valueCloseReason(err))
 	} else {
 		b.finishComplete()
 	}
