--- a/cmd/hoplab/drill.go
+++ b/cmd/hoplab/drill.go
@@ -115,9 +115,9 @@
 	return paths
 }
 
-// play runs a drill, again if the machine was too busy for a verdict. It writes the verdict on each claim to w, and the
-// timeline to files whose paths begin with base. random says that the drill was generated: one that breaks a claim is then
-// written to a file too.
+// play runs a drill, and repeats the run if the machine was too busy for a verdict. It writes the verdict on each claim to w, and
+// the timeline to files whose paths begin with base. random reports whether the drill was generated. A generated drill that
+// breaks a claim is also written to a file.
 func (c *drillCmd) play(ctx context.Context, w io.Writer, f *drill.File, base string, random bool) (holds bool, err error) {
 	var r *drill.Report
 	for n := 1; ; n++ {
--- a/cmd/hoplab/sockets.go
+++ b/cmd/hoplab/sockets.go
@@ -101,7 +101,7 @@
 	}}, "")
 }
 
-// fleetCmd runs the stand-ins for routers that the user starts.
+// fleetCmd runs the servers that stand in for a platform. The user starts the routers.
 type fleetCmd struct {
 	fleetFlags `embed:""`
 	Dir        string  `help:"Folder for the routers' configurations." default:"fleet" type:"path"`
--- a/cmd/hoptiller/early_kill_test.go
+++ b/cmd/hoptiller/early_kill_test.go
@@ -38,8 +38,8 @@
 }
 
 // startWithShortDeadlines starts the program in an environment in which all classes have the aim and the deadline
-// shortDeadline. Late answers still have some worth, so that the program does not cut short the longer time of a client by its
-// own choice.
+// shortDeadline. Answers after the aim still have some worth, so that the program does not itself shorten the longer time that
+// a client states.
 func startWithShortDeadlines(t *testing.T) *environment {
 	from, to := `"onTime":9000000,"deadline":9000000`, fmt.Sprintf(`"lateValue":0.5,"onTime":%d,"deadline":%[1]d`, shortDeadline.Microseconds())
 	return startProgramWith(t, []string{"p1"}, "", from, to, from, to, from, to)
--- a/cmd/hoptiller/listen.go
+++ b/cmd/hoptiller/listen.go
@@ -44,7 +44,8 @@
 }
 
 const (
-	listenRetryTime     = 5 * time.Second       // how long the system may lack resources for a listener before the program gives up
+	// listenRetryTime is how long the system may lack resources for a listener before the program gives up.
+	listenRetryTime     = 5 * time.Second
 	listenRetryInterval = 10 * time.Millisecond // between two attempts
 )
 
@@ -90,7 +91,7 @@
 		return nil, socketError("is no listening socket")
 	}
 	// Another process that shares the socket may make it blocking again at any time, for example to pass it on. An accept
-	// call then blocks if the other process took the connection, which must not keep this process from ending.
+	// call then blocks if the other process took the connection. The limit lets this process end nevertheless.
 	blockLimit := syscall.NsecToTimeval(int64(maxAcceptBlock))
 	if err := syscall.SetsockoptTimeval(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &blockLimit); err != nil {
 		return nil, socketError("can't be used: " + err.Error())
--- a/cmd/hoptiller/load_test.go
+++ b/cmd/hoptiller/load_test.go
@@ -20,7 +20,8 @@
 		for l := range w.actors["p1"].lines {
 			if part := strings.Fields(l.text); len(part) > 3 {
 				answer := fmt.Sprintf("VA %d %s\r\n%s\r\n", len(value), part[3], value)
-				if len(value) < 1<<16 { // short answers are written in order; a long one has its own connection, and the write may block
+				// Short answers are written in order. A long one has its own connection, and the write may block.
+				if len(value) < 1<<16 {
 					io.WriteString(l.conn, answer)
 				} else {
 					go io.WriteString(l.conn, answer)
--- a/cmd/hoptiller/lost_requests_test.go
+++ b/cmd/hoptiller/lost_requests_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestCallSurvivesUpdateFromSkewedClock does the same with a discovery clock that is an hour ahead of the router's, or was set
-// forward in the meantime. A call that waits for its answer on a connection to the new process must not be cancelled by a
-// listed start time that lies in the future.
+// TestCallSurvivesUpdateFromSkewedClock also restarts a cache server at the same address. The clock of discovery is an hour ahead
+// of the router's, or was set forward in the meantime. A call that waits for its answer on a connection to the new process must
+// not be cancelled by a listed start time that lies in the future.
 func TestCallSurvivesUpdateFromSkewedClock(t *testing.T) {
 	t.Parallel()
 	w := startProgram(t, []string{"p1"}, "")
--- a/cmd/hoptiller/memory_test.go
+++ b/cmd/hoptiller/memory_test.go
@@ -32,7 +32,7 @@
 func TestMemoryOfLongValues(t *testing.T) {
 	const clients, size, maxMB = 28, 4 << 20, 32
 	w := startProgramWith(t, []string{"p1"}, "", `"memory_mb":192`, `"memory_mb":32`)
-	const row = 4096 // the origin counts complete lines to know that it has received a whole value
+	const row = 4096 // the origin counts complete lines to know that it has received a complete value
 	value := strings.Repeat(strings.Repeat("a", row-1)+"\n", size/row)
 	w.serveReads(value)
 	go func() {
--- a/cmd/hoptiller/remaining_time_test.go
+++ b/cmd/hoptiller/remaining_time_test.go
@@ -64,8 +64,8 @@
 
 // TestRemainingTimeAfterSlowAnswer checks that each attempt states the time that the client still waits: the first attempt, the
 // fetch from the origin after a slow miss, a write after a refusal, and the attempts of a request that the client marked as its
-// retry. A request without a time is forwarded without one. If it states two times the shorter one counts, and both are
-// replaced by the remaining time.
+// retry. A request without a time is forwarded without one. If a request states two times, the shorter one counts, and both
+// are replaced by the remaining time.
 func TestRemainingTimeAfterSlowAnswer(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/cmd/hoptiller/replace_test.go
+++ b/cmd/hoptiller/replace_test.go
@@ -141,7 +141,8 @@
 			if err := cache.expect("mg k1 *", false); err != nil {
 				t.Fatal(err)
 			}
-			socket.Fd()                                  // makes the socket blocking for all processes that share it, as passing it on does
+			// Fd makes the socket blocking for all processes that share it, as passing it on does.
+			socket.Fd()
 			partial := dial(t, listener.Addr().String()) // a client that has sent half of a command
 			fmt.Fprint(partial, "m")
 			if drained {
--- a/cmd/hoptiller/resource_limits.go
+++ b/cmd/hoptiller/resource_limits.go
@@ -21,9 +21,9 @@
 }
 
 // callsPerConn returns how many calls a connection to a slot cache carries before another one is opened. Connections are shared
-// if connections or handshakes have a price. If they have none each call gets a connection of its own, while there are enough:
-// then a reset, silent or corrupt connection fails only one call, and a call that is cancelled can end its connection at once,
-// since no other call uses it.
+// if connections or handshakes have a price. If they have none, each call gets a connection of its own while there are enough
+// connections. A reset, silent or corrupt connection then fails only one call, and a call that is cancelled can end its
+// connection at once, since no other call uses it.
 func callsPerConn(c *config.Config) int {
 	if c.ConnsPriced {
 		return callsPerSharedConn
--- a/cmd/hoptiller/scenario_test.go
+++ b/cmd/hoptiller/scenario_test.go
@@ -106,7 +106,8 @@
 	return startProgramWith(t, providers, operator)
 }
 
-// startProgramWith does the same and replaces parts of the configuration: replacements holds pairs of an old and a new text.
+// startProgramWith starts the program as startProgram does, and replaces parts of the configuration before. replacements holds
+// pairs of an old and a new text.
 func startProgramWith(t *testing.T, providers []string, operator string, replacements ...string) *environment {
 	w := &environment{actors: map[string]*actor{}, exited: make(chan error, 1)}
 	for _, name := range []string{"p1", "p2", "o", "d", "d2"} {
--- a/cmd/hoptiller/serve.go
+++ b/cmd/hoptiller/serve.go
@@ -35,16 +35,18 @@
 )
 
 const (
-	callsPerSharedConn = 4                       // calls on a cache connection before another is opened, if connections have a price
-	lingerTime         = 700 * time.Millisecond  // how long new clients are accepted after SIGTERM
-	killMargin         = 300 * time.Millisecond  // between the last answer and SIGKILL
-	handoverKeepTime   = 300 * time.Millisecond  // how long clients are served after SIGTERM where another process accepts new ones
-	commandGrace       = 500 * time.Millisecond  // how long after the keep time a client may still send the rest of a command
-	maxCommandGrace    = 2100 * time.Millisecond // commandGrace where there is time for a complete command before SIGKILL
+	// callsPerSharedConn is the number of calls on a cache connection before another is opened, if connections have a price.
+	callsPerSharedConn = 4
+	lingerTime         = 700 * time.Millisecond // how long new clients are accepted after SIGTERM
+	killMargin         = 300 * time.Millisecond // between the last answer and SIGKILL
+	// handoverKeepTime is how long clients are served after SIGTERM where another process accepts new ones.
+	handoverKeepTime = 300 * time.Millisecond
+	commandGrace     = 500 * time.Millisecond  // how long after the keep time a client may still send the rest of a command
+	maxCommandGrace  = 2100 * time.Millisecond // commandGrace where there is time for a complete command before SIGKILL
 	// originReuseDelay is how long an origin connection rests before it is reused. An origin answer names no request, and a
 	// surplus one comes some milliseconds late.
 	originReuseDelay = 20 * time.Millisecond
-	firstListTimeout = 2 * time.Second // for which a new process waits for an up-to-date list before it takes over clients
+	firstListTimeout = 2 * time.Second // how long a new process waits for an up-to-date list before it takes over clients
 )
 
 // serveCmd runs the router.
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -121,7 +121,8 @@
 	return nil
 }
 
-// deliverList passes a server list that an earlier List event has filled to the router.
+// deliverList passes the router the server list of the buffer that e names, which an earlier List event has filled. For a list
+// of the kind ListFailed it reads no buffer.
 func (h *routerHost) deliverList(router *hoptiller.Router, e *wire.Event) error {
 	if e.ListKind == hoptiller.ListFailed {
 		router.UpdateServers(h.reader.Clock, e.ListKind, nil)
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -39,7 +39,7 @@
 // endpointsEvent returns an Endpoints event that delivers the list in buffer 0 as a cached list.
 func endpointsEvent() []byte { return []byte{1, 2, 1, 0, 0, 0, 0} }
 
-// requestEvent returns a Knock event, which is a new request with this id.
+// requestEvent returns a RequestArrived event for a new request with this id.
 func requestEvent(id byte) []byte {
 	b := make([]byte, 30)
 	b[0], b[1] = 2, id
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -150,7 +150,7 @@
 }
 
 // assumeFleetSize sets the number of routers and records the assumptions behind it. Limits that apply to all routers
-// together depend on that number. They are safe if the assumed number is too large, never if it is too small.
+// together depend on that number. They are safe if the assumed number is too large, but not if it is too small.
 func (c *Config) assumeFleetSize(ownAddr string) {
 	stated := c.Settings.RouterCount
 	c.Settings.RouterCount = max(stated, len(c.Peers), 1)
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -30,7 +30,7 @@
 		}
 		if j, found := firstIndex[name]; !found {
 			firstIndex[name] = i
-		} else if *class != s.Classes[j] { // requests use the first of them
+		} else if *class != s.Classes[j] { // requests use the first class of a name
 			s.Classes[j].Effect = hoptiller.AtMostOnce
 			warn("class %q is stated twice: its requests are not sent twice", name)
 		}
--- a/internal/config/defaults_test.go
+++ b/internal/config/defaults_test.go
@@ -8,7 +8,7 @@
 	"hoptiller"
 )
 
-// Missing or invalid settings are reported in one line, and no class gets the rules of another class.
+// Missing or invalid settings are reported in one line, and no class gets the settings of another class.
 func TestSafeDefaults(t *testing.T) {
 	const read = `{"name":"read","effect":"idempotent","onTime":600000,"deadline":1500000}`
 	for set, warning := range map[string]string{
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Whatever the configuration states about the fleet, the router serves as one of as many routers as it can know of,
-// and reports in one line what it assumed. It reports nothing if nothing is missing.
+// The router serves whatever the configuration states about the fleet. It counts as many routers as the peers or the
+// settings name, whichever is more, and reports in one line what it assumed. It reports nothing if nothing is missing.
 func TestFleetAssumed(t *testing.T) {
 	for name, c := range map[string]struct {
 		peers, balancers, zone string
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// The rules on retries and on removal are read. Absent or unusual values cause no error, and a value of the wrong
-// type is named.
+// The settings for retries and for removal are read. Absent or unusual values cause no error. A value of the wrong
+// type causes a warning that names it.
 func TestRetryRules(t *testing.T) {
 	s, _, err := ParseSettings([]byte(`{"rules": {"budgetFree": 2, "furtherRatio": 0.15, "budgetWindow": 2000000,
 		"removalNotBinding": true}}`))
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -159,7 +159,7 @@
 }
 
 // Client fetches server lists from a Source when the Router requests them and passes them to a Listener. It
-// implements relay.Directory.
+// implements relay.Discovery.
 type Client struct {
 	listener Listener
 
@@ -194,10 +194,10 @@
 	return c
 }
 
-// Watch implements relay.Directory: it starts a watch, or stops all of them.
+// Watch implements relay.Discovery: it starts a watch, or stops all of them.
 func (c *Client) Watch(on bool) { c.enqueue(command{watch: on}) }
 
-// List implements relay.Directory: it fetches the full list.
+// List implements relay.Discovery: it fetches the full list.
 func (c *Client) List() { c.enqueue(command{list: true}) }
 
 // SetSource makes src the source of all later calls. Updates from the present watch still count until the new source has
@@ -303,10 +303,10 @@
 	errStaleList      = errors.New("an old list came after a newer one")
 )
 
-// applyUpdate passes an update from a watch or a list call to the listener, unless a newer one has been passed on
-// since that call began. Comparing versions is not enough, since a service that has restarted may count from a lower
-// version than the known one. The first update of a watch cancels all older watches, which continued until then so
-// that no change in between was missed. Later updates from a cancelled watch are rejected.
+// applyUpdate passes an update from a watch or a list call to the listener, unless a newer update has been passed on
+// since that watch or call began. A lower version alone does not make an update old, since a service that has
+// restarted may count from a lower version than the known one. The first update of a watch cancels all older watches.
+// These continue until then, so that no change in between is missed. Later updates from a cancelled watch are rejected.
 func (c *Client) applyUpdate(kind hoptiller.ListKind, u Update, w *watch) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -328,7 +328,7 @@
 }
 
 // reportFailure notifies the Router that a list call (w is nil) or a watch has failed. A failed watch is not reported
-// if a newer one runs in its place.
+// if a newer one runs in its place, or if it has been cancelled.
 func (c *Client) reportFailure(w *watch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -11,8 +11,8 @@
 	"hoptiller/internal/testprog"
 )
 
-// sendRepeatedly answers a watch by sending line the given number of times, and returns when it sent it for the last
-// time. It stops early if the machine paused it so long that the watch may end in between.
+// sendRepeatedly answers a watch by sending line the given number of times. It returns the time of the last sending. It
+// stops early if the machine has paused it for so long that the watch may end between two lines.
 func sendRepeatedly(conn net.Conn, line string, times int, silence time.Duration) (last time.Time) {
 	pause := time.NewTicker(silence / 8)
 	defer pause.Stop()
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -45,7 +45,7 @@
 // Finding describes one fault in a file.
 type Finding struct {
 	Pos    Pos
-	Width  int    // number of characters that it concerns; 0 if the fault has no place in the text
+	Width  int    // number of characters that it concerns; 0 if the fault has no position in the text
 	Rule   string // name of the violated rule, stable across versions of the program
 	Text   string // description of the fault
 	Accept string // what is accepted instead
--- a/internal/plan/check.go
+++ b/internal/plan/check.go
@@ -77,8 +77,8 @@
 	return strings.Join(names[:min(len(names), 12)], ", ")
 }
 
-// parseHeader parses the head of a statement with a block: a name that no other such statement has, or, if named is
-// false, no name.
+// parseHeader parses the head of a statement with a block. If named is true, the statement takes a name that no other
+// statement of its kind has. Otherwise it takes no name and may occur once.
 func (c *checker) parseHeader(s *statement, named bool) (name string, ok bool) {
 	if !s.hasBlock {
 		c.addFinding(s.loc, "block", s.name+" needs a block", s.name+" { ... }")
--- a/internal/plan/check_platform.go
+++ b/internal/plan/check_platform.go
@@ -23,7 +23,8 @@
 	for _, r := range c.routes {
 		for _, class := range c.classesOf(r) {
 			c.checkClass(r, class, func(loc location, rule, what, accept string) {
-				if key := (findingKey{loc, rule}); !reported[key] { // a finding about a policy that many routes share is reported once
+				// A finding about a policy that many routes share is reported once.
+				if key := (findingKey{loc, rule}); !reported[key] {
 					reported[key] = true
 					c.addFinding(loc, rule, what, accept)
 				}
@@ -135,7 +136,7 @@
 				fmt.Sprintf("%s must never run twice (route %s)", name, r.Name), "copies 1")
 		}
 	case hoptiller.Deduplicated:
-		last := time.Duration(attempts-1) * p.Timeout // latest start of the last attempt, after that of the first
+		last := time.Duration(attempts-1) * p.Timeout // from the start of the first attempt to the latest start of the last
 		if (afterRun != 0 || p.MaxInFlight > 1) && class.DedupTTL > 0 && last >= class.DedupTTL {
 			addFinding(p.locations.lookup("timeout"), "repeat-window",
 				fmt.Sprintf("attempt %d may begin %s after the first, and repeats are dropped for %s only %s",
--- a/internal/plan/load.go
+++ b/internal/plan/load.go
@@ -101,7 +101,7 @@
 	hasBlock bool
 }
 
-// value is a value with its location. For a value from a constant that is the location where the constant is used.
+// value is a value with its location. A value from a constant has the location at which the constant is used.
 type value struct {
 	text     string
 	quoted   bool
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -76,7 +76,7 @@
 	Timeout        time.Duration // timeout of one call
 	Attempts       int           // number of calls, including the first, without fetches after a miss
 	RetryOn        Outcomes      // outcomes after which a retry is allowed
-	RetryStated    bool          // the file states Repeat, even if it is empty
+	RetryStated    bool          // the file has a repeat statement, which may be "repeat never"
 	MaxInFlight    int           // number of calls in flight at once
 	Budget         float64       // retries for each request, as a fraction
 	BudgetMinRate  float64       // retries per second that are always allowed
@@ -139,10 +139,10 @@
 type Fleet struct {
 	View              string // on or off; empty: as the platform's settings state
 	RoutersOut        Bound  // how many routers may be out of service by permit; zero value: one
-	RoutersOutPerZone Bound  // how many routers of one zone may; zero value: as many as of the fleet
+	RoutersOutPerZone Bound  // how many routers of one zone may be; zero value: as many as of the fleet
 
 	CachesOut        Bound // how many slot caches of the fleet may be out of service by permit
-	CachesOutPerZone Bound // how many slot caches of one zone may
+	CachesOutPerZone Bound // how many slot caches of one zone may be
 	locations        locationMap
 }
 
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// The way in which a file is written makes no difference. Each field with an effect that differs is reported,
+// How a file is written makes no difference. Each field with an effect that differs is reported,
 // wherever it is stated.
 func TestDiff(t *testing.T) {
 	base := "policy p {\n\ttimeout 1s\n}\npool q {\n\tzone regina\n}\nroute a {\n\tpolicy p\n\tpool q\n}\nroute b {\n\tclass book\n}\n"
--- a/internal/plan/release.go
+++ b/internal/plan/release.go
@@ -17,7 +17,7 @@
 type Release struct {
 	Name                 string
 	ProgramDigest        string         // digest of the program that updated routers show in the view
-	SettingsDigest       string         // digest of the settings that they show; either Program or Settings is stated
+	SettingsDigest       string         // digest of the settings that they show; either ProgramDigest or SettingsDigest is stated
 	ReplaceCommand       []string       // command that replaces a router, with {number} and {address} as placeholders
 	RollbackCommand      []string       // command that restores the previous version of a router
 	StateDir             string         // folder for the state that the driver must keep
@@ -46,7 +46,7 @@
 // MaxReleaseName is the maximum length of a release's name, in bytes.
 const MaxReleaseName = 24
 
-// LoadRelease reads a release plan in the way in which Load reads an operator's file. A relative path of the state
+// LoadRelease reads a release plan as Load reads an operator's file. A relative path of the state
 // folder is relative to the plan's folder.
 func LoadRelease(name string, read func(name string) ([]byte, error)) (*Release, *Report) {
 	l := &loader{read: read, report: &Report{texts: map[string][]string{}}, loaded: map[string]bool{},
--- a/internal/plan/values.go
+++ b/internal/plan/values.go
@@ -9,8 +9,8 @@
 	"hoptiller/internal/unit"
 )
 
-// singleValue returns the only value of a statement. The result is false if there is not exactly one, or if it is
-// missing.
+// singleValue returns the only value of a statement. The result is false if there is not exactly one value, or if it
+// is the placeholder for a missing value.
 func (c *checker) singleValue(s *statement) (value, bool) {
 	c.rejectBlock(s)
 	if len(s.values) == 1 {
--- a/internal/unit/exact.go
+++ b/internal/unit/exact.go
@@ -69,7 +69,7 @@
 }
 
 // formatShifted writes a float64 of 0 or more as the shortest decimal that parses to the same value, with the decimal
-// point moved to the right by places digits.
+// point moved to the right by places, a number of digits.
 func formatShifted(x float64, places int) string {
 	whole, fraction, _ := strings.Cut(strconv.FormatFloat(x, 'f', -1, 64), ".")
 	fraction += strings.Repeat("0", max(0, places-len(fraction)))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -64,8 +64,8 @@
 	ListKind  hoptiller.ListKind // Endpoints
 	ListIndex uint8              // Endpoints, List
 	Servers   []hoptiller.Server // List
-	Request   hoptiller.Request  // Knock
-	Outcome   hoptiller.Outcome  // ReportBack; for Flowing its request, attempt, latency and server
+	Request   hoptiller.Request  // RequestArrived
+	Outcome   hoptiller.Outcome  // AttemptEnded; StreamStarted sets only request, attempt, latency and server
 	ID        uint32             // ClientDisconnected
 	Token     uint64             // TimerFired
 }
@@ -242,7 +242,8 @@
 	return fmt.Errorf("batch byte %d: "+format, append([]any{offset + batchHeader}, args...)...)
 }
 
-// bytes returns the next n bytes. If there are fewer it records an error and returns nil, and so do all later calls.
+// bytes returns the next n bytes. If there are fewer, it records an error and returns nil. After an error all calls
+// return nil.
 func (r *Reader) bytes(n int) []byte {
 	if r.err != nil {
 		return nil
