--- a/internal/draws/draws.go
+++ b/internal/draws/draws.go
@@ -1,6 +1,9 @@
-// Package draws gives property tests a stated seed, so that the same tree gives the same verdict every time. A test
-// file that uses rapid imports it for that effect alone. The flag still goes before: -rapid.seed=0 draws anew, which
-// make fuzz does; what it finds rapid writes under the package's testdata/rapid, from where every later run plays it.
+// Package draws gives property tests a fixed seed, so that the same tree gives the same verdict every time. A test file
+// that uses rapid imports this package for that effect alone.
+//
+// The flag -rapid.seed takes precedence over this seed. With -rapid.seed=0, which make fuzz sets, each run draws anew.
+// Rapid writes a failure that it finds to testdata/rapid in the folder of the tested package, and every later run
+// replays it from there.
 package draws
 
 import (
--- a/internal/lab/arrival/arrival.go
+++ b/internal/lab/arrival/arrival.go
@@ -18,7 +18,7 @@
 // kernel keeps the end of a connection in whole ticks of its clock.
 const Uncertainty = 10 * time.Millisecond
 
-// maxArrivals is the largest number of arrivals that a Log keeps for calls of At.
+// maxArrivals is the largest number of arrivals that a Log keeps for calls of ArrivalTime.
 const maxArrivals = 4096
 
 // Log is a connection that records when the bytes that it reads arrived. Only one goroutine at a time may call Read. All other
@@ -86,7 +86,8 @@
 	return l.lastReceived
 }
 
-// ArrivalTime returns when the byte at an offset arrived. The byte must have been read. Later calls must not use a smaller offset.
+// ArrivalTime returns when the byte at an offset arrived. The byte must have been read. Later calls must not use a smaller
+// offset.
 func (l *Log) ArrivalTime(offset int64) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +125,7 @@
 	return l.ended, !l.ended.IsZero()
 }
 
-// lookForEnd asks the kernel whether the peer has ended the connection. l.mu is held.
+// checkEnded asks the kernel whether the peer has ended the connection. l.mu is held.
 func (l *Log) checkEnded() {
 	if !l.ended.IsZero() {
 		return
--- a/internal/lab/arrival/arrival_test.go
+++ b/internal/lab/arrival/arrival_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// At returns the arrival time of each byte, although the bytes are read later and At is called later still.
+// ArrivalTime returns the arrival time of each byte, although the bytes are read later and ArrivalTime is called later still.
 func TestAt(t *testing.T) {
 	near, far := pair(t)
 	var before, after [2]time.Time
@@ -102,7 +102,7 @@
 	})
 }
 
-// End returns the time at which the peer ended a connection, even if nobody has read from it since.
+// EndTime returns the time at which the peer ended a connection, even if nobody has read from it since.
 func TestEnd(t *testing.T) {
 	near, far := pair(t)
 	if _, ended := near.EndTime(); ended {
--- a/internal/lab/drill/check.go
+++ b/internal/lab/drill/check.go
@@ -109,9 +109,9 @@
 	from, to float64
 }
 
-// findOutages returns the outages that the events report. The function is returns what is out of service and whether a line
-// begins or ends its outage. An outage begins with the line that reports it. It ends with the line that reports its end, or
-// with the end of the process; if a release replaces the process, when the new one is seen ready; if the process is paused,
+// findOutages returns the outages that the events report. The function classify returns what is out of service and whether a
+// line begins or ends its outage. An outage begins with the line that reports it. It ends with the line that reports its end,
+// or with the end of the process; if a release replaces the process, when the new one is seen ready; if the process is paused,
 // when the longest lease has expired since. Where times are uncertain the outage begins as late and ends as early as the
 // observations allow, in favour of the claim.
 func findOutages(events []Event, classify func(e Event) (what string, begins, ends bool)) (all []outage) {
--- a/internal/lab/drill/file.go
+++ b/internal/lab/drill/file.go
@@ -22,7 +22,7 @@
 // File is a drill as its TOML file describes it.
 type File struct {
 	Title          string          `toml:"title"`
-	Day            model.Day       `toml:"day"`    // model.Prairie with the settings that the file states; its faults are played too
+	Day            model.Day       `toml:"day"`    // model.DefaultDay with the settings of the file; its faults are played too
 	AbsentRouters  int             `toml:"absent"` // routers that the peer lists contain but that don't exist
 	OperatorsFile  string          `toml:"file"`   // text of the operators' file that all routers read; empty: they have none
 	Plan           *ReleasePlan    `toml:"release"`
@@ -67,7 +67,7 @@
 	ReleaseCommand string `toml:"do,omitempty"`   // release: start, resume, back (roll back) or halt
 	OtherMachine   bool   `toml:"away,omitempty"` // release: on another machine, which has no journal of the release
 
-	Delay          unit.Duration `toml:"delay,omitempty"`  // datagrams and TCP: delay of each datagram or of each chunk of a stream
+	Delay          unit.Duration `toml:"delay,omitempty"`  // datagrams and TCP: delay of each datagram or chunk of a stream
 	Stall          bool          `toml:"stall,omitempty"`  // TCP: nothing passes, and neither side gets an error
 	Reset          bool          `toml:"refuse,omitempty"` // TCP: open and new connections are reset
 	ResetAfter     int           `toml:"after,omitempty"`  // TCP: bytes after which a connection is reset; 0: never
@@ -99,7 +99,7 @@
 	Pattern    string        `toml:"text,omitempty"`    // a regular expression for log lines, views, release output or commands
 	Routers    []int         `toml:"routers,omitempty"` // numbers of the routers that the claim is about; empty: all
 	MinService float64       `toml:"least,omitempty"`   // service: the lowest service that counts, from 0 to 1
-	MaxAtOnce  int           `toml:"most,omitempty"`    // permits and drains: the largest number that may be out of service at once
+	MaxAtOnce  int           `toml:"most,omitempty"`    // permits and drains: largest number that may be out of service at once
 	MaxShare   float64       `toml:"share,omitempty"`   // unserved and unexplained: the largest fraction
 	AllowNone  bool          `toml:"none,omitempty"`    // permits and drains: holds also if nothing is ever out of service
 	Within     unit.Duration `toml:"within,omitempty"`  // time limit, counted from the end of the last step or fault
--- a/internal/lab/drill/play.go
+++ b/internal/lab/drill/play.go
@@ -355,8 +355,8 @@
 	}
 }
 
-// onLogLine passes on to which slot caches a router says that it sends no new requests. The stand-ins then check that it
-// keeps to that.
+// onLogLine notifies the stand-ins if a router logs that it sends a slot cache no new requests, or that the cache is no longer
+// drained. The stand-ins then check that the router keeps to that.
 func (p *player) onLogLine(router int, line string) {
 	p.mu.Lock()
 	control := p.control
@@ -404,9 +404,9 @@
 	p.record(i, "called %s: %s %s", path, r.Status, strings.TrimSpace(string(body)))
 }
 
-// pollChanges calls ask for a router at an interval until ctx ends and records each change of the text that ask returns. The
-// calls go through the same proxy as those of operators, so its faults affect them: ask then returns false, or a text that
-// says that there was no answer.
+// pollChanges calls the function ask for a router at an interval until ctx ends, and records each change of the text that it
+// returns. The calls go through the same proxy as those of operators. If a fault of the proxy affects a call, ask returns
+// false, or a text that says that there was no answer.
 func (p *player) pollChanges(ctx context.Context, i int, from string, every time.Duration,
 	ask func(addr string) (text string, ok bool)) {
 	addr := p.adminProxyAddr(i)
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -29,7 +29,7 @@
 	Policies []string       `toml:"policies"` // "hoptiller" or a name of package rival; see also Operator
 	Seeds    int            `toml:"seeds"`    // number of seeds, from day.seed on; 1 if not stated
 	Series   bool           `toml:"series"`   // record time series with one value a second
-	Day      model.Day      `toml:"day"`      // model.Prairie with the changes of the file
+	Day      model.Day      `toml:"day"`      // model.DefaultDay with the changes of the file
 	Sweep    map[string]any `toml:"sweep"`    // lists of values by a figure of the day, or by several figures separated by commas
 	Plot     Plot           `toml:"plot"`
 
@@ -181,7 +181,7 @@
 	return &Error{Path: path, Line: lineOf(text, figure), Text: what}
 }
 
-// DayError returns an *Error for an error of model.Day.Check, at the line that sets the figure.
+// DayError returns an *Error for an error of model.Day.Validate, at the line that sets the figure.
 func DayError(path string, text []byte, err error) error {
 	return FigureError(path, text, "day."+figureOf(err), err.Error())
 }
@@ -202,7 +202,7 @@
 	return &Error{Path: path, Text: strings.TrimPrefix(err.Error(), "toml: ")}
 }
 
-// figureOf returns the name of the figure with which an error of model.Day.Check begins.
+// figureOf returns the name of the figure with which an error of model.Day.Validate begins.
 func figureOf(err error) string {
 	name, _, _ := strings.Cut(err.Error(), " is ")
 	return name
@@ -372,7 +372,7 @@
 }
 
 // Marshal returns the text of an experiment file with this day. The text has only the figures that differ from
-// model.Prairie.
+// model.DefaultDay.
 func Marshal(title string, policies []string, day *model.Day) ([]byte, error) {
 	changed, err := ChangedFigures(day)
 	if err != nil {
@@ -381,7 +381,7 @@
 	return toml.Marshal(map[string]any{"title": title, "policies": policies, "day": changed})
 }
 
-// ChangedFigures returns the figures of a day that differ from model.Prairie, as tables of an experiment file.
+// ChangedFigures returns the figures of a day that differ from model.DefaultDay, as tables of an experiment file.
 func ChangedFigures(day *model.Day) (map[string]any, error) {
 	base := model.DefaultDay()
 	baseTables, err := tree(&base)
--- a/internal/lab/experiment/hunt.go
+++ b/internal/lab/experiment/hunt.go
@@ -35,8 +35,8 @@
 	Theirs float64 // score of the rival
 }
 
-// Run draws and plays days until ctx ends or the maximum number is reached. It simplifies each finding as far as Shrink
-// allows and passes it to found. It returns the number of days played.
+// Run draws and plays days until ctx ends or the maximum number is reached. It simplifies each finding as far as
+// MaxSimplifications allows and passes it to found. It returns the number of days played.
 func (h *Hunt) Run(ctx context.Context, maxDays int, found func(*Finding)) (played int, err error) {
 	var mu sync.Mutex
 	g, gctx := errgroup.WithContext(ctx)
@@ -177,7 +177,7 @@
 	return day
 }
 
-// drawFault draws a random fault. Some kinds take other sizes than the common range of 0.1 to 0.6.
+// drawFault draws a random fault. The severity of some kinds is outside the common range of 0.1 to 0.6.
 func drawFault(r *rand.Rand, day *model.Day, randomDuration func(a, b float64) unit.Duration,
 	uniform func(a, b float64) float64) model.Fault {
 	kinds := model.FaultKinds()
--- a/internal/lab/invariants/rules.go
+++ b/internal/lab/invariants/rules.go
@@ -18,7 +18,7 @@
 	Effects   = "effects"    // a call that may have been executed is retried or refused only where the class allows it
 	OneCall   = "one-call"   // a request has at most one call in flight
 	Attempts  = "attempts"   // a request has a limited number of calls
-	Drain     = "drain"      // nothing new is sent to a server soon after the router has learned of its drain or end
+	Drain     = "drain"      // soon after a router has learned of a server's drain or end, it sends the server nothing new
 	Cold      = "cold"       // a cold cache does not collapse under load from routers that know of its start
 	Origin    = "origin"     // misses at cold caches are no major share of a load that stops the origin
 	Listed    = "listed"     // only servers on the router's own list are called
--- a/internal/lab/invariants/timeleft.go
+++ b/internal/lab/invariants/timeleft.go
@@ -78,7 +78,7 @@
 func (c *Checker) TimeLeftReceived(now time.Duration, router int, id uint32, sent time.Duration, unreadable error) {
 	request := c.routers[router].requests[id]
 	if request == nil || request.answered {
-		return // Sent reports calls after the final answer
+		return // CallSent reports calls after the final answer
 	}
 	if unreadable != nil {
 		c.addViolation(TimeLeft, now, router, id, "an attempt tells its server no time that can be read: %v", unreadable)
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -67,14 +67,14 @@
 	return net.Listen("tcp", net.JoinHostPort(host, "0"))
 }
 
-// reserved holds the addresses that Leave has returned and that Release has not freed.
+// reserved holds the addresses that Reserve has returned and that Release has not freed.
 var reserved struct {
 	sync.Mutex
 	addrs map[string]bool
 }
 
-// maxReserveAttempts is how often Leave asks the system for a port at most. A host has thousands of ports, so this is enough
-// even if one in two is reserved.
+// maxReserveAttempts is how often Reserve asks the system for a port at most. A host has thousands of ports, so this is
+// enough even if one in two is reserved.
 const maxReserveAttempts = 100
 
 // Reserve finds a free port of a router's address and reserves it for the router's process. No other call in this process
@@ -103,7 +103,7 @@
 	return "", fmt.Errorf("no port of router %d is free that has not been left already", router)
 }
 
-// Release frees an address that Leave has returned. It must be called when no process will listen there any more.
+// Release frees an address that Reserve has returned. It must be called when no process will listen there any more.
 func Release(addr string) {
 	reserved.Lock()
 	defer reserved.Unlock()
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -64,7 +64,7 @@
 	l.Close()
 }
 
-// Leave returns an address to one caller only until it is released, however many addresses are requested.
+// Until an address is released, Reserve returns it to one caller only, however many addresses are requested.
 func TestLeaveReserves(t *testing.T) {
 	const addresses = 600 // without a check two of this many random ports out of some thousands would be the same
 	seen := map[string]bool{}
--- a/internal/lab/membership/simulation.go
+++ b/internal/lab/membership/simulation.go
@@ -123,7 +123,8 @@
 	})
 	r.view.SetPhase(view.Serving)
 	s.flush(i)
-	firstTick := s.now + time.Duration(s.rng.Int64N(int64(view.ProbeInterval))) // random, so that routers don't tick at the same time
+	// The first tick is at a random time, so that routers don't tick at the same time.
+	firstTick := s.now + time.Duration(s.rng.Int64N(int64(view.ProbeInterval)))
 	s.push(event{at: firstTick, to: i, from: noSender, incarnation: r.incarnation})
 }
 
--- a/internal/lab/model/cache.go
+++ b/internal/lab/model/cache.go
@@ -26,7 +26,7 @@
 	hanging        bool       // accepts calls and starts none
 	heldCalls      []*Call    // calls received while hanging
 	stayDown       bool       // has collapsed or left for good, and is not restarted
-	recentColdWork []ColdWork // work received within the window Rules.Fall, while cold
+	recentColdWork []ColdWork // work received within the window Invariants.CollapseDuration, while cold
 	recentColdSum  float64
 }
 
@@ -100,7 +100,7 @@
 	c.workers.clear()
 }
 
-// acceptConn does the work of a new connection. This work does not need a free place in the queue, because a
+// acceptConn does the work of a new connection. This work does not need a free slot in the queue, because a
 // core does it before it reads anything.
 func (c *Cache) acceptConn(router int) {
 	c.countArrival(ColdWork{Work: c.w.day.Fleet.Handshake.Seconds(), Router: router, Handshake: true})
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -36,7 +36,7 @@
 	Number    int // number of the try within the operation, from 0
 	SentAt    time.Duration
 	Router    int
-	Remaining time.Duration // time after At at which the client cancels the try
+	Remaining time.Duration // time after SentAt at which the client cancels the try
 
 	missedCaches []*Cache
 	ended        bool
@@ -76,7 +76,7 @@
 type RouterTier interface {
 	// Deliver delivers a try to a router. It returns false if the router is not running.
 	Deliver(t *Try) bool
-	// ClientDisconnected tells a router that the client of a try has disconnected.
+	// ClientDisconnected notifies a router that the client of a try has disconnected.
 	ClientDisconnected(t *Try)
 }
 
--- a/internal/lab/model/conn.go
+++ b/internal/lab/model/conn.go
@@ -8,7 +8,8 @@
 // CallResult is the result of a call to a server.
 type CallResult uint8
 
-// The results of a call. Busy and Stale mean that the call was never executed, as Missed does.
+// The results of a call. ResultBusy and ResultStale mean that the call was never executed, as ResultMissed
+// does.
 const (
 	ResultServed CallResult = iota
 	ResultMissed            // the server does not hold the object; no effect
--- a/internal/lab/model/day.go
+++ b/internal/lab/model/day.go
@@ -95,7 +95,7 @@
 	Cross             unit.Duration `toml:"cross"`
 	Client            unit.Duration `toml:"client"`
 	Jitter            float64       `toml:"jitter"`
-	Loss              float64       `toml:"loss"`   // share of segments that are lost; each is sent again after Resend
+	Loss              float64       `toml:"loss"`   // share of segments that are lost; each is sent again after RetransmitTimeout
 	RetransmitTimeout unit.Duration `toml:"resend"` // minimum retransmission timeout of the sender
 	Peer              unit.Duration `toml:"peer"`   // one-way delay of a message between routers
 	PeerLoss          float64       `toml:"peer_loss"`
@@ -140,13 +140,13 @@
 	HonourShare      float64       `toml:"honour"`    // share of clients that honour a retry delay
 	MaxRetryAfter    unit.Duration `toml:"most_wait"` // longest retry delay that clients honour
 	DeadRouterNotice unit.Duration `toml:"notice"`    // time until the load balancer stops using a dead router
-	DisconnectShare  float64       `toml:"leave"`     // share of clients that close their connection before the answer, on sockets
+	DisconnectShare  float64       `toml:"leave"`     // share of clients that disconnect before the answer, on sockets
 }
 
 // InvariantLimits holds the limits of the invariants.
 type InvariantLimits struct {
 	MaxAttempts      int           `toml:"attempts"`
-	Drain            unit.Duration `toml:"drain"` // how long a router may still send to a server after it has learned of its drain or end
+	Drain            unit.Duration `toml:"drain"` // how long a router may send to a server after learning of its drain or end
 	OverloadFactor   float64       `toml:"overload"`
 	CollapseDuration unit.Duration `toml:"fall"`
 	Grace            unit.Duration `toml:"grace"`
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -12,13 +12,14 @@
 	"hoptiller/internal/unit"
 )
 
-// Fault is a fault or a planned change during a day. The meaning of Part, Size and Count depends on the kind.
+// Fault is a fault or a planned change during a day. The meaning of Share, Severity and Count depends on
+// the kind.
 type Fault struct {
 	Kind     string        `toml:"kind"`
 	At       unit.Duration `toml:"at"` // time after the warm-up
 	Duration unit.Duration `toml:"for"`
 	Share    float64       `toml:"part"`  // share of the caches, at least one cache
-	Severity float64       `toml:"size"`  // severity
+	Severity float64       `toml:"size"`  // a share, a factor or a rate per second
 	Count    int           `toml:"count"` // number of caches, keys or routers
 	Interval unit.Duration `toml:"gap"`   // time between two of them
 	Zone     int           `toml:"zone"`
--- a/internal/lab/model/origin.go
+++ b/internal/lab/model/origin.go
@@ -45,7 +45,8 @@
 		}
 	}
 	total := reads + writes
-	o.Capacity = max(1, settings.Headroom*w.Rate*(reads*(1-hits)+2*writes)/total) // each write also causes the fetch that follows it
+	// Writes count twice, because each write also causes the fetch that follows it.
+	o.Capacity = max(1, settings.Headroom*w.Rate*(reads*(1-hits)+2*writes)/total)
 	o.host = host{w: w, index: index, zone: 0, maxConns: 1 << 20}
 	o.host.serve, o.host.cancel = o.handle, func(*Call) {} // the origin finishes calls that nobody waits for
 	slots := max(1, int(o.Capacity*settings.Time.Seconds()+0.5))
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -52,7 +52,7 @@
 	dropPeerMessages     bool
 }
 
-// New returns the world at the start of a day, which must have passed Check.
+// New returns the world at the start of a day, which must have passed Validate.
 func New(day *Day, routers RouterTier, routerControl RouterControl, observer Observer) *World {
 	w := &World{day: day, routers: routers, routerControl: routerControl, observer: observer,
 		lossyRouters: map[int]bool{}, occupants: map[int]*host{},
--- a/internal/lab/plot/timeline.go
+++ b/internal/lab/plot/timeline.go
@@ -13,7 +13,7 @@
 	"hoptiller/internal/lab/drill"
 )
 
-// These are the sources of a drill's events (field From), and the text of an event by which a router becomes ready.
+// These are the sources of a drill's events (field Source), and the text of an event by which a router becomes ready.
 const (
 	fromDrill  = "drill"
 	fromWatch  = "watch"
--- a/internal/lab/rival/rival.go
+++ b/internal/lab/rival/rival.go
@@ -59,7 +59,7 @@
 	ejectAfter       = 5                // number of consecutive errors that eject a server
 	ejectFor         = 30 * time.Second // multiplied by the number of the server's ejections so far
 	maxEjected       = 0.5              // fraction of the servers; if more are ejected, ejections are ignored
-	callTimeoutShare = 0.5              // fraction of the aim for which a call of a read may take
+	callTimeoutShare = 0.5              // fraction of the aim that a call of a read may take
 
 	watchToken = 1
 )
@@ -264,7 +264,8 @@
 		return
 	}
 	q.missed = q.missed || o.Status == hoptiller.Miss
-	if n := q.Constraints; n != nil && o.Status != hoptiller.Miss { // an operator's limits on retries apply to these policies as well
+	// An operator's limits on retries apply to these policies as well.
+	if n := q.Constraints; n != nil && o.Status != hoptiller.Miss {
 		q.endedCalls++
 		if !n.AllowsRetry(q.endedCalls, o.Status) || !n.TakeRetry(now) {
 			r.finish(q)
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -188,7 +188,7 @@
 	}
 }
 
-// end ends the process for good.
+// stop ends the process for good.
 func (p *process) stop() { p.crash() }
 
 // pid returns the id of the process, which must have been started.
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -32,7 +32,7 @@
 	return f
 }
 
-// Parse rejects an invalid file with an error of one line that names the place in the file.
+// Parse rejects an invalid file with an error of one line that names the position in the file.
 func TestBadFiles(t *testing.T) {
 	for text, want := range map[string]string{
 		"sizes = [50]\nrouters = 5\n":                            `x.toml:2:1: there is no "routers"`,
--- a/internal/lab/scoring/tally.go
+++ b/internal/lab/scoring/tally.go
@@ -133,7 +133,7 @@
 	times                   *hdrhistogram.Histogram
 }
 
-// New returns a Tally of a day; series says whether to keep values for each second.
+// New returns a Scorer for a day; series says whether to keep values for each second.
 func New(day *model.Day, series bool) *Scorer {
 	t := &Scorer{day: day, measuredFrom: day.WarmUp.Std(), sampledAt: day.WarmUp.Std(), callTimes: hdrhistogram.New(1, 600e6, 3)}
 	t.seconds = make([]secondCounts, int(day.Length.Seconds())+1)
--- a/internal/lab/sim/limited.go
+++ b/internal/lab/sim/limited.go
@@ -12,7 +12,7 @@
 )
 
 // WithLimits returns a policy that applies an operator's plan to the requests of another policy, with the router's own
-// admission code. Of a hoptiller.Narrowing the policies of package rival apply only the limits on retries.
+// admission code. The policies of package rival apply only the limits on retries of a hoptiller.Constraints.
 func WithLimits(policy Policy, p *plan.Plan) Policy {
 	return func(now time.Duration, set hoptiller.Settings, seed uint64, act hoptiller.Actions) hoptiller.Events {
 		l := &limitedPolicy{Actions: act, control: admission.New(p), requests: map[uint32]*openRequest{}}
@@ -25,7 +25,7 @@
 // the ID of the request.
 const queueTimerFlag = 1 << 63
 
-// limitedPolicy sits between a router and its policy: it is the policy of the one and the Actions of the other.
+// limitedPolicy sits between a router and its policy: the router uses it as its policy, and the policy uses it as its Actions.
 type limitedPolicy struct {
 	hoptiller.Actions
 	next      hoptiller.Events
--- a/internal/lab/sim/mass_test.go
+++ b/internal/lab/sim/mass_test.go
@@ -7,8 +7,8 @@
 )
 
 // 300 routers in front of 200 caches would hold more connections than the caches' tables have slots, although each router
-// keeps as few as one of a small fleet. Routers must close idle connections early enough for the sum to fit, and keep
-// the homes of keys in their own zone.
+// keeps as few connections as a router of a small fleet. Routers must close idle connections early enough for the sum to
+// fit, and keep the homes of keys in their own zone.
 func TestConnTablesHoldHundredsOfRouters(t *testing.T) {
 	failed := map[bool]float64{}
 	for _, reap := range []bool{false, true} {
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -111,7 +111,7 @@
 	cn.modelConn.Send(&c.Call)
 }
 
-// Opened implements model.Holder.
+// Opened implements model.ConnHandler.
 func (cn *conn) Opened(*model.Conn) {
 	p := cn.pool
 	if p.router.killed {
@@ -126,7 +126,7 @@
 	}
 }
 
-// Refused implements model.Holder.
+// Refused implements model.ConnHandler.
 func (cn *conn) Refused(*model.Conn) {
 	p := cn.pool
 	if p.router.killed {
@@ -136,7 +136,7 @@
 	p.router.endCall(cn.dialedFor, hoptiller.ConnectFailed)
 }
 
-// Answered implements model.Holder.
+// Answered implements model.ConnHandler.
 func (cn *conn) Answered(answered *model.Call, a model.CallResult) {
 	r := cn.pool.router
 	if r.killed || cn.closed || len(cn.calls) == 0 {
@@ -173,7 +173,7 @@
 	})
 }
 
-// Closed implements model.Holder.
+// Closed implements model.ConnHandler.
 func (cn *conn) Closed(*model.Conn) {
 	if cn.pool.router.killed || cn.closed {
 		return
@@ -205,7 +205,7 @@
 	}
 }
 
-// abandon stops waiting for the answer to a call that was cancelled or has timed out
+// abandon stops waiting for the answer to a call that was cancelled or has timed out.
 // The server notices only when the connection is closed, which is at once unless other calls wait on it.
 func (r *router) abandon(c *call) {
 	if d := c.dialing; d != nil { // the connection is not closed: other calls can use it once it is open
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -37,7 +37,7 @@
 // Options selects what is recorded of a run beyond its totals.
 type Options struct {
 	Series bool           // record time series with one value a second, in Result.Series
-	Trace  *TracedRequest // record a trace of one request, in Result.Story; nil: of none
+	Trace  *TracedRequest // record a trace of one request, in Result.Trace; nil: of none
 }
 
 // TracedRequest names the request of a router that is to be traced.
@@ -51,7 +51,7 @@
 	return hoptiller.New(now, set, seed, act)
 }
 
-// Run plays a day, which must have passed Check. When ctx ends, Run stops and returns the error of ctx.
+// Run plays a day, which must have passed Validate. When ctx ends, Run stops and returns the error of ctx.
 func Run(ctx context.Context, day *model.Day, policy Policy, opt Options) (*scoring.Result, error) {
 	t := &tier{day: day, policy: policy, opt: opt}
 	t.Checker, t.Scorer = invariants.New(day), scoring.New(day, opt.Series)
@@ -82,7 +82,7 @@
 	return r, nil
 }
 
-// tier holds the routers of a day. The world reaches the routers through it, and reports events through its Judge.
+// tier holds the routers of a day. The world reaches the routers through it, and reports events through its Recorder.
 type tier struct {
 	scoring.Recorder
 	day          *model.Day
@@ -93,7 +93,7 @@
 	traceLines   []string
 }
 
-// Deliver implements model.Tier.
+// Deliver implements model.RouterTier.
 func (t *tier) Deliver(try *model.Try) bool {
 	r := t.routers[try.Router]
 	if r == nil || r.refusesRequests(t.World.Now()) {
@@ -103,15 +103,15 @@
 	return true
 }
 
-// ClientDisconnected implements model.Tier.
+// ClientDisconnected implements model.RouterTier.
 func (t *tier) ClientDisconnected(try *model.Try) {
 	if r := t.routers[try.Router]; r != nil {
 		r.clientLeft(try)
 	}
 }
 
-// Start implements model.Steward. It does nothing if the router runs: two overlapping faults may both restart a router,
-// and there must not be two routers of the same number.
+// Start implements model.RouterControl. It does nothing if the router runs: two overlapping faults may both restart a
+// router, and there must not be two routers of the same number.
 func (t *tier) Start(i int) {
 	if t.routers[i] != nil {
 		return
@@ -124,14 +124,14 @@
 	t.routers[i] = newRouter(t, i, t.incarnations[i])
 }
 
-// Stop implements model.Steward.
+// Stop implements model.RouterControl.
 func (t *tier) Stop(i int) {
 	if r := t.routers[i]; r != nil {
 		r.stoppedAt = t.World.Now()
 	}
 }
 
-// Kill implements model.Steward.
+// Kill implements model.RouterControl.
 func (t *tier) Kill(i int) {
 	if r := t.routers[i]; r != nil {
 		t.routers[i] = nil
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -239,7 +239,8 @@
 // The decision module violates no invariant and keeps at least half of its service under each kind of fault.
 func TestFaults(t *testing.T) {
 	for _, f := range []model.Fault{
-		{Kind: "crash", Share: 0.2}, {Kind: "crash", Share: 0.3, Duration: seconds(0.05)}, // restarts within 50 ms, with a new start time
+		// The second crash restarts within 50 ms, with a new start time.
+		{Kind: "crash", Share: 0.2}, {Kind: "crash", Share: 0.3, Duration: seconds(0.05)},
 		{Kind: "vanish", Share: 0.2}, {Kind: "errors", Share: 0.2, Severity: 1}, {Kind: "slow", Share: 0.2, Severity: 0.7},
 		{Kind: "hot_key", Severity: 0.2}, {Kind: "silent", Severity: 0.1}, {Kind: "resets", Severity: 20}, {Kind: "lossy", Severity: 0.03},
 		{Kind: "add", Count: 4}, {Kind: "drain", Count: 3}, {Kind: "churn", Interval: seconds(2)}, {Kind: "directory"},
--- a/internal/lab/standin/control.go
+++ b/internal/lab/standin/control.go
@@ -14,8 +14,8 @@
 	"hoptiller/internal/lab/model"
 )
 
-// observer is the engine's Judge, which also opens listeners for new caches. Engine.mu must be held during its
-// calls.
+// observer is the engine's Recorder, which also opens listeners for new caches. Engine.mu must be held during
+// its calls.
 type observer struct{ *Engine }
 
 // Listed implements model.Observer. A new cache gets its listeners before any router learns of it.
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -32,8 +32,8 @@
 	Log       io.Writer                  // output of the routers; nil discards it
 	RouterLog func(router int) io.Writer // output of each router; takes precedence over Log
 
-	// AddressFor, if set, returns the address that a router uses instead of a stub server's, which is that of a relay
-	// in front of it. It is called with the engine's lock held and must not block.
+	// AddressFor, if set, returns the address of a relay in front of a stub server. A router uses this address
+	// instead of the server's own. AddressFor is called with the engine's lock held and must not block.
 	AddressFor func(router int, to ServerKind, addr string) (string, error)
 	// Arrivals, if set, returns a relay's log of when a router's bytes arrived. It is called with the
 	// addresses of a connection to a stub server and returns nil if there is no relay.
@@ -53,8 +53,8 @@
 	// RequestLost, if set, is called for each request whose connection ended without a complete answer, with a
 	// description that contains the request's ID.
 	RequestLost func(router int, text string)
-	// Steps are run in addition to the day's faults. Begun is called when all routers answer, just before the
-	// day starts.
+	// Steps are run in addition to the day's faults. Started is called when all routers answer, just before
+	// the day starts.
 	Steps   []Step
 	Started func(c Control, at time.Time)
 	// Progress, if set, is called once a second while no step runs.
@@ -71,15 +71,15 @@
 	Origin    ServerKind = "origin"
 )
 
-// Step is an action at a time of the day, measured from its start with the warm-up included. Do is called with
-// the engine's lock held and must not block.
+// Step is an action at a time of the day, measured from its start with the warm-up included. Action is called
+// with the engine's lock held and must not block.
 type Step struct {
 	At     time.Duration
 	Action func()
 }
 
-// Control controls the routers' processes. Its methods return at once. All but Aside and Interrupt must be
-// called from a Step.
+// Control controls the routers' processes. Its methods return at once. All but ServerDrained and Interrupt
+// must be called from a Step.
 type Control interface {
 	Signal(router int, s os.Signal)
 	Kill(router int)
@@ -154,7 +154,7 @@
 	callSummary   callSummary
 }
 
-// Run plays a day, which must have passed Check, and then stops everything that it has started.
+// Run plays a day, which must have passed Validate, and then stops everything that it has started.
 func Run(ctx context.Context, day *model.Day, opt Options) (*scoring.Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	e := &Engine{options: opt, day: day, ctx: ctx, wake: make(chan struct{}, 1), requests: map[string]*clientRequest{},
--- a/internal/lab/standin/faulty_router_test.go
+++ b/internal/lab/standin/faulty_router_test.go
@@ -164,7 +164,8 @@
 			t.Parallel()
 			_, result := playByHand(t, func(c Control) {
 				e := (*Engine)(c.(*routerControl))
-				e.Checker.RequestTaken(e.World.Now(), 0, uint32(e.nextID), 0, e.World.Now()+remaining) // the attempt states a second
+				// The attempt states a second.
+				e.Checker.RequestTaken(e.World.Now(), 0, uint32(e.nextID), 0, e.World.Now()+remaining)
 			})
 			detected := slices.ContainsFunc(result.Violations, func(v invariants.Violation) bool { return v.Rule == invariants.TimeLeft })
 			if detected != (remaining < time.Second) {
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -259,7 +259,8 @@
 func TestKillBeforeReset(t *testing.T) {
 	playByHand(t, func(c Control) {
 		n := (*Engine)(c.(*routerControl)).nodes[0]
-		n.mu.Lock() // The code that starts processes holds this lock and waits for the world, so waiting for it here would deadlock.
+		// The code that starts processes holds this lock and waits for the world, so waiting for it here would deadlock.
+		n.mu.Lock()
 		defer n.mu.Unlock()
 		if c.Kill(0); !n.expectedToEnd.Load() {
 			t.Error("the process was signalled only after the reset")
--- a/internal/testprog/await.go
+++ b/internal/testprog/await.go
@@ -10,7 +10,7 @@
 // is missing.
 const WaitTimeout = 30 * time.Second
 
-// Await returns the next value from a channel. If none arrives within Patience it fails the test with the name of the value.
+// Await returns the next value from a channel. If none arrives within WaitTimeout it fails the test with the name of the value.
 func Await[T any](t testing.TB, from <-chan T, what string) T {
 	t.Helper()
 	timeout := time.NewTimer(WaitTimeout)
@@ -24,7 +24,7 @@
 	}
 }
 
-// Send sends a value to a channel. If nothing receives it within Patience it fails the test with the name of the value.
+// Send sends a value to a channel. If nothing receives it within WaitTimeout it fails the test with the name of the value.
 func Send[T any](t testing.TB, to chan<- T, x T, what string) {
 	t.Helper()
 	timeout := time.NewTimer(WaitTimeout)
@@ -36,8 +36,8 @@
 	}
 }
 
-// Eventually waits until a condition holds. If it does not hold within Patience, Until fails the test with the name of the
-// condition.
+// Eventually waits until a condition holds. If it does not hold within WaitTimeout, Eventually fails the test with
+// the name of the condition.
 func Eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(WaitTimeout); !holds(); time.Sleep(time.Millisecond) {
--- a/internal/testprog/late.go
+++ b/internal/testprog/late.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// ListenWithFullQueue opens a listener whose accept queue is full, so that no further connection can be established until listen is called.
-// listen empties the queue and returns the listener. Connections that clients have tried to open meanwhile are established
-// when the kernel retries, after a second.
+// ListenWithFullQueue opens a listener whose accept queue is full, so that no further connection can be established until
+// listen is called. listen empties the queue and returns the listener. Connections that clients have tried to open meanwhile
+// are established when the kernel retries, after a second.
 func ListenWithFullQueue(t testing.TB) (addr string, listen func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/testprog/serve.go
+++ b/internal/testprog/serve.go
@@ -8,7 +8,7 @@
 )
 
 // Serve runs a server on a listener of its own until the test ends. It returns a function that connects to the server.
-// Reads from and writes to a connection fail once Patience has passed since it was opened.
+// Reads from and writes to a connection fail once WaitTimeout has passed since it was opened.
 func Serve(t *testing.T, serve func(ctx context.Context, l net.Listener) error) (dial func() net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
