--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -39,7 +39,7 @@
 		"[day]\nlength = \"1s 500\"":                  `x.toml:2:10: "1s 500": "s 500" is no unit of time`,
 		"[day]\nrouters = 3\n[day.fleet]\ncaches = 0": "x.toml:4: fleet.caches is 0: 1 to 20000 is possible",
 		"[day]\nfleet.caches = 0":                     "x.toml:2: fleet.caches is 0: 1 to 20000 is possible",
-		"[[day.fault]]\nkind = \"fire\"":              `x.toml:2: fault 1: kind is "fire": one of add,`,
+		"[[day.fault]]\nkind = \"fire\"":              `x.toml:2: fault 1: kind is "fire": must be one of add,`,
 		"policies = [\"best\"]":                       `x.toml:1: policy "best" is not known: hoptiller, random`,
 		"[plot]\nx = \"load.level\"":                  `x.toml:2: plot over "load.level": "time" or a figure of the sweep is meant`,
 		"[plot]\nx = \"time\"":                        `x.toml:2: plot over "time": series = true is needed for that`,
